--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -14,7 +14,7 @@
 from cachetools import LRUCache
 
 from fireflyhitch_model.ids import ContentId, ProcessId
-from fireflyhitch_routing.telling import Telling
+from fireflyhitch_routing.broadcast_window import Telling
 
 # A request that was answered whole ends no servers, and for so long an end under it is
 # put down to another.
--- a/libs/routing/fireflyhitch_routing/deployments.py
+++ b/libs/routing/fireflyhitch_routing/deployments.py
@@ -4,8 +4,8 @@
 from statistics import NormalDist
 
 from fireflyhitch_model.calls import Call
+from fireflyhitch_routing.overload import Pressure
 from fireflyhitch_routing.policy import Question
-from fireflyhitch_routing.pressure import Pressure
 from fireflyhitch_routing.records import AVERAGE_WEIGHT, ServerRecord
 from fireflyhitch_settings.schema import (
     LatencyTarget,
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -18,7 +18,7 @@
 
 from fireflyhitch_model.hashing import hash_text
 from fireflyhitch_model.ids import BackendServerId, ProcessId
-from fireflyhitch_routing.telling import Telling
+from fireflyhitch_routing.broadcast_window import Telling
 
 SLOT_SECONDS = 1.0
 # A server that takes nothing now is asked so often, to learn when it does again.
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -7,6 +7,7 @@
 
 from fireflyhitch_model.identity import identify_content, identify_process
 from fireflyhitch_model.ids import BackendServerId, ContentId, CustomerId, ProcessId
+from fireflyhitch_routing.broadcast_window import TELL_SECONDS
 from fireflyhitch_routing.crashes import (
     ANSWERED_SECONDS,
     MOST_ENDS,
@@ -17,7 +18,6 @@
     count_rounds,
 )
 from fireflyhitch_routing.quarantine import HOLD_SECONDS, Hold, Quarantine
-from fireflyhitch_routing.telling import TELL_SECONDS
 
 CRASHING = ContentId('crashing')
 HARMLESS = ContentId('harmless')
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -5,13 +5,13 @@
 import pytest
 
 from fireflyhitch_model.ids import BackendServerId, ProcessId
+from fireflyhitch_routing.broadcast_window import TELL_SECONDS
 from fireflyhitch_routing.server_limits import (
     KEPT_SECONDS,
     MOST_KNOWN,
     MOST_TOLD,
     ServerLimits,
 )
-from fireflyhitch_routing.telling import TELL_SECONDS
 from fireflyhitch_standins.arrivals import count_most
 
 SERVER = BackendServerId('i-1')
