--- a/libs/routing/fireflyhitch_routing/broadcast_window.py
+++ b/libs/routing/fireflyhitch_routing/broadcast_window.py
@@ -1,32 +1,33 @@
-"""For how long what is new is told to other daemons."""
+"""How long a change is broadcast to other daemons."""
 
 from dataclasses import dataclass
 
-# Again and again, since messages are lost.
-TELL_SECONDS = 1.5
+# A change is sent repeatedly within this time, since messages may be lost.
+BROADCAST_SECONDS = 1.5
 
 
 @dataclass(slots=True)
-class Telling:
-    """When a piece of knowledge is told; all in monotonic seconds.
+class BroadcastWindow:
+    """The time in which a record is broadcast; all in monotonic seconds.
 
-    :param changed_at: since when all of it is known here.
-    :param own_until: until which this daemon tells it as its own, since others may not
-        know it.
+    :param changed_at: when the record last changed on this daemon.
+    :param local_until: until when this daemon broadcasts the record as its own, since
+        others may not have it.
     """
 
     changed_at: float = float('-inf')
-    own_until: float = float('-inf')
+    local_until: float = float('-inf')
 
-    def note_own(self, now: float) -> None:
-        """Have it told as this daemon's own from now on."""
-        self.own_until = now + TELL_SECONDS
+    def mark_local(self, now: float) -> None:
+        """Broadcast the record as this daemon's own from now on."""
+        self.local_until = now + BROADCAST_SECONDS
 
-    def is_due(self, now: float, *, heard: bool) -> bool:
-        """Tell whether it is told now.
+    def is_due(self, now: float, *, include_received: bool) -> bool:
+        """Return whether the record should be sent now.
 
-        :param heard: to those as well who do not hear whom it came from.
+        :param include_received: whether to include changes received from other daemons,
+            for recipients that those daemons do not reach.
         """
-        if self.own_until >= now:
+        if self.local_until >= now:
             return True
-        return heard and now - self.changed_at < TELL_SECONDS
+        return include_received and now - self.changed_at < BROADCAST_SECONDS
--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -1,9 +1,9 @@
-"""What daemons have seen of servers that ended while a request ran on them.
+"""Records of servers that crashed while a request ran on them, from all daemons.
 
-One request may end each server that begins it. Many others run there as well, and each
-of them looks the same to who sees a single end. So the evidence is kept by what a
-request asks, over all its repeats, and by server: joined from all daemons in any order,
-and told twice, it says the same.
+One request may crash every server that starts it, while many other requests run there
+too: a single crash does not show which of them caused it. So crashes are recorded by
+request content, which all retries share, and by server process. Merging reports is
+idempotent and independent of their order.
 """
 
 from collections import OrderedDict
@@ -14,28 +14,28 @@
 from cachetools import LRUCache
 
 from fireflyhitch_model.ids import ContentId, ProcessId
-from fireflyhitch_routing.broadcast_window import Telling
-
-# A request that was answered whole ends no servers, and for so long an end under it is
-# put down to another.
-ANSWERED_SECONDS = 60.0
-# Requests remembered, those heard of last.
-MOST_SUSPECTS = 4096
-MOST_ANSWERED = 16384
-# Ends remembered of one request, the newest; more of them tell nothing new.
-MOST_ENDS = 8
-# An answer is news again after this long; what is told takes some tenths of a second,
-# and must not come back as new.
-ANSWER_NEWS_SECONDS = 5.0
-# In one message.
-MOST_TOLD = 32
+from fireflyhitch_routing.broadcast_window import BroadcastWindow
+
+# A request that completed does not crash servers: crashes up to this long after a
+# complete response are attributed to other requests.
+EXONERATION_SECONDS = 60.0
+# Requests kept, the most recently updated ones.
+MAX_SUSPECTS = 4096
+MAX_COMPLETED = 16384
+# Crashes kept for each request, the newest; more would not change the decision.
+MAX_CRASHES = 8
+# A later response counts as a change only after this long. Reports take some tenths of
+# a second, and a response that other daemons send back must not count as new.
+RESPONSE_REPORT_SECONDS = 5.0
+# Reports in one message.
+MAX_REPORTS = 32
 
 
 class ServerEnd(NamedTuple):
-    """A server's process that ended while a request ran there.
+    """A server process that crashed while a request ran there.
 
-    :param at: monotonic seconds.
-    :param began: monotonic seconds of the request's run.
+    :param at: monotonic seconds of the crash.
+    :param began: monotonic seconds at which the request started to run there.
     """
 
     at: float
@@ -43,15 +43,16 @@
 
 
 class CrashNote(NamedTuple):
-    """What a daemon tells of one request.
+    """A daemon's report on one request.
 
-    :param ends: rows of a server's process, seconds since it ended, and seconds that the
+    :param ends: rows of server process, seconds since its crash, and seconds that the
         request had run there.
-    :param answered: seconds since the request was last answered whole, if it was.
+    :param completed_age: seconds since the request last completed; ``None`` if it has
+        not lately.
     """
 
     ends: list[tuple[ProcessId, float, float]]
-    answered: float | None = None
+    completed_age: float | None = None
 
 
 CrashNotes = Mapping[ContentId, CrashNote]
@@ -59,176 +60,184 @@
 
 @dataclass(slots=True)
 class Suspect:
-    """A request under which servers have ended.
+    """A request during which servers have crashed.
 
-    :param answered_at: monotonic seconds at which it was last answered whole.
+    :param completed_at: monotonic seconds at which the request last completed.
     """
 
     ends: dict[ProcessId, ServerEnd] = field(default_factory=dict)
-    answered_at: float = float('-inf')
-    telling: Telling = field(default_factory=Telling)
-
-    def find_unanswered(self) -> dict[ProcessId, ServerEnd]:
-        """Return the ends that no whole answer of the request speaks against."""
-        since = self.answered_at + ANSWERED_SECONDS
-        return {process: end for process, end in self.ends.items() if end.at > since}
+    completed_at: float = float('-inf')
+    broadcast: BroadcastWindow = field(default_factory=BroadcastWindow)
+
+    def find_attributable_crashes(self) -> dict[ProcessId, ServerEnd]:
+        """Return the crashes that no complete response exonerates the request from."""
+        since = self.completed_at + EXONERATION_SECONDS
+        return {
+            process: crash for process, crash in self.ends.items() if crash.at > since
+        }
 
-    def describe(self, now: float) -> CrashNote:
-        """Return what others are told."""
-        answered = now - self.answered_at
+    def make_report(self, now: float) -> CrashNote:
+        """Return the report for other daemons."""
+        completed_age = now - self.completed_at
         return CrashNote(
             [
-                (process, round(now - end.at, 2), round(end.at - end.began, 2))
-                for process, end in self.ends.items()
+                (process, round(now - crash.at, 2), round(crash.at - crash.began, 2))
+                for process, crash in self.ends.items()
             ],
-            round(answered, 2) if answered < ANSWERED_SECONDS else None,
+            round(completed_age, 2) if completed_age < EXONERATION_SECONDS else None,
         )
 
-    def take_end(self, process: ProcessId, end: ServerEnd) -> bool:
-        """Take in an end; tell whether it was not known."""
+    def add_crash(self, process: ProcessId, crash: ServerEnd) -> bool:
+        """Add a crash; return whether it is new."""
         if process in self.ends:
             return False
-        self.ends[process] = end
-        if len(self.ends) > MOST_ENDS:
-            oldest = min(self.ends, key=lambda known: self.ends[known])
+        self.ends[process] = crash
+        if len(self.ends) > MAX_CRASHES:
+            oldest = min(self.ends, key=lambda one: self.ends[one])
             del self.ends[oldest]
         return process in self.ends
 
-    def take_answer(self, at: float) -> bool:
-        """Take in a whole answer; tell whether that is news."""
-        is_news = at - self.answered_at > ANSWER_NEWS_SECONDS
-        self.answered_at = max(self.answered_at, at)
-        return is_news
+    def add_response(self, at: float) -> bool:
+        """Add a complete response; return whether it should be reported."""
+        is_new = at - self.completed_at > RESPONSE_REPORT_SECONDS
+        self.completed_at = max(self.completed_at, at)
+        return is_new
 
-    def knows_more_than(self, note: CrashNote, now: float) -> bool:
-        """Tell whether there is something here that a teller does not know."""
-        told = {process for process, _, _ in note.ends}
-        if self.ends.keys() - told:
+    def has_more_than(self, report: CrashNote, now: float) -> bool:
+        """Return whether this record has something that a report lacks."""
+        reported = {process for process, _, _ in report.ends}
+        if self.ends.keys() - reported:
             return True
-        answered = float('inf') if note.answered is None else note.answered
+        completed_age = (
+            float('inf') if report.completed_age is None else report.completed_age
+        )
         return (
-            now - self.answered_at < ANSWERED_SECONDS
-            and now - self.answered_at < answered - ANSWER_NEWS_SECONDS
+            now - self.completed_at < EXONERATION_SECONDS
+            and now - self.completed_at < completed_age - RESPONSE_REPORT_SECONDS
         )
 
 
 class CrashBook:
-    """The evidence of this daemon and of those that told it theirs."""
+    """Crash records of this daemon, merged with those received from others."""
 
     def __init__(self) -> None:
-        """Make a book of nothing."""
+        """Create an empty tracker."""
         self._suspects: OrderedDict[ContentId, Suspect] = OrderedDict()
-        self._answered: LRUCache[ContentId, float] = LRUCache(MOST_ANSWERED)
-        # Of the suspects: those that changed lately, and those with many ends.
-        self._fresh: set[ContentId] = set()
-        self._by_ends: dict[ContentId, int] = {}
+        self._completed_at: LRUCache[ContentId, float] = LRUCache(MAX_COMPLETED)
+        # Suspects that changed recently, and crash counts of those with several.
+        self._recent: set[ContentId] = set()
+        self._crash_counts: dict[ContentId, int] = {}
 
     def find(self, content: ContentId) -> Suspect | None:
-        """Return what is known of a request."""
+        """Return the record of a request, if there is one."""
         return self._suspects.get(content)
 
     def all(self) -> Mapping[ContentId, Suspect]:
-        """Return all that servers have ended under."""
+        """Return all requests during which servers have crashed."""
         return self._suspects
 
-    def find_strong(self, least: int) -> list[ContentId]:
-        """Return requests under which so many servers ended, those with most first."""
-        strong = [row for row in self._by_ends.items() if row[1] >= least]
-        strong.sort(key=lambda row: (-row[1], row[0]))
-        return [content for content, _ in strong]
+    def find_suspects(self, min_crashes: int) -> list[ContentId]:
+        """Return requests with at least this many crashes, the most crashes first."""
+        suspects = [row for row in self._crash_counts.items() if row[1] >= min_crashes]
+        suspects.sort(key=lambda row: (-row[1], row[0]))
+        return [content for content, _ in suspects]
 
     def note_end(
-        self, content: ContentId, process: ProcessId, end: ServerEnd, now: float
+        self, content: ContentId, process: ProcessId, crash: ServerEnd, now: float
     ) -> None:
-        """Take in that a server ended while a request of this daemon ran there.
+        """Record that a server crashed while a request of this daemon ran there.
 
-        :param now: monotonic seconds; an end may be found out some seconds late.
+        :param now: monotonic seconds; a crash may be detected some seconds late.
         """
-        suspect = self._find(content)
-        if suspect.take_end(process, end):
-            suspect.telling.note_own(now)
-            self._note_change(content, suspect, now)
+        suspect = self._find_or_add(content)
+        if suspect.add_crash(process, crash):
+            suspect.broadcast.mark_local(now)
+            self._mark_changed(content, suspect, now)
 
     def note_answer(self, content: ContentId, now: float) -> None:
-        """Take in that a request of this daemon was answered whole."""
-        self._answered[content] = now
+        """Record that a request of this daemon completed."""
+        self._completed_at[content] = now
         suspect = self._suspects.get(content)
-        if suspect is not None and suspect.take_answer(now):
-            suspect.telling.note_own(now)
-            self._note_change(content, suspect, now)
+        if suspect is not None and suspect.add_response(now):
+            suspect.broadcast.mark_local(now)
+            self._mark_changed(content, suspect, now)
 
-    def take(self, notes: CrashNotes, now: float) -> None:
-        """Take in what another daemon tells."""
-        for content, note in notes.items():
-            self._take_note(content, note, now)
+    def take(self, reports: CrashNotes, now: float) -> None:
+        """Merge the reports of another daemon."""
+        for content, report in reports.items():
+            self._merge_report(content, report, now)
 
     def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashNote]:
-        """Return what is new, the requests under which most servers ended first.
+        """Return reports on recent changes, requests with the most crashes first.
 
-        :param heard: whether also what others told, for those who do not hear them.
+        :param heard: whether to include changes received from other daemons, for
+            recipients that those daemons do not reach.
         """
-        self._fresh = {
+        self._recent = {
             content
-            for content in self._fresh
-            if self._suspects[content].telling.is_due(now, heard=True)
+            for content in self._recent
+            if self._suspects[content].broadcast.is_due(now, include_received=True)
         }
-        told = [
+        due = [
             (content, self._suspects[content])
-            for content in self._fresh
-            if self._suspects[content].telling.is_due(now, heard=heard)
+            for content in self._recent
+            if self._suspects[content].broadcast.is_due(now, include_received=heard)
         ]
-        told.sort(
-            key=lambda row: (-len(row[1].ends), -row[1].telling.changed_at, row[0])
+        due.sort(
+            key=lambda row: (-len(row[1].ends), -row[1].broadcast.changed_at, row[0])
         )
-        return {content: suspect.describe(now) for content, suspect in told[:MOST_TOLD]}
+        return {
+            content: suspect.make_report(now) for content, suspect in due[:MAX_REPORTS]
+        }
 
-    def _take_note(self, content: ContentId, note: CrashNote, now: float) -> None:
-        suspect = self._find(content)
+    def _merge_report(self, content: ContentId, report: CrashNote, now: float) -> None:
+        suspect = self._find_or_add(content)
         ends = [
             (process, ServerEnd(now - age, now - age - ran))
-            for process, age, ran in note.ends
+            for process, age, ran in report.ends
         ]
-        is_news = [suspect.take_end(process, end) for process, end in ends]
-        if note.answered is not None:
-            is_news.append(suspect.take_answer(now - note.answered))
-        if suspect.knows_more_than(note, now) and suspect.telling.own_until < now:
-            suspect.telling.note_own(now)
-            is_news.append(True)
-        if any(is_news):
-            self._note_change(content, suspect, now)
-
-    def _find(self, content: ContentId) -> Suspect:
+        changes = [suspect.add_crash(process, crash) for process, crash in ends]
+        if report.completed_age is not None:
+            changes.append(suspect.add_response(now - report.completed_age))
+        if suspect.has_more_than(report, now) and suspect.broadcast.local_until < now:
+            suspect.broadcast.mark_local(now)
+            changes.append(True)
+        if any(changes):
+            self._mark_changed(content, suspect, now)
+
+    def _find_or_add(self, content: ContentId) -> Suspect:
         suspect = self._suspects.get(content)
         if suspect is None:
-            answered_at = self._answered.get(content, float('-inf'))
-            suspect = Suspect(answered_at=answered_at)
+            completed_at = self._completed_at.get(content, float('-inf'))
+            suspect = Suspect(completed_at=completed_at)
             self._suspects[content] = suspect
             self._drop_oldest()
         self._suspects.move_to_end(content)
         return suspect
 
     def _drop_oldest(self) -> None:
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             content, _ = self._suspects.popitem(last=False)
-            self._fresh.discard(content)
-            self._by_ends.pop(content, None)
+            self._recent.discard(content)
+            self._crash_counts.pop(content, None)
 
-    def _note_change(self, content: ContentId, suspect: Suspect, now: float) -> None:
-        suspect.telling.changed_at = now
-        self._fresh.add(content)
+    def _mark_changed(self, content: ContentId, suspect: Suspect, now: float) -> None:
+        suspect.broadcast.changed_at = now
+        self._recent.add(content)
         if len(suspect.ends) > 1:
-            self._by_ends[content] = len(suspect.ends)
+            self._crash_counts[content] = len(suspect.ends)
 
 
 def count_rounds(ends: Iterable[ServerEnd]) -> int:
-    """Return how often a request was sent again after a server had ended under it.
+    """Return in how many successive runs of a request servers crashed.
 
-    Servers that end in the same moment have ended for one reason; it counts once.
+    A run that started after the last counted crash begins a new round. Servers that
+    crash at the same moment have one cause and count as one round.
     """
     rounds = 0
     last = float('-inf')
-    for end in sorted(ends):
-        if end.began > last:
+    for crash in sorted(ends):
+        if crash.began > last:
             rounds += 1
-            last = end.at
+            last = crash.at
     return rounds
--- a/libs/routing/fireflyhitch_routing/quarantine.py
+++ b/libs/routing/fireflyhitch_routing/quarantine.py
@@ -1,14 +1,16 @@
-"""Which requests are held back, since they end the servers that run them.
-
-Such a request takes with it all that runs beside it, and its caller tries again. Held
-back are those that ended the third server, and by nothing else than their own doing:
-
-- A request that was answered whole lately is not held, however many servers end while
-  it runs there: a popular one is at many servers that others end.
-- Servers that end in one moment, as when a failure domain loses power, count as one.
-- Ends under a request that is held already count for no other.
-- Of two requests under which the same servers ended, neither is held until one of them
-  stands out, or it goes on for too long.
+"""Quarantine of requests that crash the servers that run them.
+
+Such a request also fails all concurrent requests on the server, and its caller retries
+it. A request is held back from all servers once three servers have crashed during it
+and no other cause explains these crashes:
+
+- A request that completed recently is not held, however many servers crash during it:
+  a popular request runs on many servers that other requests crash.
+- Servers that crash at the same moment, as when a failure domain loses power, count as
+  one.
+- Crashes during a request that is already held do not count against other requests.
+- If the same servers crashed during two requests, neither is held until the crashes
+  differ or there are ``CERTAIN_CRASHES`` of them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,23 +21,23 @@
 from fireflyhitch_model.ids import ContentId, ProcessId
 from fireflyhitch_routing.crashes import CrashBook, ServerEnd, Suspect, count_rounds
 
-# Ended under a request, it is held.
-ENDS_TO_HOLD = 3
-# In so many moments that follow each other.
+# Crashes after which a request is held.
+CRASHES_TO_HOLD = 3
+# Successive runs of the request in which these crashes must have occurred.
 ROUNDS_TO_HOLD = 2
-# With so many ends, it is held also if another request was there each time.
-ENDS_OF_CERTAINTY = 5
-# From the last end; the server's software may have been mended by then.
+# With this many crashes it is held even if another request ran there each time.
+CERTAIN_CRASHES = 5
+# Counted from the last crash; the server's software may be fixed by then.
 HOLD_SECONDS = 600.0
-MOST_HELD = 256
+MAX_HELD = 256
 
 
 @dataclass(slots=True)
 class Hold:
-    """A request that is held back.
+    """A request that is held back from all servers.
 
-    :param until: monotonic seconds.
-    :param processes: of the servers that ended under it.
+    :param until: monotonic seconds at which the hold expires.
+    :param processes: the server processes that crashed during the request.
     """
 
     until: float
@@ -43,71 +45,79 @@
 
 
 class Quarantine:
-    """Holds requests by the evidence in a book."""
+    """Holds requests according to the crash records."""
 
-    def __init__(self, book: CrashBook) -> None:
-        """Make a quarantine of nothing."""
-        self._book = book
+    def __init__(self, tracker: CrashBook) -> None:
+        """Create a quarantine without holds."""
+        self._tracker = tracker
         self._held: dict[ContentId, Hold] = {}
-        self._seen_at: dict[ContentId, float] = {}
+        self._suspected_at: dict[ContentId, float] = {}
 
     def find_wait(self, content: ContentId, now: float) -> float | None:
-        """Return the seconds for which a request is held back, if it is."""
+        """Return the seconds until a hold expires; ``None`` without a hold."""
         hold = self._held.get(content)
         if hold is None or hold.until <= now:
             return None
         return hold.until - now
 
     def held(self) -> Mapping[ContentId, Hold]:
-        """Return the requests that are held back."""
+        """Return the current holds by request content."""
         return self._held
 
     def take_hold(self, content: ContentId, hold: Hold) -> None:
-        """Hold a request that others have found to end servers."""
-        if content not in self._held and len(self._held) < MOST_HELD:
+        """Add a hold that another daemon decided on."""
+        if content not in self._held and len(self._held) < MAX_HELD:
             self._hold(content, hold, 'told')
 
-    def review(self, now: float, settled: float) -> None:
-        """Hold what the evidence is enough for, and release what it is not any more.
+    def review(self, now: float, settle_seconds: float) -> None:
+        """Hold requests with sufficient evidence; release expired or completed ones.
 
-        :param settled: seconds in which others tell what speaks for a request.
+        :param settle_seconds: time to wait for reports that the request completed on
+            other daemons.
         """
         for held in list(self._held):
-            self._release_wrong(held, now)
-        strong = self._book.find_strong(ENDS_TO_HOLD)
-        self._seen_at = {content: self._seen_at.get(content, now) for content in strong}
-        for content, seen_at in self._seen_at.items():
-            if content not in self._held and now - seen_at >= settled:
-                self._judge(content, now)
-
-    def _judge(self, content: ContentId, now: float) -> None:
-        suspect = self._book.find(content)
+            self._release_if_over(held, now)
+        suspects = self._tracker.find_suspects(CRASHES_TO_HOLD)
+        self._suspected_at = {
+            content: self._suspected_at.get(content, now) for content in suspects
+        }
+        for content, suspected_at in self._suspected_at.items():
+            if content not in self._held and now - suspected_at >= settle_seconds:
+                self._evaluate(content, now)
+
+    def _evaluate(self, content: ContentId, now: float) -> None:
+        suspect = self._tracker.find(content)
         if suspect is None:
             return
-        ends = self._find_unexplained(suspect)
-        if len(ends) < ENDS_TO_HOLD or count_rounds(ends.values()) < ROUNDS_TO_HOLD:
+        crashes = self._find_unattributed(suspect)
+        if (
+            len(crashes) < CRASHES_TO_HOLD
+            or count_rounds(crashes.values()) < ROUNDS_TO_HOLD
+        ):
             return
-        if len(ends) < ENDS_OF_CERTAINTY and self._has_rival(content, ends):
+        if len(crashes) < CERTAIN_CRASHES and self._has_alternative(content, crashes):
             return
-        until = max(end.at for end in ends.values()) + HOLD_SECONDS
-        if until > now and len(self._held) < MOST_HELD:
-            self._hold(content, Hold(until, frozenset(ends)), 'seen')
+        until = max(crash.at for crash in crashes.values()) + HOLD_SECONDS
+        if until > now and len(self._held) < MAX_HELD:
+            self._hold(content, Hold(until, frozenset(crashes)), 'seen')
 
-    def _find_unexplained(self, suspect: Suspect) -> dict[ProcessId, ServerEnd]:
+    def _find_unattributed(self, suspect: Suspect) -> dict[ProcessId, ServerEnd]:
         held = (hold.processes for hold in self._held.values())
-        explained = frozenset[ProcessId]().union(*held)
+        attributed = frozenset[ProcessId]().union(*held)
         return {
-            process: end
-            for process, end in suspect.find_unanswered().items()
-            if process not in explained
+            process: crash
+            for process, crash in suspect.find_attributable_crashes().items()
+            if process not in attributed
         }
 
-    def _has_rival(self, content: ContentId, processes: Iterable[ProcessId]) -> bool:
-        """Tell whether all these servers ended under another request as well."""
+    def _has_alternative(
+        self, content: ContentId, processes: Iterable[ProcessId]
+    ) -> bool:
+        """Return whether all these servers also crashed during another request."""
         wanted = set(processes)
         return any(
-            wanted <= rival.find_unanswered().keys()
-            for other, rival in self._book.all().items()
+            wanted <= alternative.find_attributable_crashes().keys()
+            for other, alternative in self._tracker.all().items()
             if other != content and other not in self._held
         )
 
@@ -117,11 +127,11 @@
             'request held'
         )
 
-    def _release_wrong(self, content: ContentId, now: float) -> None:
+    def _release_if_over(self, content: ContentId, now: float) -> None:
         hold = self._held[content]
-        suspect = self._book.find(content)
-        answered = suspect is not None and not suspect.find_unanswered()
-        if hold.until > now and not answered:
+        suspect = self._tracker.find(content)
+        completed = suspect is not None and not suspect.find_attributable_crashes()
+        if hold.until > now and not completed:
             return
         del self._held[content]
-        logger.bind(content=content, answered=answered).info('request released')
+        logger.bind(content=content, answered=completed).info('request released')
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -1,12 +1,13 @@
-"""Limits that servers name, kept by all daemons together without a message a request.
+"""Rate limits announced by servers, enforced by all daemons without a message per request.
 
-Time is cut into slots of a second. A server's limit gives each slot a number of turns, and
-each turn belongs to one daemon, by a hash of server, slot and daemon: all work out the
-same, and the sum holds however many daemons there are. A turn that its daemon has no use
-for is kept for one slot more, so that a daemon with a few requests a second uses it.
-Daemons that disagree for a while on who there is agree on most turns all the same.
+Time is divided into slots of one second. A server's limit yields a number of permits per
+slot. A hash of server, slot and daemon assigns each permit to one daemon: all daemons
+compute the same assignment, so the total stays within the limit for any number of
+daemons. An unused permit stays valid for one more slot, so that a daemon with few
+requests a second can use it. Daemons that temporarily disagree on the list of daemons
+still agree on most permits.
 
-What servers name is told to all: most daemons ask a limited server seldom.
+Limits are broadcast to all daemons, since most send to a limited server only rarely.
 """
 
 import math
@@ -18,24 +19,24 @@
 
 from fireflyhitch_model.hashing import hash_text
 from fireflyhitch_model.ids import BackendServerId, ProcessId
-from fireflyhitch_routing.broadcast_window import Telling
+from fireflyhitch_routing.broadcast_window import BroadcastWindow
 
 SLOT_SECONDS = 1.0
-# A server that takes nothing now is asked so often, to learn when it does again.
-LEAST_RATE = 0.1
-# In one message.
-MOST_TOLD = 64
-# From the last answer of a server on.
-KEPT_SECONDS = 600.0
-# Limits remembered, those that were named last.
-MOST_KNOWN = 4096
-# Odd, with bits set all over, so that a product's upper bits depend on all bits.
+# Requests a second to a server with a limit of 0, to detect when it accepts work again.
+MIN_RATE = 0.1
+# Reports in one message.
+MAX_REPORTS = 64
+# Counted from the server's last response.
+EXPIRY_SECONDS = 600.0
+# Limits kept, the most recently announced ones.
+MAX_LIMITS = 4096
+# Odd, with set bits spread over the word: a product's upper bits depend on all bits.
 MULTIPLIER = 0x9E3779B97F4A7C15
 MASK = 0xFFFFFFFFFFFFFFFF
 
 
 def parse_rate(text: str | None) -> float | None:
-    """Read requests a second; what cannot be read names no limit."""
+    """Parse a limit in requests a second; an invalid text means no limit."""
     if text is None:
         return None
     try:
@@ -46,10 +47,10 @@
 
 
 class LimitNote(NamedTuple):
-    """What a daemon tells of a server's process.
+    """A daemon's report on the limit of a server process.
 
-    :param rate: requests a second; ``None`` if it names none any more.
-    :param age: seconds since it said so.
+    :param rate: requests a second; ``None`` if there is no limit any more.
+    :param age: seconds since the server announced it.
     """
 
     rate: float | None
@@ -61,59 +62,61 @@
 
 @dataclass(slots=True)
 class _Limit:
-    """A limit that was named.
+    """An announced limit and this daemon's permits.
 
-    :param at: monotonic seconds at which the server last said so.
-    :param slot: that ``turns`` were counted for.
-    :param used: of these; they stay used when the server names another limit.
-    :param kept: turns of the slot before.
+    :param rate: requests a second; ``None`` if there is no limit any more.
+    :param at: monotonic seconds at which the server last announced it.
+    :param slot: the slot that ``permits`` are for.
+    :param used: used permits of the slot; they stay used when the limit changes.
+    :param carried_over: unused permits of the previous slot.
     """
 
     rate: float | None
     at: float
     server: BackendServerId | None = None
-    telling: Telling = field(default_factory=Telling)
+    broadcast: BroadcastWindow = field(default_factory=BroadcastWindow)
     slot: int = -1
-    turns: int = 0
+    permits: int = 0
     used: int = 0
-    kept: int = 0
+    carried_over: int = 0
 
     @property
     def left(self) -> int:
-        """Return how many of the slot's turns are left."""
-        return max(self.turns - self.used, 0)
+        """Return how many permits of the slot are left."""
+        return max(self.permits - self.used, 0)
 
     def count(self) -> int:
         """Return how many requests may be sent now."""
-        return self.left + self.kept
+        return self.left + self.carried_over
 
-    def take(self) -> None:
-        """Use the turn that ends first."""
-        if self.kept:
-            self.kept -= 1
+    def use_permit(self) -> None:
+        """Use the permit that expires first."""
+        if self.carried_over:
+            self.carried_over -= 1
         else:
             self.used += 1
 
 
 class ServerLimits:
-    """The limits that servers have named, and this daemon's turns."""
+    """The limits that servers have announced, and this daemon's permits."""
 
     def __init__(
         self,
-        own: str,
+        daemon_id: str,
         list_daemons: Callable[[], Sequence[str]],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
-        """Make limits of which none was named.
+        """Create a table without limits.
 
-        :param list_daemons: all that may send, this one included.
-        :param wall: seconds since 1970 that the daemons agree on.
+        :param daemon_id: this daemon.
+        :param list_daemons: returns all daemons that may send, this one included.
+        :param wall_clock: returns seconds since 1970, agreed among the daemons.
         """
-        self._own = own
+        self._daemon_id = daemon_id
         self._list_daemons = list_daemons
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._limits: dict[ProcessId, _Limit] = {}
-        self._named: set[ProcessId] = set()
+        self._limited: set[ProcessId] = set()
         self._hashes: dict[str, int] = {}
 
     def note_answer(
@@ -124,161 +127,162 @@
         sent: float,
         now: float,
     ) -> None:
-        """Take in what a server's answer says.
+        """Apply the limit in a server's response.
 
-        :param rate: requests a second that it names; ``None`` if it names none.
-        :param sent: monotonic seconds at which the request was sent; one that was on its
-            way before the limit was named does not end it.
+        :param rate: requests a second; ``None`` if the response has no limit.
+        :param sent: monotonic seconds at which the request was sent; a response without
+            a limit to a request sent before the limit was announced does not end it.
         """
-        known = self._limits.get(process)
-        if known is None:
+        limit = self._limits.get(process)
+        if limit is None:
             if rate is None:
                 return
-            known = self._add(process)
-        elif rate is None and (known.rate is None or sent < known.at):
+            limit = self._add(process)
+        elif rate is None and (limit.rate is None or sent < limit.at):
             return
-        known.server = server
-        self._set(process, known, rate, now, now)
-        known.telling.note_own(now)
-
-    def take(self, notes: LimitNotes, now: float) -> None:
-        """Take in what another daemon tells; the last that the server said holds."""
-        for process, note in notes.items():
-            known = self._limits.get(process)
-            at = now - note.age
-            if known is None:
-                known = self._add(process)
-            if at > known.at:
-                self._set(process, known, note.rate, at, now)
+        limit.server = server
+        self._set(process, limit, rate, now, now)
+        limit.broadcast.mark_local(now)
+
+    def take(self, reports: LimitNotes, now: float) -> None:
+        """Merge the reports of another daemon; the latest announcement wins."""
+        for process, report in reports.items():
+            limit = self._limits.get(process)
+            at = now - report.age
+            if limit is None:
+                limit = self._add(process)
+            if at > limit.at:
+                self._set(process, limit, report.rate, at, now)
 
     def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitNote]:
-        """Return what servers said to this daemon lately.
+        """Return reports on recent announcements, the latest first.
 
-        :param heard: whether also what they said to others.
+        :param heard: whether to include those received from other daemons.
         """
-        self._forget_old(now)
-        fresh = [
+        self._drop_expired(now)
+        due = [
             (process, limit)
             for process, limit in self._limits.items()
-            if limit.telling.is_due(now, heard=heard)
+            if limit.broadcast.is_due(now, include_received=heard)
         ]
-        fresh.sort(key=lambda row: row[1].at, reverse=True)
+        due.sort(key=lambda row: row[1].at, reverse=True)
         return {
             process: LimitNote(limit.rate, round(now - limit.at, 2))
-            for process, limit in fresh[:MOST_TOLD]
+            for process, limit in due[:MAX_REPORTS]
         }
 
     @property
     def are_named(self) -> bool:
-        """Tell whether there is a server that names a limit."""
-        return bool(self._named)
+        """Return whether any server has a limit."""
+        return bool(self._limited)
 
     def may_send(self, process: ProcessId) -> bool:
-        """Tell whether this daemon has a turn at a server."""
-        if process not in self._named:
+        """Return whether this daemon has a permit for a server."""
+        if process not in self._limited:
             return True
         limit = self._limits[process]
-        self._turn_slot(process, limit)
+        self._advance_slot(process, limit)
         return limit.count() > 0
 
     def note_sent(self, process: ProcessId) -> None:
-        """Use a turn."""
+        """Use a permit."""
         limit = self._limits.get(process)
         if limit is not None and limit.count() > 0:
-            limit.take()
+            limit.use_permit()
 
     def find_own_rate(self, process: ProcessId) -> float:
         """Return the requests a second that this daemon may send to a server."""
         limit = self._limits.get(process)
         if limit is None or limit.rate is None:
             return math.inf
-        return max(limit.rate, LEAST_RATE) / max(len(self._list_daemons()), 1)
+        return max(limit.rate, MIN_RATE) / max(len(self._list_daemons()), 1)
 
     def _add(self, process: ProcessId) -> _Limit:
-        if len(self._limits) >= MOST_KNOWN:
+        if len(self._limits) >= MAX_LIMITS:
             oldest = min(self._limits, key=lambda one: self._limits[one].at)
-            self._forget(oldest)
+            self._drop(oldest)
         added = _Limit(None, float('-inf'))
         self._limits[process] = added
         return added
 
-    def _forget_old(self, now: float) -> None:
-        """Drop servers that are gone, as far as can be told.
+    def _drop_expired(self, now: float) -> None:
+        """Drop limits that servers have not announced for a long time.
 
-        One that is listed no more may only have lost its entry while the store was away.
+        Unlisted servers are not dropped: an limit may only be missing from the list
+        because the store was unavailable.
         """
-        old = [
+        expired = [
             process
             for process, limit in self._limits.items()
-            if now - limit.at > KEPT_SECONDS
+            if now - limit.at > EXPIRY_SECONDS
         ]
-        for process in old:
-            self._forget(process)
+        for process in expired:
+            self._drop(process)
 
-    def _forget(self, process: ProcessId) -> None:
+    def _drop(self, process: ProcessId) -> None:
         del self._limits[process]
-        self._named.discard(process)
+        self._limited.discard(process)
 
     def _set(
         self,
         process: ProcessId,
-        known: _Limit,
+        limit: _Limit,
         rate: float | None,
         at: float,
         now: float,
     ) -> None:
-        changed = rate != known.rate
+        changed = rate != limit.rate
         if changed:
             logger.bind(
-                server=known.server, process=process, limit=rate, was=known.rate
+                server=limit.server, process=process, limit=rate, was=limit.rate
             ).info('server limit')
         if rate is None:
-            self._named.discard(process)
+            self._limited.discard(process)
         else:
-            self._named.add(process)
-        known.rate = rate
-        known.at = at
-        known.telling.changed_at = now
-        if changed and known.slot >= 0:
-            known.turns = self._count_turns(process, known, known.slot)
-            known.kept = min(known.kept, known.turns)
-
-    def _turn_slot(self, process: ProcessId, limit: _Limit) -> None:
-        slot = int(self._wall() // SLOT_SECONDS)
+            self._limited.add(process)
+        limit.rate = rate
+        limit.at = at
+        limit.broadcast.changed_at = now
+        if changed and limit.slot >= 0:
+            limit.permits = self._count_permits(process, limit, limit.slot)
+            limit.carried_over = min(limit.carried_over, limit.permits)
+
+    def _advance_slot(self, process: ProcessId, limit: _Limit) -> None:
+        slot = int(self._wall_clock() // SLOT_SECONDS)
         if slot == limit.slot:
             return
-        limit.kept = limit.left if slot == limit.slot + 1 else 0
+        limit.carried_over = limit.left if slot == limit.slot + 1 else 0
         limit.slot = slot
         limit.used = 0
-        limit.turns = self._count_turns(process, limit, slot)
+        limit.permits = self._count_permits(process, limit, slot)
 
-    def _count_turns(self, process: ProcessId, limit: _Limit, slot: int) -> int:
-        """Return how many of a slot's turns are this daemon's."""
-        rate = max(limit.rate or 0, LEAST_RATE) * SLOT_SECONDS
-        turns = math.floor((slot + 1) * rate) - math.floor(slot * rate)
-        if not turns:
+    def _count_permits(self, process: ProcessId, limit: _Limit, slot: int) -> int:
+        """Return how many of a slot's permits are this daemon's."""
+        rate = max(limit.rate or 0, MIN_RATE) * SLOT_SECONDS
+        permits = math.floor((slot + 1) * rate) - math.floor(slot * rate)
+        if not permits:
             return 0
         daemons = self._list_daemons()
-        each, rest = divmod(turns, max(len(daemons), 1))
+        each, remainder = divmod(permits, max(len(daemons), 1))
         key = hash_text(f'{process}/{slot}')
-        return each + (rest > 0 and self._find_place(daemons, key) < rest)
+        return each + (remainder > 0 and self._rank_daemon(daemons, key) < remainder)
 
-    def _find_place(self, daemons: Sequence[str], key: int) -> int:
-        """Return how many daemons come before this one in a slot."""
-        own = _mix(self._find_hash(self._own), key)
+    def _rank_daemon(self, daemons: Sequence[str], key: int) -> int:
+        """Return how many daemons rank before this one in a slot."""
+        local_hash = _mix(self._hash_daemon(self._daemon_id), key)
         return sum(
-            _mix(self._find_hash(daemon), key) < own
+            _mix(self._hash_daemon(daemon), key) < local_hash
             for daemon in daemons
-            if daemon != self._own
+            if daemon != self._daemon_id
         )
 
-    def _find_hash(self, daemon: str) -> int:
-        found = self._hashes.get(daemon)
-        if found is None:
-            found = hash_text(daemon)
-            self._hashes[daemon] = found
-        return found
+    def _hash_daemon(self, daemon: str) -> int:
+        daemon_hash = self._hashes.get(daemon)
+        if daemon_hash is None:
+            daemon_hash = hash_text(daemon)
+            self._hashes[daemon] = daemon_hash
+        return daemon_hash
 
 
-def _mix(daemon: int, key: int) -> int:
-    return (daemon ^ key) * MULTIPLIER & MASK
+def _mix(daemon_hash: int, key: int) -> int:
+    return (daemon_hash ^ key) * MULTIPLIER & MASK
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of the evidence on requests that end servers, and of who is held back."""
+"""Tests of crash records and of the quarantine of requests that crash servers."""
 
 import random
 
@@ -7,12 +7,12 @@
 
 from fireflyhitch_model.identity import identify_content, identify_process
 from fireflyhitch_model.ids import BackendServerId, ContentId, CustomerId, ProcessId
-from fireflyhitch_routing.broadcast_window import TELL_SECONDS
+from fireflyhitch_routing.broadcast_window import BROADCAST_SECONDS
 from fireflyhitch_routing.crashes import (
-    ANSWERED_SECONDS,
-    MOST_ENDS,
-    MOST_SUSPECTS,
-    MOST_TOLD,
+    EXONERATION_SECONDS,
+    MAX_CRASHES,
+    MAX_REPORTS,
+    MAX_SUSPECTS,
     CrashBook,
     ServerEnd,
     count_rounds,
@@ -25,45 +25,45 @@
 
 
 class Fleet:
-    """Daemons that see servers end, and tell each other."""
+    """Daemons that record crashes and exchange reports."""
 
     def __init__(self, count: int = 1) -> None:
-        self.books = [CrashBook() for _ in range(count)]
-        self.quarantines = [Quarantine(book) for book in self.books]
+        self.trackers = [CrashBook() for _ in range(count)]
+        self.quarantines = [Quarantine(tracker) for tracker in self.trackers]
         self.now = 100.0
-        self.ended = 0
+        self.crashed = 0
 
-    def end_server(self, at: int, *contents: ContentId, ran: float = 0.1) -> None:
-        """Have a server end under requests of one daemon, and time go on."""
-        self.ended += 1
-        process = ProcessId(self.ended)
+    def crash_server(self, at: int, *contents: ContentId, ran: float = 0.1) -> None:
+        """Crash a server during requests of one daemon, and advance the time."""
+        self.crashed += 1
+        process = ProcessId(self.crashed)
         for content in contents:
-            end = ServerEnd(self.now, self.now - ran)
-            self.books[at].note_end(content, process, end, self.now)
+            crash = ServerEnd(self.now, self.now - ran)
+            self.trackers[at].note_end(content, process, crash, self.now)
         self.now += 1
-        self.tell()
-
-    def tell(self) -> None:
-        """Have each tell all others, and judge when all has settled."""
-        for teller in self.books:
-            told = teller.tell(self.now, heard=False)
-            for book in self.books:
-                if book is not teller:
-                    book.take(told, self.now)
+        self.exchange()
+
+    def exchange(self) -> None:
+        """Let each daemon report to all others, then review the holds."""
+        for sender in self.trackers:
+            reports = sender.tell(self.now, heard=False)
+            for tracker in self.trackers:
+                if tracker is not sender:
+                    tracker.take(reports, self.now)
         for quarantine in self.quarantines:
             quarantine.review(self.now, 0)
 
     def count_holding(self, content: ContentId) -> int:
-        """Return how many daemons hold a request back."""
-        waits = (found.find_wait(content, self.now) for found in self.quarantines)
+        """Return how many daemons hold a request."""
+        waits = (one.find_wait(content, self.now) for one in self.quarantines)
         return sum(wait is not None for wait in waits)
 
 
 class TestContent:
-    def test_tries_of_one_request_are_one_content(self) -> None:
+    def test_retries_have_the_same_content_id(self) -> None:
         baker, miller = CustomerId('baker'), CustomerId('miller')
-        asked = identify_content(baker, 'POST', '/a/?x=1', b'body')
-        assert asked == identify_content(baker, 'POST', '/a/?x=1', b'body')
+        content = identify_content(baker, 'POST', '/a/?x=1', b'body')
+        assert content == identify_content(baker, 'POST', '/a/?x=1', b'body')
         others = {
             identify_content(miller, 'POST', '/a/?x=1', b'body'),
             identify_content(None, 'POST', '/a/?x=1', b'body'),
@@ -73,185 +73,185 @@
             identify_content(baker, 'POST', '/a/?x=1b', b'ody'),
         }
         assert len(others) == 6
-        assert asked not in others
+        assert content not in others
 
 
-class TestHolding:
-    def test_ends_that_different_daemons_saw_count_together(self) -> None:
+class TestQuarantine:
+    def test_crashes_seen_by_different_daemons_are_added_up(self) -> None:
         fleet = Fleet(3)
-        fleet.end_server(0, CRASHING)
-        fleet.end_server(1, CRASHING)
+        fleet.crash_server(0, CRASHING)
+        fleet.crash_server(1, CRASHING)
         assert not fleet.count_holding(CRASHING)
-        fleet.end_server(2, CRASHING)
+        fleet.crash_server(2, CRASHING)
         assert fleet.count_holding(CRASHING) == 3
 
-    def test_a_victim_beside_it_is_not_held(self) -> None:
-        # A caller's next tries meet servers that the other request ends as well.
+    def test_a_harmless_concurrent_request_is_not_held(self) -> None:
+        # The caller's retries reach servers that the other request crashes too.
         fleet = Fleet(2)
-        fleet.end_server(0, CRASHING)
-        fleet.end_server(1, CRASHING, HARMLESS)
-        fleet.end_server(0, CRASHING, HARMLESS)
-        fleet.end_server(1, HARMLESS)
+        fleet.crash_server(0, CRASHING)
+        fleet.crash_server(1, CRASHING, HARMLESS)
+        fleet.crash_server(0, CRASHING, HARMLESS)
+        fleet.crash_server(1, HARMLESS)
         assert fleet.count_holding(CRASHING) == 2
         assert not fleet.count_holding(HARMLESS)
 
-    def test_of_two_that_are_always_together_the_one_that_goes_on_is_held(
+    def test_of_two_concurrent_requests_the_one_that_crashes_again_is_held(
         self,
     ) -> None:
         fleet = Fleet()
         for _ in range(3):
-            fleet.end_server(0, CRASHING, HARMLESS)
+            fleet.crash_server(0, CRASHING, HARMLESS)
         assert not fleet.count_holding(CRASHING)
-        fleet.end_server(0, CRASHING)
+        fleet.crash_server(0, CRASHING)
         assert fleet.count_holding(CRASHING)
         assert not fleet.count_holding(HARMLESS)
 
-    def test_a_popular_request_is_not_held_for_the_ends_of_others(self) -> None:
-        # It is at each server that another request ends, and is answered elsewhere.
+    def test_a_popular_request_is_not_held_for_crashes_of_others(self) -> None:
+        # It runs on each server that another request crashes, and completes elsewhere.
         fleet = Fleet(5)
-        for turn in range(40):
-            fleet.books[turn % 5].note_answer(HARMLESS, fleet.now)
-            fleet.end_server((turn + 1) % 5, HARMLESS, ContentId(f'other-{turn}'))
+        for step in range(40):
+            fleet.trackers[step % 5].note_answer(HARMLESS, fleet.now)
+            fleet.crash_server((step + 1) % 5, HARMLESS, ContentId(f'other-{step}'))
             assert not fleet.count_holding(HARMLESS)
 
-    def test_an_answer_before_the_first_end_speaks_for_it(self) -> None:
+    def test_a_response_before_the_first_crash_exonerates_a_request(self) -> None:
         fleet = Fleet(2)
-        fleet.books[1].note_answer(HARMLESS, fleet.now)
+        fleet.trackers[1].note_answer(HARMLESS, fleet.now)
         for _ in range(4):
-            fleet.end_server(0, HARMLESS)
+            fleet.crash_server(0, HARMLESS)
         assert not fleet.count_holding(HARMLESS)
 
-    def test_ends_of_long_ago_leave_room_for_those_of_now(self) -> None:
+    def test_old_crashes_are_replaced_by_recent_ones(self) -> None:
         fleet = Fleet()
-        for _ in range(2 * MOST_ENDS):
-            fleet.end_server(0, CRASHING)
-        fleet.books[0].note_answer(CRASHING, fleet.now)
+        for _ in range(2 * MAX_CRASHES):
+            fleet.crash_server(0, CRASHING)
+        fleet.trackers[0].note_answer(CRASHING, fleet.now)
         fleet.now += 2 * HOLD_SECONDS
-        fleet.tell()
+        fleet.exchange()
         assert not fleet.count_holding(CRASHING)
         for _ in range(3):
-            fleet.end_server(0, CRASHING)
+            fleet.crash_server(0, CRASHING)
         assert fleet.count_holding(CRASHING)
 
-    def test_what_was_answered_long_ago_may_end_servers_now(self) -> None:
+    def test_an_old_response_does_not_exonerate_a_request(self) -> None:
         fleet = Fleet()
-        fleet.books[0].note_answer(CRASHING, fleet.now)
-        fleet.now += ANSWERED_SECONDS + 1
+        fleet.trackers[0].note_answer(CRASHING, fleet.now)
+        fleet.now += EXONERATION_SECONDS + 1
         for _ in range(3):
-            fleet.end_server(0, CRASHING)
+            fleet.crash_server(0, CRASHING)
         assert fleet.count_holding(CRASHING)
 
-    def test_servers_that_end_in_one_moment_do_not_count_as_many(self) -> None:
-        # A failure domain loses power while a request is at five of its servers.
+    def test_simultaneous_crashes_count_as_one(self) -> None:
+        # A failure domain loses power while a request runs on five of its servers.
         fleet = Fleet()
         for number in range(5):
-            end = ServerEnd(fleet.now, fleet.now - 0.3)
-            fleet.books[0].note_end(HARMLESS, ProcessId(number), end, fleet.now)
-        fleet.tell()
+            crash = ServerEnd(fleet.now, fleet.now - 0.3)
+            fleet.trackers[0].note_end(HARMLESS, ProcessId(number), crash, fleet.now)
+        fleet.exchange()
         assert not fleet.count_holding(HARMLESS)
 
-    def test_it_waits_for_those_who_may_have_answered_it(self) -> None:
+    def test_a_hold_waits_for_reports_of_responses(self) -> None:
         fleet = Fleet()
         for _ in range(2):
-            fleet.end_server(0, CRASHING)
-        end = ServerEnd(fleet.now, fleet.now - 0.1)
-        fleet.books[0].note_end(CRASHING, ProcessId(9), end, fleet.now)
+            fleet.crash_server(0, CRASHING)
+        crash = ServerEnd(fleet.now, fleet.now - 0.1)
+        fleet.trackers[0].note_end(CRASHING, ProcessId(9), crash, fleet.now)
         quarantine = fleet.quarantines[0]
         quarantine.review(fleet.now, SETTLED)
         assert quarantine.find_wait(CRASHING, fleet.now) is None
         quarantine.review(fleet.now + SETTLED, SETTLED)
         assert quarantine.find_wait(CRASHING, fleet.now) is not None
 
-    def test_an_answer_that_was_under_way_releases_it(self) -> None:
+    def test_a_late_response_releases_a_hold(self) -> None:
         fleet = Fleet(2)
         for _ in range(3):
-            fleet.end_server(0, HARMLESS)
+            fleet.crash_server(0, HARMLESS)
         assert fleet.count_holding(HARMLESS) == 2
-        fleet.books[1].note_answer(HARMLESS, fleet.now)
-        fleet.tell()
+        fleet.trackers[1].note_answer(HARMLESS, fleet.now)
+        fleet.exchange()
         assert not fleet.count_holding(HARMLESS)
 
-    def test_a_hold_ends_by_itself(self) -> None:
+    def test_a_hold_expires(self) -> None:
         fleet = Fleet()
         for _ in range(3):
-            fleet.end_server(0, CRASHING)
+            fleet.crash_server(0, CRASHING)
         fleet.now += HOLD_SECONDS
-        fleet.tell()
+        fleet.exchange()
         assert not fleet.count_holding(CRASHING)
         assert not fleet.quarantines[0].held()
 
-    def test_a_hold_that_the_store_tells_counts_at_once(self) -> None:
+    def test_a_hold_from_the_store_takes_effect_at_once(self) -> None:
         fleet = Fleet()
         hold = Hold(fleet.now + 10, frozenset((ProcessId(1),)))
         fleet.quarantines[0].take_hold(CRASHING, hold)
         assert fleet.quarantines[0].find_wait(CRASHING, fleet.now) == 10
 
 
-class TestTelling:
-    def test_a_daemon_that_started_anew_learns_what_others_know_with_the_next_end(
-        self,
-    ) -> None:
+class TestReports:
+    def test_a_restarted_daemon_receives_older_crashes_with_the_next_one(self) -> None:
         fleet = Fleet(2)
-        fleet.end_server(0, CRASHING)
-        fleet.end_server(0, CRASHING)
-        fleet.now += 10 * TELL_SECONDS
-        fleet.books[1] = CrashBook()
-        fleet.quarantines[1] = Quarantine(fleet.books[1])
-        fleet.end_server(1, CRASHING)
-        fleet.tell()
+        fleet.crash_server(0, CRASHING)
+        fleet.crash_server(0, CRASHING)
+        fleet.now += 10 * BROADCAST_SECONDS
+        fleet.trackers[1] = CrashBook()
+        fleet.quarantines[1] = Quarantine(fleet.trackers[1])
+        fleet.crash_server(1, CRASHING)
+        fleet.exchange()
         assert fleet.count_holding(CRASHING) == 2
 
     @given(st.randoms(use_true_random=False), st.integers(2, 6))
-    def test_order_and_repeats_of_what_is_told_do_not_matter(
-        self, draw: random.Random, count: int
+    def test_order_and_repetition_of_reports_do_not_matter(
+        self, rng: random.Random, count: int
     ) -> None:
-        tellers = [CrashBook() for _ in range(3)]
+        senders = [CrashBook() for _ in range(3)]
         for number in range(count):
-            end = ServerEnd(number / 10, number / 10 - 0.05)
-            draw.choice(tellers).note_end(CRASHING, ProcessId(number), end, end.at)
-        told = [teller.tell(1, heard=False) for teller in (*tellers, *tellers)]
-        draw.shuffle(told)
-        book = CrashBook()
-        for notes in told:
-            book.take(notes, 1)
-        suspect = book.find(CRASHING)
+            crash = ServerEnd(number / 10, number / 10 - 0.05)
+            rng.choice(senders).note_end(CRASHING, ProcessId(number), crash, crash.at)
+        received = [sender.tell(1, heard=False) for sender in (*senders, *senders)]
+        rng.shuffle(received)
+        tracker = CrashBook()
+        for reports in received:
+            tracker.take(reports, 1)
+        suspect = tracker.find(CRASHING)
         assert suspect is not None
         assert suspect.ends.keys() == set(range(count))
 
-    def test_an_end_that_was_found_late_is_told_all_the_same(self) -> None:
-        # A server whose whole instance is gone is silent until it is listed no more.
-        teller, other = CrashBook(), CrashBook()
-        end = ServerEnd(10, 9.9)
-        teller.note_end(CRASHING, ProcessId(1), end, 10 + 3 * TELL_SECONDS)
-        other.take(teller.tell(10 + 3 * TELL_SECONDS, heard=False), 20)
+    def test_a_crash_that_is_detected_late_is_reported(self) -> None:
+        # A server on a lost instance is only unresponsive until it is no longer listed.
+        sender, other = CrashBook(), CrashBook()
+        crash = ServerEnd(10, 9.9)
+        sender.note_end(CRASHING, ProcessId(1), crash, 10 + 3 * BROADCAST_SECONDS)
+        other.take(sender.tell(10 + 3 * BROADCAST_SECONDS, heard=False), 20)
         assert other.find(CRASHING) is not None
 
-    def test_what_is_told_falls_silent(self) -> None:
+    def test_reports_end_when_nothing_changes(self) -> None:
         fleet = Fleet(8)
-        fleet.end_server(0, CRASHING)
-        fleet.end_server(1, CRASHING)
+        fleet.crash_server(0, CRASHING)
+        fleet.crash_server(1, CRASHING)
         for _ in range(10):
-            fleet.now += TELL_SECONDS
-            fleet.tell()
-        assert not any(book.tell(fleet.now, heard=True) for book in fleet.books)
+            fleet.now += BROADCAST_SECONDS
+            fleet.exchange()
+        assert not any(
+            tracker.tell(fleet.now, heard=True) for tracker in fleet.trackers
+        )
 
-    def test_messages_and_memory_stay_bounded_when_thousands_of_servers_end(
+    def test_messages_and_memory_stay_bounded_with_thousands_of_crashes(
         self,
     ) -> None:
         fleet = Fleet()
-        for number in range(2 * MOST_SUSPECTS):
-            end = ServerEnd(fleet.now, fleet.now - 1)
+        for number in range(2 * MAX_SUSPECTS):
+            crash = ServerEnd(fleet.now, fleet.now - 1)
             content = ContentId(f'r{number}')
-            fleet.books[0].note_end(content, ProcessId(number), end, fleet.now)
-        assert len(fleet.books[0].all()) == MOST_SUSPECTS
-        assert len(fleet.books[0].tell(fleet.now, heard=True)) == MOST_TOLD
+            fleet.trackers[0].note_end(content, ProcessId(number), crash, fleet.now)
+        assert len(fleet.trackers[0].all()) == MAX_SUSPECTS
+        assert len(fleet.trackers[0].tell(fleet.now, heard=True)) == MAX_REPORTS
 
 
 class TestRounds:
-    def test_a_run_that_began_before_the_last_end_is_of_the_same_round(self) -> None:
+    def test_a_run_that_began_before_the_last_crash_is_in_the_same_round(self) -> None:
         ends = [ServerEnd(1, 0), ServerEnd(1.2, 0.9), ServerEnd(3, 2)]
         assert count_rounds(ends) == 2
 
-    def test_two_starts_of_one_server_are_two_processes(self) -> None:
+    def test_each_start_of_a_server_is_a_new_process(self) -> None:
         server = BackendServerId('i-1')
         assert identify_process(server, 1) != identify_process(server, 2)
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -1,192 +1,195 @@
-"""Tests of limits that servers name, kept by many daemons together."""
+"""Tests of rate limits announced by servers and enforced by many daemons."""
 
 import random
 
 import pytest
 
 from fireflyhitch_model.ids import BackendServerId, ProcessId
-from fireflyhitch_routing.broadcast_window import TELL_SECONDS
+from fireflyhitch_routing.broadcast_window import BROADCAST_SECONDS
 from fireflyhitch_routing.server_limits import (
-    KEPT_SECONDS,
-    MOST_KNOWN,
-    MOST_TOLD,
+    EXPIRY_SECONDS,
+    MAX_LIMITS,
+    MAX_REPORTS,
     ServerLimits,
 )
 from fireflyhitch_standins.arrivals import count_most
 
 SERVER = BackendServerId('i-1')
 PROCESS = ProcessId(71)
-# What the platform allows in any four seconds.
+# The platform checks the limit over windows of four seconds.
 WINDOW_SECONDS = 4.0
-OVER = 1.5
-MOST_ON_TOP = 5
-# Daemons agree on the time of day to some hundredths of a second.
-MOST_AHEAD_SECONDS = 0.05
+TOLERANCE_FACTOR = 1.5
+MAX_EXTRA = 5
+# The daemons' wall clocks agree to some hundredths of a second.
+MAX_CLOCK_SKEW_SECONDS = 0.05
 STEP_SECONDS = 0.02
 
 
 class Fleet:
-    """Daemons that know a server's limit and ask as often as they may."""
+    """Daemons that received a server's limit and send as often as it allows."""
 
     def __init__(self, count: int, rate: float, seed: int = 1) -> None:
         self.now = 1_700_000_000.0
         self.names = [f'gent-{number}' for number in range(count)]
-        self.draw = random.Random(seed)  # noqa: S311
+        self.rng = random.Random(seed)  # noqa: S311
         self.rate = rate
         self.sent: list[float] = []
         self.limits = [self.make(name) for name in self.names]
 
     def make(self, name: str, known: list[str] | None = None) -> ServerLimits:
-        """Return a daemon's limits.
+        """Return the limits of a daemon.
 
-        :param known: the daemons that it knows, if not all.
+        :param known: the daemons on its list, if not all.
         """
         listed = known or self.names
-        ahead = self.draw.uniform(-1, 1) * MOST_AHEAD_SECONDS
-        limits = ServerLimits(name, lambda: listed, lambda: self.now + ahead)
+        skew = self.rng.uniform(-1, 1) * MAX_CLOCK_SKEW_SECONDS
+        limits = ServerLimits(name, lambda: listed, lambda: self.now + skew)
         limits.note_answer(PROCESS, SERVER, self.rate, self.now, self.now)
         return limits
 
-    def ask(self, limits: ServerLimits) -> None:
-        """Have one daemon send, if it may."""
+    def send_if_allowed(self, limits: ServerLimits) -> None:
+        """Send a request from one daemon if it has a permit."""
         if limits.may_send(PROCESS):
             limits.note_sent(PROCESS)
             self.sent.append(self.now)
 
     def run(self, seconds: float, demand: float) -> None:
-        """Have all ask for some seconds.
+        """Let all daemons send for some seconds.
 
-        :param demand: requests a second that each daemon has.
+        :param demand: requests a second at each daemon.
         """
         end = self.now + seconds
         while self.now < end:
             for limits in self.limits:
-                if self.draw.random() < demand * STEP_SECONDS:
-                    self.ask(limits)
+                if self.rng.random() < demand * STEP_SECONDS:
+                    self.send_if_allowed(limits)
             self.now += STEP_SECONDS
 
     def count_most(self) -> int:
-        """Return the most that the server got in four seconds."""
+        """Return the most requests that the server received in four seconds."""
         return count_most(self.sent, WINDOW_SECONDS)
 
-    def find_allowed(self) -> float:
-        """Return what the platform allows."""
-        return OVER * WINDOW_SECONDS * self.rate + MOST_ON_TOP
+    def max_allowed(self) -> float:
+        """Return the most requests that the platform allows in four seconds."""
+        return TOLERANCE_FACTOR * WINDOW_SECONDS * self.rate + MAX_EXTRA
 
 
-class TestSumOfAll:
+class TestTotalRate:
     @pytest.mark.parametrize('count', [1, 5, 33, 195, 791])
     @pytest.mark.parametrize('rate', [0.3, 1.0, 7.5, 40.0])
-    def test_all_daemons_together_keep_to_it(self, count: int, rate: float) -> None:
+    def test_all_daemons_together_stay_within_the_limit(
+        self, count: int, rate: float
+    ) -> None:
         fleet = Fleet(count, rate)
         fleet.run(12, demand=20)
-        assert fleet.count_most() <= fleet.find_allowed()
+        assert fleet.count_most() <= fleet.max_allowed()
 
     @pytest.mark.parametrize('count', [5, 33, 195])
     @pytest.mark.parametrize('rate', [1.0, 7.5])
-    def test_what_a_server_allows_is_used(self, count: int, rate: float) -> None:
+    def test_most_of_the_limit_is_used(self, count: int, rate: float) -> None:
         fleet = Fleet(count, rate)
         fleet.run(20, demand=3)
         assert len(fleet.sent) >= 0.9 * rate * 20
 
-    def test_a_limit_that_is_another_with_each_answer_is_kept(self) -> None:
+    def test_a_limit_that_changes_with_each_response_holds(self) -> None:
         fleet = Fleet(5, 1.0)
         for _ in range(600):
             fleet.run(STEP_SECONDS, demand=50)
-            named = fleet.draw.uniform(0.8, 1.0)
+            limit = fleet.rng.uniform(0.8, 1.0)
             for limits in fleet.limits:
-                limits.note_answer(PROCESS, SERVER, named, fleet.now, fleet.now)
-        assert fleet.count_most() <= fleet.find_allowed()
+                limits.note_answer(PROCESS, SERVER, limit, fleet.now, fleet.now)
+        assert fleet.count_most() <= fleet.max_allowed()
 
-    def test_a_surge_after_quiet_seconds_keeps_to_it(self) -> None:
-        # Turns that nobody used must not pile up.
+    def test_a_surge_after_idle_seconds_stays_within_the_limit(self) -> None:
+        # Unused permits must not accumulate.
         for seed in range(20):
             fleet = Fleet(7, 1.0, seed)
             fleet.run(10, demand=0)
             fleet.run(8, demand=50)
-            assert fleet.count_most() <= fleet.find_allowed()
+            assert fleet.count_most() <= fleet.max_allowed()
 
-    def test_daemons_that_disagree_on_who_there_is_keep_to_it(self) -> None:
-        # One in seven is listed by half of them only, as while changes spread.
+    def test_daemons_with_different_daemon_lists_stay_within_the_limit(self) -> None:
+        # One daemon in seven is on the list of only half of them, as while a change is
+        # being broadcast.
         for seed in range(20):
             fleet = Fleet(21, 3.0, seed)
             fewer = fleet.names[:18]
             for place in range(0, 18, 2):
                 fleet.limits[place] = fleet.make(fleet.names[place], fewer)
             fleet.run(12, demand=20)
-            assert fleet.count_most() <= fleet.find_allowed()
+            assert fleet.count_most() <= fleet.max_allowed()
 
-    def test_turns_go_to_all_daemons_alike(self) -> None:
+    def test_permits_are_distributed_evenly(self) -> None:
         fleet = Fleet(10, 1.0)
         fleet.now += 0.5
-        turns = [0 for _ in fleet.names]
+        permits = [0 for _ in fleet.names]
         for _ in range(2000):
             for place, limits in enumerate(fleet.limits):
                 if limits.may_send(PROCESS):
                     limits.note_sent(PROCESS)
-                    turns[place] += 1
+                    permits[place] += 1
             fleet.now += 1
-        assert sum(turns) == 2000
-        assert min(turns) > 130
+        assert sum(permits) == 2000
+        assert min(permits) > 130
 
 
-class TestWhatServersName:
-    def test_a_server_that_names_none_may_be_asked(self) -> None:
+class TestAnnouncedLimits:
+    def test_a_server_without_a_limit_may_be_used(self) -> None:
         limits = ServerLimits('a', lambda: ['a', 'b'], float)
         limits.note_answer(PROCESS, SERVER, None, 0, 0)
         assert not limits.are_named
         assert limits.may_send(PROCESS)
 
-    def test_an_answer_without_it_ends_a_limit(self) -> None:
+    def test_a_response_without_a_limit_ends_it(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
         limits.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
         assert limits.may_send(PROCESS)
         assert limits.find_own_rate(PROCESS) == float('inf')
 
-    def test_an_answer_to_a_request_sent_before_does_not_end_it(self) -> None:
+    def test_a_response_to_an_earlier_request_does_not_end_the_limit(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
         limits.note_answer(PROCESS, SERVER, None, fleet.now - 1, fleet.now + 2)
         assert limits.find_own_rate(PROCESS) < 1
 
-    def test_a_server_that_takes_nothing_is_asked_now_and_again(self) -> None:
+    def test_a_server_with_a_limit_of_0_is_probed(self) -> None:
         fleet = Fleet(1, 0.0)
         fleet.run(60, demand=50)
         assert 1 <= len(fleet.sent) <= 10
 
-    def test_what_it_says_last_holds_in_whatever_order_it_is_told(self) -> None:
-        teller = ServerLimits('a', lambda: ['a', 'b'], float)
-        teller.note_answer(PROCESS, SERVER, 2.0, 0, 0)
-        early = teller.tell(0.1, heard=False)
-        teller.note_answer(PROCESS, SERVER, None, 1, 1)
-        late = teller.tell(1.1, heard=False)
-        for notes in ((early, late), (late, early)):
+    def test_the_latest_announcement_wins_in_any_order_of_reports(self) -> None:
+        sender = ServerLimits('a', lambda: ['a', 'b'], float)
+        sender.note_answer(PROCESS, SERVER, 2.0, 0, 0)
+        early = sender.tell(0.1, heard=False)
+        sender.note_answer(PROCESS, SERVER, None, 1, 1)
+        late = sender.tell(1.1, heard=False)
+        for reports in ((early, late), (late, early)):
             other = ServerLimits('b', lambda: ['a', 'b'], float)
-            for told, at in zip(notes, (1.1, 1.1), strict=True):
-                age = 1.0 if told is early else 0
+            for report, at in zip(reports, (1.1, 1.1), strict=True):
+                age = 1.0 if report is early else 0
                 other.take(
                     {
-                        key: note._replace(age=note.age + age)
-                        for key, note in told.items()
+                        key: limit._replace(age=limit.age + age)
+                        for key, limit in report.items()
                     },
                     at,
                 )
             assert other.find_own_rate(PROCESS) == float('inf')
 
-    def test_where_none_names_one_any_more_requests_cost_no_look(self) -> None:
+    def test_requests_skip_the_check_once_all_limits_have_ended(self) -> None:
         fleet = Fleet(2, 1.0)
-        ended, gone = fleet.limits
+        ended, expired = fleet.limits
         ended.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
         assert not ended.are_named
-        assert gone.are_named
-        gone.tell(fleet.now + 2 * KEPT_SECONDS, heard=False)
-        assert not gone.are_named
+        assert expired.are_named
+        expired.tell(fleet.now + 2 * EXPIRY_SECONDS, heard=False)
+        assert not expired.are_named
 
-    def test_it_is_told_for_a_while_and_stays_bounded(self) -> None:
+    def test_broadcasts_end_and_stay_bounded(self) -> None:
         limits = ServerLimits('a', lambda: ['a'], float)
-        for number in range(MOST_KNOWN + 10):
+        for number in range(MAX_LIMITS + 10):
             limits.note_answer(ProcessId(number), SERVER, 1.0, number, number / 1000)
-        now = MOST_KNOWN / 1000
-        assert len(limits.tell(now, heard=True)) == MOST_TOLD
-        assert not limits.tell(now + 2 * TELL_SECONDS, heard=True)
+        now = MAX_LIMITS / 1000
+        assert len(limits.tell(now, heard=True)) == MAX_REPORTS
+        assert not limits.tell(now + 2 * BROADCAST_SECONDS, heard=True)
