--- a/libs/routing/fireflyhitch_routing/admission.py
+++ b/libs/routing/fireflyhitch_routing/admission.py
@@ -1,4 +1,4 @@
-"""Customers' limits at one daemon: rates in requests and tokens, concurrency."""
+"""Enforces customers' limits at one daemon: request rate, token rate, concurrency."""
 
 import math
 import threading
@@ -17,18 +17,18 @@
 from fireflyhitch_routing.shares import INTERVAL_SECONDS, DemandReport, DemandShares
 from fireflyhitch_settings.schema import Configuration, CustomerLimits
 
-# How many seconds of its rate a customer may save up for a burst.
+# A customer may burst up to this many seconds of its rate.
 BURST_SECONDS = 2.0
 DEMAND_WEIGHT = 0.3
-LEAST_DEMAND = 0.0001
-LEAST_RETRY_SECONDS = 1.0
+MIN_DEMAND = 0.0001
+MIN_RETRY_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class Permit:
-    """Leave to run one call; give it back once with its true use.
+    """Permission to run one call; release it exactly once with the actual use.
 
-    :param tokens: what was reserved: the prompt and the longest answer.
+    :param tokens: reserved tokens: the prompt and the longest possible answer.
     """
 
     customer: CustomerId
@@ -42,8 +42,8 @@
     requests: TokenBucket
     tokens: TokenBucket
     running: int = 0
-    asked_requests: int = 0
-    asked_tokens: int = 0
+    offered_requests: int = 0
+    offered_tokens: int = 0
     demand: float = 0
 
 
@@ -63,12 +63,12 @@
         self._accounts: dict[CustomerId, _Account] = {}
         self._shares = DemandShares()
         self._updated = clock.monotonic()
-        messenger.handle(DemandReport, self._hear)
+        messenger.handle(DemandReport, self._apply_report)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the limits from the configuration in force.
+        """Apply the limits of the configuration in force.
 
-        Work under way of a customer that is gone ends normally.
+        Calls in flight of a removed customer complete normally.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -80,45 +80,45 @@
                 account.limits = customer.limits
                 self._set_rates(customer.customer_id, account, now)
             current = {one.customer_id for one in configuration.customers}
-            for gone in self._accounts.keys() - current:
-                self._accounts.pop(gone)
+            for removed in self._accounts.keys() - current:
+                self._accounts.pop(removed)
 
     def admit(self, call: Call) -> Permit:
-        """Admit a call, or tell when to come back.
+        """Admit a call or refuse it.
 
         :raises RequestError: status 429 with outcome ``not-run`` above the
-            customer's limits, with the time until they allow the call.
+            customer's limits, with the time after which to retry.
         """
         now = self._clock.monotonic()
         reserved = call.prompt_tokens + call.max_tokens
         with self._lock:
             account = self._accounts.get(call.customer)
             if account is None:
-                raise _refuse('unknown customer', 'unknown_customer', None)
-            account.asked_requests += 1
-            account.asked_tokens += reserved
+                raise _make_error('unknown customer', 'unknown_customer', None)
+            account.offered_requests += 1
+            account.offered_tokens += reserved
             wait = max(
                 account.requests.seconds_until(1, now),
                 account.tokens.seconds_until(reserved, now),
             )
             if wait > 0:
-                raise _refuse('rate limit reached', 'rate_limit_exceeded', wait)
-            if account.running >= self._most_running(call.customer, account):
-                raise _refuse(
-                    'too many requests at once',
+                raise _make_error('rate limit reached', 'rate_limit_exceeded', wait)
+            if account.running >= self._max_running(call.customer, account):
+                raise _make_error(
+                    'too many concurrent requests',
                     'concurrency_limit_exceeded',
-                    LEAST_RETRY_SECONDS,
+                    MIN_RETRY_SECONDS,
                 )
-            account.requests.take(1, now)
-            account.tokens.take(reserved, now)
+            account.requests.consume(1, now)
+            account.tokens.consume(reserved, now)
             account.running += 1
             return Permit(call.customer, reserved)
 
     def release(self, permit: Permit, used_tokens: int) -> None:
-        """Give back a permit; call it exactly once, whatever became of the call.
+        """Release a permit; call this exactly once, however the call ended.
 
-        :param used_tokens: tokens of prompt and answer; the rest of what was
-            reserved is given back to the customer.
+        :param used_tokens: tokens of prompt and answer; the rest of the reserved
+            tokens is returned to the customer.
         """
         now = self._clock.monotonic()
         invariant(not permit.released, Invariant.COUNT_BALANCES, step=Step.ADMIT)
@@ -127,12 +127,13 @@
             account = self._accounts.get(permit.customer)
             if account is None:
                 return
-            # An account opened anew under work in progress starts from zero.
+            # An account that was removed and opened again starts from zero although calls
+            # of the old one are still in flight.
             account.running = max(0, account.running - 1)
-            account.tokens.take(used_tokens - permit.tokens, now)
+            account.tokens.consume(used_tokens - permit.tokens, now)
 
     def exchange(self) -> None:
-        """Tell peers of the demand here and follow theirs; call it every second."""
+        """Broadcast local demand and update the shares; call this every second."""
         now = self._clock.monotonic()
         peers = [
             peer.daemon_id
@@ -145,24 +146,24 @@
             demands = {
                 customer: demand
                 for customer, account in self._accounts.items()
-                if (demand := _measure_demand(account, elapsed)) > LEAST_DEMAND
+                if (demand := _measure_demand(account, elapsed)) > MIN_DEMAND
             }
-            self._shares.expect(peers, now)
+            self._shares.update_peers(peers, now)
             self._shares.update(demands, now)
             for customer, account in self._accounts.items():
                 self._set_rates(customer, account, now)
         self._messenger.spread(DemandReport(demands=demands), Scope.EVERYWHERE)
 
-    def _hear(self, peer: DaemonId, report: DemandReport) -> None:
+    def _apply_report(self, peer: DaemonId, report: DemandReport) -> None:
         with self._lock:
-            self._shares.hear(peer, report, self._clock.monotonic())
+            self._shares.apply_report(peer, report, self._clock.monotonic())
 
     def _set_rates(self, customer: CustomerId, account: _Account, now: float) -> None:
         share = self._shares.share(customer)
         account.requests.set_rate(account.limits.requests_per_second * share, now)
         account.tokens.set_rate(account.limits.tokens_per_second * share, now)
 
-    def _most_running(self, customer: CustomerId, account: _Account) -> int:
+    def _max_running(self, customer: CustomerId, account: _Account) -> int:
         share = self._shares.share(customer)
         return math.ceil(account.limits.concurrent_requests * share)
 
@@ -176,26 +177,26 @@
 
 
 def _measure_demand(account: _Account, elapsed: float) -> float:
-    """Return the average part of the limit asked for, by the scarcest of the three."""
+    """Return the moving average of demand, as a fraction of the tightest limit."""
     limits = account.limits
-    asked = max(
-        account.asked_requests / elapsed / limits.requests_per_second,
-        account.asked_tokens / elapsed / limits.tokens_per_second,
+    offered = max(
+        account.offered_requests / elapsed / limits.requests_per_second,
+        account.offered_tokens / elapsed / limits.tokens_per_second,
         account.running / limits.concurrent_requests,
     )
-    account.demand += DEMAND_WEIGHT * (asked - account.demand)
-    account.asked_requests = 0
-    account.asked_tokens = 0
+    account.demand += DEMAND_WEIGHT * (offered - account.demand)
+    account.offered_requests = 0
+    account.offered_tokens = 0
     return account.demand
 
 
-def _refuse(message: str, code: str, wait: float | None) -> RequestError:
+def _make_error(message: str, code: str, wait: float | None) -> RequestError:
     if wait is None:
         status = HTTPStatus.UNAUTHORIZED
         retry_after = None
     else:
         status = HTTPStatus.TOO_MANY_REQUESTS
-        retry_after = timedelta(seconds=max(wait, LEAST_RETRY_SECONDS))
+        retry_after = timedelta(seconds=max(wait, MIN_RETRY_SECONDS))
     return RequestError(
         message, step=Step.ADMIT, status=status, code=code, retry_after=retry_after
     )
--- a/libs/routing/fireflyhitch_routing/buckets.py
+++ b/libs/routing/fireflyhitch_routing/buckets.py
@@ -5,14 +5,15 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Units that flow in at a rate up to a depth; not thread-safe.
+    """Units refilled at a rate up to a depth; not thread-safe.
 
-    The level may go below zero when use is known only afterwards; then nothing
-    is taken until it is paid off.
+    The level may become negative when actual use is known only afterwards; nothing
+    more can be taken until it is refilled.
 
     :param rate: units a second.
-    :param depth_seconds: how many seconds of the rate may be saved up.
-    :param updated: monotonic seconds.
+    :param depth_seconds: the depth, in seconds of the rate.
+    :param updated: monotonic seconds of the last refill.
+    :param level: available units.
     """
 
     rate: float
@@ -21,36 +22,36 @@
     level: float = 0
 
     def __post_init__(self) -> None:
-        """Start full."""
+        """Fill the bucket."""
         self.level = self.depth
 
     @property
     def depth(self) -> float:
-        """Return the most units that can be saved up, at least one."""
+        """Return the most units that the bucket can hold, at least one."""
         return max(1.0, self.rate * self.depth_seconds)
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate; saved units beyond the new depth are lost."""
-        self._flow(now)
+        """Change the rate; units beyond the new depth are lost."""
+        self._refill(now)
         self.rate = rate
         self.level = min(self.level, self.depth)
 
     def seconds_until(self, units: float, now: float) -> float:
-        """Return how long until units can be taken; 0 if they can be now.
+        """Return the seconds until units can be taken; 0 if they can be now.
 
-        More units than the depth can be taken from a full bucket, and are then
-        owed.
+        More units than the depth can be taken from a full bucket; the level then
+        becomes negative.
         """
-        self._flow(now)
+        self._refill(now)
         missing = min(units, self.depth) - self.level
         return max(0.0, missing / self.rate)
 
-    def take(self, units: float, now: float) -> None:
-        """Take units, or give them back if negative."""
-        self._flow(now)
+    def consume(self, units: float, now: float) -> None:
+        """Take units, or return them if negative."""
+        self._refill(now)
         self.level = min(self.depth, self.level - units)
 
-    def _flow(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         elapsed = max(0.0, now - self.updated)
         self.updated = max(self.updated, now)
         self.level = min(self.depth, self.level + elapsed * self.rate)
--- a/libs/routing/fireflyhitch_routing/subset.py
+++ b/libs/routing/fireflyhitch_routing/subset.py
@@ -1,9 +1,9 @@
-"""Which replicas a daemon uses when there are too many to use all.
+"""Subsetting: chooses the replicas that a daemon uses when there are too many for all.
 
-Every pair of daemon and replica has a hash weight. Pairs are taken from the
-heaviest down, as long as the daemon has room and the replica is below its cover.
-This is a stable matching, so a change of one member moves only few pairs, and the
-cover is even, which plain rendezvous hashing does not give.
+Every pair of daemon and replica has a hash weight. Pairs are chosen in order of
+descending weight while the daemon's subset is not full and the replica is below its
+coverage. This is a stable matching: a change of one member changes only few pairs, and
+unlike plain rendezvous hashing it covers the replicas evenly.
 """
 
 import math
@@ -15,11 +15,11 @@
 
 from fireflyhitch_model.ids import BackendServerId, DaemonId
 
-# Each replica is used by this many daemons: one daemon's death leaves none unused
-# and a replica's load comes from several independent choosers.
-DEFAULT_COVER = 3
-# A daemon uses at least so many replicas, to have a choice.
-LEAST_SUBSET = 16
+# Each replica is used by this many daemons: none becomes unused when one daemon fails,
+# and a replica's load comes from several independent daemons.
+DEFAULT_COVERAGE = 3
+# A daemon uses at least this many replicas, to have a choice.
+MIN_SUBSET = 16
 
 
 def choose_subset(
@@ -27,41 +27,43 @@
     daemons: Collection[DaemonId],
     replicas: Collection[BackendServerId],
     *,
-    cover: int = DEFAULT_COVER,
-    least: int = LEAST_SUBSET,
+    coverage: int = DEFAULT_COVERAGE,
+    min_size: int = MIN_SUBSET,
 ) -> frozenset[BackendServerId]:
-    """Return the replicas that a daemon uses, the same on every daemon.
+    """Return the replicas that a daemon uses; all daemons compute the same result.
 
-    :param daemon: the one asking; it may be missing from ``daemons``.
+    :param daemon: the daemon to choose for; it may be missing from ``daemons``.
     :param daemons: the live daemons that share the replicas.
-    :param cover: daemons for each replica at least.
-    :param least: replicas for each daemon at least.
+    :param coverage: minimum number of daemons per replica.
+    :param min_size: minimum number of replicas per daemon.
     """
     members = {*daemons, daemon}
-    return choose_subsets(members, replicas, cover=cover, least=least)[daemon]
+    return choose_subsets(members, replicas, coverage=coverage, min_size=min_size)[
+        daemon
+    ]
 
 
 def choose_subsets(
     daemons: Collection[DaemonId],
     replicas: Collection[BackendServerId],
     *,
-    cover: int = DEFAULT_COVER,
-    least: int = LEAST_SUBSET,
+    coverage: int = DEFAULT_COVERAGE,
+    min_size: int = MIN_SUBSET,
 ) -> dict[DaemonId, frozenset[BackendServerId]]:
-    """Return the subsets of all daemons; see :func:`choose_subset`."""
-    if len(replicas) <= least:
+    """Return the subset of each daemon; see :func:`choose_subset`."""
+    if len(replicas) <= min_size:
         return dict.fromkeys(daemons, frozenset(replicas))
     count = len(daemons)
-    cover = min(max(cover, math.ceil(least * count / len(replicas))), count)
-    size = math.ceil(cover * len(replicas) / count)
-    return _match(sorted(daemons), sorted(replicas), size, cover)
+    coverage = min(max(coverage, math.ceil(min_size * count / len(replicas))), count)
+    size = math.ceil(coverage * len(replicas) / count)
+    return _match(sorted(daemons), sorted(replicas), size, coverage)
 
 
 def _match(
     daemons: Sequence[DaemonId],
     replicas: Sequence[BackendServerId],
     size: int,
-    cover: int,
+    coverage: int,
 ) -> dict[DaemonId, frozenset[BackendServerId]]:
     pairs = [
         (_weigh(daemon, replica), daemon, replica)
@@ -70,12 +72,12 @@
     ]
     pairs.sort(key=itemgetter(0), reverse=True)
     chosen: dict[DaemonId, set[BackendServerId]] = {one: set() for one in daemons}
-    covered: Counter[BackendServerId] = Counter()
+    usage_counts: Counter[BackendServerId] = Counter()
     for _, daemon, replica in pairs:
-        if len(chosen[daemon]) < size and covered[replica] < cover:
+        if len(chosen[daemon]) < size and usage_counts[replica] < coverage:
             chosen[daemon].add(replica)
-            covered[replica] += 1
-    return {one: frozenset(picked) for one, picked in chosen.items()}
+            usage_counts[replica] += 1
+    return {one: frozenset(subset) for one, subset in chosen.items()}
 
 
 def _weigh(daemon: DaemonId, replica: BackendServerId) -> int:
--- a/libs/routing/tests/test_admission.py
+++ b/libs/routing/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of customers' limits, at one daemon and shared over several."""
+"""Tests of customers' limits, at one daemon and shared by several."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
 from fireflyhitch_model.states import Outcome, Priority
 from fireflyhitch_routing.admission import BURST_SECONDS, Admission
 from fireflyhitch_routing.shares import (
-    SILENT_SECONDS,
+    PEER_TIMEOUT_SECONDS,
     DemandReport,
     DemandShares,
 )
@@ -93,7 +93,7 @@
         return admitted
 
 
-def wait_told_by(admission):
+def find_retry_after(admission):
     try:
         admission.admit(make_call())
     except RequestError as error:
@@ -104,13 +104,13 @@
 class TestLimits:
     """One daemon alone."""
 
-    def test_rate_is_kept_and_the_time_to_come_back_is_true(self):
+    def test_rate_limit_holds_and_retry_after_is_exact(self):
         fleet = Fleet(1)
         assert fleet.admit(0, 1000) == REQUESTS * BURST_SECONDS
-        fleet.clock.advance(wait_told_by(fleet.admissions[0]))
+        fleet.clock.advance(find_retry_after(fleet.admissions[0]))
         assert fleet.admissions[0].admit(make_call())
 
-    def test_tokens_not_used_are_given_back(self):
+    def test_unused_tokens_are_returned(self):
         fleet = Fleet(1)
         admission = fleet.admissions[0]
         permit = admission.admit(make_call(answer=7980))
@@ -119,7 +119,7 @@
         admission.release(permit, 20)
         assert admission.admit(make_call(answer=7900))
 
-    def test_concurrency_is_kept(self):
+    def test_concurrency_limit_holds(self):
         fleet = Fleet(1)
         permits = []
         for _ in range(4):
@@ -131,12 +131,12 @@
         fleet.admissions[0].release(permits[0], 20)
         assert fleet.admissions[0].admit(make_call())
 
-    def test_one_customer_does_not_use_anothers_limit(self):
+    def test_customers_do_not_share_a_limit(self):
         fleet = Fleet(1)
         fleet.admit(0, 1000)
         assert fleet.admit(0, 10, customer='c2') == 10
 
-    def test_permit_is_released_once(self):
+    def test_permit_can_be_released_only_once(self):
         fleet = Fleet(1)
         permit = fleet.admissions[0].admit(make_call())
         fleet.admissions[0].release(permit, 20)
@@ -147,7 +147,7 @@
 class TestSharedLimits:
     """Several daemons without a coordinator."""
 
-    def test_demand_at_one_daemon_gets_most_of_the_limit(self):
+    def test_daemon_with_all_the_demand_gets_most_of_the_limit(self):
         fleet = Fleet(4)
         admitted = 0
         for second in range(30):
@@ -159,8 +159,8 @@
     def test_sparse_demand_at_many_daemons_is_never_refused(self):
         """A small customer's few calls reach the daemons in turn.
 
-        Each daemon sees one every few seconds. A share that followed recent demand
-        alone would fall to almost nothing in between, and the customer would be
+        Each daemon receives one every few seconds. If shares followed recent demand
+        alone, they would fall to almost nothing in between, and the customer would be
         refused far below its limit.
         """
         fleet = Fleet(8)
@@ -168,11 +168,11 @@
             assert fleet.admit(second % 8, 1) == 1
             fleet.exchange()
 
-    def test_cut_off_daemons_keep_a_fair_part_and_the_sum_holds(self):
+    def test_partitioned_daemons_fall_back_to_equal_shares(self):
         """All links between four daemons are cut under heavy demand everywhere.
 
-        Once the silence is noticed, each falls back to a quarter of the limit, so
-        that together they admit no more than the limit.
+        Once the missing reports are detected, each daemon falls back to a quarter of
+        the limit, so together they admit no more than the limit.
         """
         fleet = Fleet(4)
         for one in range(4):
@@ -187,11 +187,11 @@
         assert sum(admitted) <= 10 * REQUESTS * 1.05
         assert min(admitted) >= 10 * REQUESTS / 4 * 0.9
 
-    def test_excess_during_a_cut_is_bounded(self):
-        """Two daemons are cut off while all demand moves to the other side.
+    def test_excess_during_a_partition_is_bounded(self):
+        """Two daemons are partitioned while demand appears on the other side too.
 
-        Each thinks for the silent time that the rest of the limit is free. So the
-        two together use one limit more, but only until the silence is noticed.
+        Until the peer timeout each assumes that the rest of the limit is free. So both
+        together use up to one extra limit, but only until the timeout.
         """
         fleet = Fleet(2)
         for _ in range(10):
@@ -203,11 +203,11 @@
             admitted += fleet.admit(0, 40) + fleet.admit(1, 40)
             fleet.exchange()
         excess = admitted - 20 * REQUESTS
-        assert excess <= REQUESTS * (SILENT_SECONDS + BURST_SECONDS + 1)
+        assert excess <= REQUESTS * (PEER_TIMEOUT_SECONDS + BURST_SECONDS + 1)
 
 
 class SharesMachine(RuleBasedStateMachine):
-    """Demand moves at will between daemons; reports arrive within an interval."""
+    """Demand moves freely between daemons; reports arrive within an interval."""
 
     @initialize(count=st.integers(2, 5))
     def start(self, count):
@@ -215,24 +215,24 @@
         self.late = []
         self.demands = [0.0 for _ in range(count)]
         self.shares = [DemandShares() for _ in range(count)]
-        # Membership is known before a daemon serves.
+        # Peers are added before a daemon serves calls.
         for number, shares in enumerate(self.shares):
             others = [one for one in range(count) if one != number]
-            shares.expect(map('d{0}'.format, others), self.now)
+            shares.update_peers(map('d{0}'.format, others), self.now)
 
     @rule(number=st.integers(0, 4), demand=st.floats(0, 5))
     def move_demand(self, number, demand):
         self.demands[number % len(self.demands)] = demand
 
-    @rule(draw=st.randoms(use_true_random=False))
-    def turn(self, draw):
-        """Each daemon, in any order, works out its shares and reports.
+    @rule(rng=st.randoms(use_true_random=False))
+    def run_interval(self, rng):
+        """Each daemon, in random order, computes its shares and reports its demand.
 
-        A report arrives at once or later, but before its sender's next one.
+        A report arrives at once or later, but before the next one of its sender.
         """
         self.now += 1
         numbers = list(range(len(self.shares)))
-        draw.shuffle(numbers)
+        rng.shuffle(numbers)
         for number in numbers:
             self.deliver(sender=number)
             demands = {'c1': self.demands[number]}
@@ -240,14 +240,14 @@
             for peer in numbers:
                 if peer != number:
                     self.late.append((number, peer, DemandReport(demands=demands)))
-            if draw.random() < 0.5:
+            if rng.random() < 0.5:
                 self.deliver(sender=number)
             self.sum_stays_within_the_limit()
 
     def deliver(self, sender):
         for number, peer, report in self.late:
             if number == sender:
-                self.shares[peer].hear(f'd{number}', report, self.now)
+                self.shares[peer].apply_report(f'd{number}', report, self.now)
         self.late = [entry for entry in self.late if entry[0] != sender]
 
     @invariant()
--- a/libs/routing/tests/test_retries.py
+++ b/libs/routing/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries: what may be repeated, and how often."""
+"""Tests of retries: which calls may be retried, and how often."""
 
 from datetime import timedelta
 
@@ -15,13 +15,13 @@
 
 
 class TestRetryBudget:
-    """A budget by daemon and customer."""
+    """Budgets of a daemon and of its customers."""
 
-    def test_retries_do_not_multiply_an_outage(self):
+    def test_retries_do_not_multiply_the_load_in_an_outage(self):
         """Every attempt fails, and every failure asks for a retry.
 
-        Without a budget each call would be sent again and again; with it the
-        attempts stay below 1.1 for each call.
+        Without a budget each call would be sent again and again; with it there are
+        fewer than 1.1 attempts per call.
         """
         budget = RetryBudget(ManualClock())
         retries = 0
@@ -40,7 +40,7 @@
         assert taken <= 3 + 0.2 * 100
         assert budget.take(make_call('well'), Outcome.UNKNOWN)
 
-    def test_call_that_may_not_be_repeated_is_only_retried_if_not_run(self):
+    def test_non_repeatable_call_is_retried_only_if_it_did_not_run(self):
         budget = RetryBudget(ManualClock())
         call = make_call(repeatable=False)
         assert not budget.take(call, Outcome.UNKNOWN)
