--- a/libs/routing/fireflyhitch_routing/__init__.py
+++ b/libs/routing/fireflyhitch_routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of backend server, limits, admission and retries."""
+"""Backend server selection, customer limits, admission and retries."""
--- a/libs/routing/fireflyhitch_routing/choices.py
+++ b/libs/routing/fireflyhitch_routing/choices.py
@@ -1,4 +1,4 @@
-"""The messages of a routing decision: what was chosen and how it went."""
+"""Data types of a routing decision and its result."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -24,7 +24,7 @@
 
     :param first_token_seconds: the expected time to the first token, or to the
         whole answer of a plain service.
-    :param cached_tokens: prompt tokens expected in its prefix cache.
+    :param cached_tokens: prompt tokens expected in the server's prefix cache.
     """
 
     server: BackendServer
@@ -36,8 +36,8 @@
 class ResultStatus(Enum):
     """How an attempt ended.
 
-    ``REFUSED`` is a failure before execution (no connection, or a refusal),
-    ``FAILED`` one after it began; ``CANCELLED`` says nothing of the server.
+    ``REFUSED`` is a failure before execution (no connection, or a refusal), ``FAILED``
+    one after execution began. ``CANCELLED`` does not count for or against the server.
     """
 
     SUCCEEDED = 'succeeded'
@@ -48,10 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What an attempt's end tells of the backend server.
+    """Result of an attempt at a backend server.
 
     :param generated_tokens: tokens of the answer; 0 for a plain service.
-    :param cached_tokens: prompt tokens found in the prefix cache, if told.
+    :param cached_tokens: prompt tokens found in the prefix cache; ``None`` if not
+        reported.
     :param seconds: from dispatch to the end.
     """
 
@@ -63,15 +64,15 @@
 
 @dataclass(slots=True)
 class Ticket:
-    """An attempt under way; only the router writes to it.
+    """An attempt in flight; only the router modifies it.
 
     :param started: monotonic seconds of the dispatch.
-    :param in_flight: calls thought to be at the server then, this one excluded.
-    :param prompt_work: prompt tokens to be computed before the first token,
-        those of earlier calls included.
-    :param own_prompt_work: this call's part of them.
-    :param first_token_at: monotonic seconds, once it came.
-    :param record: where it was counted, and where it has to be taken off again.
+    :param in_flight: estimated calls at the server then, this one excluded.
+    :param prompt_work: prompt tokens to be computed before the first token, including
+        those of earlier calls.
+    :param own_prompt_work: this call's part of ``prompt_work``.
+    :param first_token_at: monotonic seconds of the first token, if received.
+    :param record: the server record that counts this attempt until it ends.
     """
 
     call: Call
--- a/libs/routing/fireflyhitch_routing/domains.py
+++ b/libs/routing/fireflyhitch_routing/domains.py
@@ -1,4 +1,4 @@
-"""Failure domains: whether they are reached and how likely they lose instances."""
+"""Failure domains: reachability and the likelihood of losing instances."""
 
 import math
 from collections.abc import Iterable
@@ -8,17 +8,17 @@
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_routing.records import ServerRecord
 
-# A wave: each server that leaves adds this chance a second that its neighbours
-# in the failure domain leave too, which fades.
-WAVE_HAZARD = 0.002
-WAVE_SECONDS = 300.0
+# Reclamations are correlated: each server that leaves adds this probability per second
+# that other servers of its failure domain leave too. It decays exponentially.
+RECLAIM_HAZARD = 0.002
+RECLAIM_DECAY_SECONDS = 300.0
 FAILURE_SECONDS = 2.0
-LEAST_FAILING = 2
+MIN_FAILING = 2
 FAILING_SHARE = 0.5
 
 
 class DomainState(Enum):
-    """Whether this daemon reaches a failure domain."""
+    """Whether a failure domain is reachable from this daemon."""
 
     REACHABLE = 'reachable'
     CUT_OFF = 'cut-off'
@@ -27,54 +27,56 @@
 @dataclass(slots=True)
 class _Domain:
     state: DomainState = DomainState.REACHABLE
-    leaving: float = 0
-    leaving_at: float = 0
+    departures: float = 0
+    departures_at: float = 0
 
-    def leaving_now(self, now: float) -> float:
-        return self.leaving * math.exp((self.leaving_at - now) / WAVE_SECONDS)
+    def count_departures(self, now: float) -> float:
+        return self.departures * math.exp(
+            (self.departures_at - now) / RECLAIM_DECAY_SECONDS
+        )
 
 
 class FailureDomains:
-    """What is known of each failure domain; not thread-safe."""
+    """State of all failure domains; not thread-safe."""
 
     def __init__(self) -> None:
         self._domains: dict[FailureDomainId, _Domain] = {}
 
-    def mark(self, name: FailureDomainId, state: DomainState) -> bool:
-        """Set whether a failure domain is reached.
+    def set_state(self, name: FailureDomainId, state: DomainState) -> bool:
+        """Set the state of a failure domain.
 
-        :returns: whether it has come back by that.
+        :returns: whether it became reachable again.
         """
         domain = self._domains.setdefault(name, _Domain())
-        before = domain.state
+        previous = domain.state
         domain.state = state
-        return before is DomainState.CUT_OFF and state is DomainState.REACHABLE
+        return previous is DomainState.CUT_OFF and state is DomainState.REACHABLE
 
     def is_cut_off(self, name: FailureDomainId) -> bool:
-        """Tell whether a failure domain is not reached."""
+        """Return whether a failure domain is not reachable."""
         domain = self._domains.get(name)
         return domain is not None and domain.state is DomainState.CUT_OFF
 
-    def note_leaving(self, name: FailureDomainId, now: float) -> None:
-        """Count a server that leaves, as a sign of a wave."""
+    def record_departure(self, name: FailureDomainId, now: float) -> None:
+        """Count a server that leaves, as a sign of correlated reclamations."""
         domain = self._domains.setdefault(name, _Domain())
-        domain.leaving = domain.leaving_now(now) + 1
-        domain.leaving_at = now
+        domain.departures = domain.count_departures(now) + 1
+        domain.departures_at = now
 
     def hazard(self, name: FailureDomainId, now: float) -> float:
-        """Return the chance a second that a wave takes a server there."""
+        """Return the additional probability per second that a server there leaves."""
         domain = self._domains.get(name)
-        return WAVE_HAZARD * domain.leaving_now(now) if domain else 0
+        return RECLAIM_HAZARD * domain.count_departures(now) if domain else 0
 
 
 def is_failing(records: Iterable[ServerRecord], now: float) -> bool:
-    """Tell whether a failure domain's servers fail together.
+    """Return whether the servers of a failure domain fail together.
 
-    A lost domain shows as failures of server after server; waiting for each to be
-    ejected by its own failures would cost calls to every one of them.
+    When a domain is lost, its servers fail one after the other; waiting until each is
+    ejected for its own failures would fail calls at every one of them.
 
     :param records: all servers of the failure domain.
     """
     failures = [record.health.last_failure for record in records]
     recent = sum(1 for at in failures if at >= now - FAILURE_SECONDS)
-    return recent >= LEAST_FAILING and recent >= len(failures) * FAILING_SHARE
+    return recent >= MIN_FAILING and recent >= len(failures) * FAILING_SHARE
--- a/libs/routing/fireflyhitch_routing/load.py
+++ b/libs/routing/fireflyhitch_routing/load.py
@@ -1,4 +1,4 @@
-"""How many calls are at a backend server now, from own counts and late reports."""
+"""Estimates the calls in flight at a backend server from local counts and reports."""
 
 from collections import deque
 
@@ -6,76 +6,88 @@
 from fireflyhitch_model.invariants import Invariant, invariant
 from fireflyhitch_model.states import Step
 
-# Reports older than this say nothing of now.
-REPORT_LIFE = 30.0
+# Older reports are ignored.
+REPORT_TTL_SECONDS = 30.0
 HISTORY_SECONDS = 30.0
 
 
 class ServerLoad:
-    """Own work at one server and what others are thought to have there.
+    """Local calls at one server and an estimate of the calls of other daemons.
 
-    A report counts all daemons' calls at the time it was measured. Own calls at
-    that time are known and taken off; the rest belongs to other daemons. Since
-    all daemons see the same late report and choose alike, each would send its
-    next calls to the same seemingly idle server. So the change of own calls
-    since the report is taken to have been made by the other daemons too.
+    A report counts the calls of all daemons at the time of measurement. Local calls at
+    that time are known and subtracted; the rest belongs to other daemons. All daemons
+    receive the same delayed report and decide alike, so each would send its next calls
+    to the same seemingly idle server. Therefore each other daemon is assumed to have
+    changed its calls since the report as much as this one.
+
+    :ivar prompt_work: prompt tokens of local calls still to be computed.
+    :ivar measured: monotonic seconds at which the last report was measured.
     """
 
-    __slots__ = ('_history', '_others', '_own_then', 'measured', 'own', 'prompt_work')
+    __slots__ = (
+        '_history',
+        '_local_at_report',
+        '_remote_calls',
+        'local_calls',
+        'measured',
+        'prompt_work',
+    )
 
     def __init__(self) -> None:
-        self.own = 0
+        self.local_calls = 0
         self.prompt_work = 0.0
         self.measured = float('-inf')
-        self._others = 0
-        self._own_then = 0
+        self._remote_calls = 0
+        self._local_at_report = 0
         self._history: deque[tuple[float, int]] = deque()
 
     def start(self, now: float, prompt_work: float) -> None:
         """Count a call sent now.
 
-        :param prompt_work: prompt tokens it has to compute.
+        :param prompt_work: prompt tokens that the server has to compute.
         """
-        self.own += 1
+        self.local_calls += 1
         self.prompt_work += prompt_work
-        self._note(now)
+        self._record_history(now)
 
     def finish_prompt(self, prompt_work: float) -> None:
-        """Take off prompt tokens that are computed, or never will be."""
+        """Subtract prompt tokens that were computed or never will be."""
         self.prompt_work = max(0.0, self.prompt_work - prompt_work)
 
     def finish(self, now: float) -> None:
-        """Take off a call that ended now."""
-        self.own -= 1
-        invariant(self.own >= 0, Invariant.COUNT_BALANCES, step=Step.ROUTE)
-        self._note(now)
+        """Subtract a call that ended now."""
+        self.local_calls -= 1
+        invariant(self.local_calls >= 0, Invariant.COUNT_BALANCES, step=Step.ROUTE)
+        self._record_history(now)
 
-    def take_report(self, report: LoadReport) -> None:
-        """Take in a load report; an older one than the last changes nothing."""
+    def apply_report(self, report: LoadReport) -> None:
+        """Apply a load report; one older than the last is ignored."""
         if report.measured <= self.measured:
             return
         self.measured = report.measured
-        self._own_then = self._own_at(report.measured)
-        self._others = max(0, report.running + report.waiting - self._own_then)
+        self._local_at_report = self._local_calls_at(report.measured)
+        self._remote_calls = max(
+            0, report.running + report.waiting - self._local_at_report
+        )
 
-    def total(self, now: float, likeness: float) -> float:
-        """Return how many calls are thought to be there now.
+    def total(self, now: float, other_daemons: float) -> float:
+        """Return the estimated number of calls in flight at the server.
 
-        :param likeness: how many other daemons are taken to act as this one.
+        :param other_daemons: how many other daemons are assumed to act like this one.
         """
-        if now - self.measured > REPORT_LIFE:
-            return self.own * (1 + likeness)
-        change = (self.own - self._own_then) * likeness
-        return self.own + max(0.0, self._others + change)
+        if now - self.measured > REPORT_TTL_SECONDS:
+            return self.local_calls * (1 + other_daemons)
+        change = (self.local_calls - self._local_at_report) * other_daemons
+        return self.local_calls + max(0.0, self._remote_calls + change)
 
-    def _note(self, now: float) -> None:
+    def _record_history(self, now: float) -> None:
         history = self._history
-        history.append((now, self.own))
+        history.append((now, self.local_calls))
         while history[0][0] < now - HISTORY_SECONDS and len(history) > 1:
             history.popleft()
 
-    def _own_at(self, then: float) -> int:
-        for at, own in reversed(self._history):
+    def _local_calls_at(self, then: float) -> int:
+        for at, local_calls in reversed(self._history):
             if at <= then:
-                return own
+                return local_calls
         return 0
--- a/libs/routing/fireflyhitch_routing/policy.py
+++ b/libs/routing/fireflyhitch_routing/policy.py
@@ -1,8 +1,8 @@
-"""The decision: the cheapest backend server that meets the latency target.
+"""Routing policy: the cheapest backend server that meets the latency target.
 
-Pure functions over immutable values. For each candidate they estimate the time to
-the first token and between tokens with their upper bounds at the target's
-confidence, and what the call costs there.
+Pure functions over immutable values. For each candidate they estimate the time to the
+first token and between tokens, upper bounds of both at the target's confidence, and the
+cost of the call.
 """
 
 from collections.abc import Sequence
@@ -11,36 +11,36 @@
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_routing.choices import Reason
 
-SECONDS_AN_HOUR = 3600
-# A call whose server goes is computed again from its start: prompt and answer so
-# far; half of the answer on average.
+SECONDS_PER_HOUR = 3600
+# If its server is reclaimed, a call is recomputed from the start: the prompt and the
+# answer so far, on average half of the answer.
 LOST_SHARE = 0.5
-# Costs this near to the least count as equal, and the faster server is taken.
+# Costs within this fraction of the lowest count as equal; the fastest server is chosen.
 COST_TOLERANCE = 0.02
-# Where no server is within the target, those this near to the fastest count as
-# equal, and the cheapest is taken: it has the prompt cached or costs less.
+# If no server is within the target, those within this fraction of the fastest count as
+# equal, and the cheapest is chosen: it has the prompt cached or a lower price.
 MARGIN_TOLERANCE = 0.15
-# A prompt being computed holds up every call of the batch. Without this weight
-# long prompts go to the fullest server and short answers there miss their time
-# between tokens; see docs/design/routing.md for the figures of other weights.
+# Computing a prompt delays every call of the batch. Without this weight long prompts go
+# to the fullest server, and short answers there miss their target between tokens; see
+# docs/design/routing.md for the results of other weights.
 DELAY_WEIGHT = 8.0
-# Tokens that another server has cached cost this many times their time, as
-# computing them again is a measure of its own beside the price.
+# Tokens that another server has cached cost this many times their compute time, since
+# recomputed tokens are measured separately from the price.
 RECOMPUTE_WEIGHT = 10.0
 
 
 class Candidate(NamedTuple):
-    """A backend server as one decision sees it; times in seconds.
+    """Immutable snapshot of a backend server; times in seconds.
 
-    :param in_flight: calls thought to be there now.
+    :param in_flight: estimated calls at the server.
     :param prompt_work: prompt tokens of earlier calls still to be computed.
-    :param first_curve: coefficients of the time to the first token for 1,
-        prompt tokens to be computed and calls in flight.
-    :param gap_curve: coefficients of the time between tokens for 1 and calls in
+    :param first_curve: coefficients of the time to the first token: constant, per
+        prompt token to be computed, per call in flight.
+    :param gap_curve: coefficients of the time between tokens: constant, per call in
         flight.
-    :param hold_seconds: how long a call stays on average.
-    :param hazard: chance a second that the server is taken away.
-    :param allowed: calls that it may have in flight, for a slow start.
+    :param residence_seconds: mean time that a call stays at the server.
+    :param hazard: probability per second that the server is reclaimed.
+    :param max_in_flight: maximum calls in flight during the slow start.
     """
 
     server: BackendServer
@@ -51,20 +51,21 @@
     first_deviation: float
     gap_curve: tuple[float, ...]
     gap_deviation: float
-    hold_seconds: float
+    residence_seconds: float
     hazard: float
-    allowed: float
+    max_in_flight: float
 
 
-class Question(NamedTuple):
-    """What is to be placed, and what counts as in time.
+class PlacementRequest(NamedTuple):
+    """A call to be placed and its latency target.
 
-    :param answer_tokens: expected tokens of the answer.
-    :param first_target: seconds to the first token, what has passed since the
-        call's arrival taken off.
+    :param answer_tokens: expected length of the answer.
+    :param first_target: seconds to the first token that remain since the call's
+        arrival.
     :param gap_target: seconds between tokens; ``None`` for a plain service.
-    :param confidence: deviations that are added to an expectation.
-    :param cached_somewhere: the most prompt tokens that a candidate has cached.
+    :param confidence: standard deviations added to an expected latency.
+    :param max_cached_tokens: the largest number of cached prompt tokens among the
+        candidates.
     """
 
     prompt_tokens: int
@@ -72,14 +73,17 @@
     first_target: float
     gap_target: float | None
     confidence: float
-    cached_somewhere: int = 0
+    max_cached_tokens: int = 0
 
 
 class Estimate(NamedTuple):
-    """What is expected of one candidate.
+    """Expected latency and cost of a call at one candidate.
 
-    :param expected: the worse of first token and gap, as a share of its target.
-    :param margin: the same at the stated confidence; at most 1 meets the target.
+    :param first: expected seconds to the first token.
+    :param expected: expected latency as a fraction of its target; the larger of first
+        token and gap.
+    :param margin: the same for the upper bound at the requested confidence; at most 1
+        meets the target.
     """
 
     candidate: Candidate
@@ -90,44 +94,44 @@
 
 
 def decide(
-    question: Question, candidates: Sequence[Candidate]
+    request: PlacementRequest, candidates: Sequence[Candidate]
 ) -> tuple[Estimate, Reason]:
-    """Choose among candidates.
+    """Choose one of the candidates.
 
     :param candidates: at least one.
     :returns: the cheapest within the target, or the fastest if none is.
     """
     cached = max([candidate.cached_tokens for candidate in candidates])
-    question = question._replace(cached_somewhere=cached)
-    estimates = [estimate(question, candidate) for candidate in candidates]
+    request = request._replace(max_cached_tokens=cached)
+    estimates = [estimate(request, candidate) for candidate in candidates]
     within = [one for one in estimates if one.margin <= 1]
     if not within:
-        least = min(one.margin for one in estimates) * (1 + MARGIN_TOLERANCE)
-        near = [one for one in estimates if one.margin <= least]
-        return min(near, key=_by_cost), Reason.FASTEST
-    least = min(one.cost for one in within) * (1 + COST_TOLERANCE)
-    near = [one for one in within if one.cost <= least]
-    return min(near, key=_by_margin), Reason.CHEAPEST
+        limit = min(one.margin for one in estimates) * (1 + MARGIN_TOLERANCE)
+        fastest = [one for one in estimates if one.margin <= limit]
+        return min(fastest, key=_by_cost), Reason.FASTEST
+    limit = min(one.cost for one in within) * (1 + COST_TOLERANCE)
+    cheapest = [one for one in within if one.cost <= limit]
+    return min(cheapest, key=_by_margin), Reason.CHEAPEST
 
 
-def estimate(question: Question, candidate: Candidate) -> Estimate:  # noqa: WPS210
+def estimate(request: PlacementRequest, candidate: Candidate) -> Estimate:  # noqa: WPS210
     """Estimate latency and cost of a call at one server.
 
-    One function with many locals, as it runs for every candidate of every call:
-    unpacked values and no helper calls save a third of a decision.
+    This is one function with many locals because it runs for every candidate of every
+    call: unpacked values and no helper calls save a third of a decision's time.
     """
     server, in_flight, prompt_work, cached = candidate[:4]
     base, per_token, per_call = candidate.first_curve
     step, step_per_call = candidate.gap_curve
-    gap_target = question.gap_target
-    work = max(question.prompt_tokens - cached, 1)
+    gap_target = request.gap_target
+    work = max(request.prompt_tokens - cached, 1)
     first = base + per_token * (work + prompt_work) + per_call * in_flight
     queued = in_flight + 1 - server.capacity
     if queued > 0:
-        first += candidate.hold_seconds * queued / server.capacity
-    confidence = question.confidence
-    expected = first / question.first_target
-    margin = expected + confidence * candidate.first_deviation / question.first_target
+        first += candidate.residence_seconds * queued / server.capacity
+    confidence = request.confidence
+    expected = first / request.first_target
+    margin = expected + confidence * candidate.first_deviation / request.first_target
     if gap_target is None:
         step, step_per_call = base, per_call
     else:
@@ -135,19 +139,19 @@
         expected = max(expected, gap / gap_target)
         upper = gap + confidence * candidate.gap_deviation
         margin = max(margin, upper / gap_target)
-    if in_flight >= candidate.allowed:
+    if in_flight >= candidate.max_in_flight:
         margin += 1
-    # A batch pays its steps once for all calls in it: a call bears its part.
-    seconds = question.answer_tokens * (step_per_call + step / (in_flight + 1))
-    again = question.cached_somewhere - cached
+    # All calls of a batch share the cost of its steps.
+    seconds = request.answer_tokens * (step_per_call + step / (in_flight + 1))
+    recomputed = request.max_cached_tokens - cached
     seconds += per_token * (
-        work + RECOMPUTE_WEIGHT * again + DELAY_WEIGHT * in_flight * work
+        work + RECOMPUTE_WEIGHT * recomputed + DELAY_WEIGHT * in_flight * work
     )
     hazard = candidate.hazard
     if hazard:
-        lost = per_token * question.prompt_tokens + LOST_SHARE * seconds
-        seconds += hazard * candidate.hold_seconds * lost
-    cost = seconds * server.price / SECONDS_AN_HOUR
+        lost = per_token * request.prompt_tokens + LOST_SHARE * seconds
+        seconds += hazard * candidate.residence_seconds * lost
+    cost = seconds * server.price / SECONDS_PER_HOUR
     return Estimate(candidate, first, expected, margin, cost)
 
 
--- a/libs/routing/fireflyhitch_routing/prefix.py
+++ b/libs/routing/fireflyhitch_routing/prefix.py
@@ -1,8 +1,8 @@
-"""What is thought to be in the backend servers' prefix caches.
+"""Index of the blocks that backend servers probably hold in their prefix caches.
 
-Entries come from own dispatches and from cache events, which are late and may be
-lost. A wrong entry costs time, never correctness: the engine computes what it
-does not find.
+Entries come from this daemon's own calls and from cache events, which are delayed and
+may be lost. A wrong entry costs time but not correctness: the engine computes blocks
+that it does not find.
 """
 
 from collections import OrderedDict
@@ -12,22 +12,22 @@
 from fireflyhitch_model.ids import BackendServerId
 
 MAX_BLOCKS = 65536
-# Each server, and each new start of one, takes a bit; above this many the index
-# starts empty rather than sweep its entries under the router's lock.
+# Each start of a server takes a bit. Above this many bits the index is cleared, as
+# removing single bits would iterate over all entries under the router's lock.
 MAX_SLOTS = 1024
 
 
 class PrefixIndex:
-    """Which server holds which prompt block; bounded, not thread-safe.
+    """Maps prompt blocks to the servers that hold them; bounded, not thread-safe.
 
-    :param max_blocks: blocks kept, the least recently used dropped first; 65,536
-        take 9.6 MB.
+    :param max_blocks: maximum number of blocks, the least recently used are dropped
+        first; 65,536 take 9.6 MB.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
         self._max_blocks = max_blocks
-        # An OrderedDict, as taking the oldest entry of a plain dict is slow once
-        # many at its front have been deleted.
+        # Bit masks of servers by block. An OrderedDict, as removing the oldest entry
+        # of a plain dict is slow once many at its front have been deleted.
         self._holders: OrderedDict[int, int] = OrderedDict()
         self._slots: dict[BackendServerId, int] = {}
         self._next_slot = 0
@@ -35,11 +35,11 @@
         self.lost_events = 0
 
     def __len__(self) -> int:
-        """Return how many blocks are known."""
+        """Return the number of blocks."""
         return len(self._holders)
 
     def find(self, blocks: Sequence[int]) -> dict[BackendServerId, int]:
-        """Return for each server how many first blocks it is thought to hold.
+        """Return how many leading blocks each server probably holds.
 
         :returns: only servers with at least one block.
         """
@@ -48,23 +48,23 @@
         if not mask:
             return {}
         first = mask
-        ends: list[tuple[int, int]] = []
+        mismatches: list[tuple[int, int]] = []
         for depth, block in enumerate(blocks):
             remaining = mask & holders_of(block, 0)
             if remaining == mask:
                 continue
-            ends.append((depth, mask & ~remaining))
+            mismatches.append((depth, mask & ~remaining))
             mask = remaining
             if not mask:
                 break
         return {
-            server: _depth_of(bit, ends, len(blocks))
+            server: _depth_of(bit, mismatches, len(blocks))
             for server, bit in self._slots.items()
             if first & bit
         }
 
     def add(self, server: BackendServerId, blocks: Iterable[int]) -> None:
-        """Note that a server holds blocks, or soon will."""
+        """Record that a server holds blocks, or soon will."""
         bit = self._bit(server)
         holders = self._holders
         for block in blocks:
@@ -73,34 +73,34 @@
         while len(holders) > self._max_blocks:
             holders.popitem(last=False)
 
-    def drop(self, server: BackendServerId, blocks: Iterable[int]) -> None:
-        """Note that a server does not hold blocks."""
-        keep = ~self._bit(server)
+    def remove(self, server: BackendServerId, blocks: Iterable[int]) -> None:
+        """Record that a server does not hold blocks."""
+        inverse = ~self._bit(server)
         holders = self._holders
         for block in blocks:
-            mask = holders.get(block, 0) & keep
+            mask = holders.get(block, 0) & inverse
             if mask:
                 holders[block] = mask
             else:
                 holders.pop(block, None)
 
-    def forget(self, server: BackendServerId) -> None:
-        """Note that a server holds nothing, or is gone."""
+    def clear_server(self, server: BackendServerId) -> None:
+        """Record that a server holds no blocks, or is gone."""
         self._slots.pop(server, None)
         self._sequences.pop(server, None)
 
-    def take_event(self, event: CacheEvent) -> None:
-        """Take in a cache event; an old or repeated one changes nothing."""
-        seen = self._sequences.get(event.server_id, 0)
-        if event.sequence <= seen:
+    def apply_event(self, event: CacheEvent) -> None:
+        """Apply a cache event; an old or repeated one is ignored."""
+        last = self._sequences.get(event.server_id, 0)
+        if event.sequence <= last:
             return
-        if seen:
-            self.lost_events += event.sequence - seen - 1
+        if last:
+            self.lost_events += event.sequence - last - 1
         if event.cleared:
-            self.forget(event.server_id)
+            self.clear_server(event.server_id)
         self._sequences[event.server_id] = event.sequence
         self.add(event.server_id, event.stored)
-        self.drop(event.server_id, event.removed)
+        self.remove(event.server_id, event.removed)
 
     def _bit(self, server: BackendServerId) -> int:
         bit = self._slots.get(server)
@@ -116,8 +116,8 @@
         return bit
 
 
-def _depth_of(bit: int, ends: Sequence[tuple[int, int]], whole: int) -> int:
-    for depth, dropped in ends:
-        if dropped & bit:
+def _depth_of(bit: int, mismatches: Sequence[tuple[int, int]], length: int) -> int:
+    for depth, mismatched in mismatches:
+        if mismatched & bit:
             return depth
-    return whole
+    return length
--- a/libs/routing/tests/test_router_machine.py
+++ b/libs/routing/tests/test_router_machine.py
@@ -1,4 +1,4 @@
-"""Random runs of the real router with its invariants on."""
+"""Random runs of the router with invariants enabled."""
 
 import random
 from datetime import timedelta
@@ -22,7 +22,7 @@
 
 
 class RouterMachine(RuleBasedStateMachine):
-    """Calls, reports, notices and failures in any order."""
+    """Calls, reports, notices and failures in random order."""
 
     @initialize(seed=st.integers(0, 9))
     def start(self, seed):
@@ -38,7 +38,7 @@
 
     @rule(missing=st.sets(NAMES))
     def list_servers(self, missing):
-        """The instance list may leave servers out, and have them again later."""
+        """Update the instance list; it may omit servers and list them again later."""
         self.router.update_servers(
             BackendServer(
                 name,
@@ -56,7 +56,7 @@
             if name not in missing
         )
         self.listed = set(self.incarnations) - missing
-        # The list no longer has it: a mark goes with the record.
+        # The model does not track the marks of unlisted servers.
         self.leaving -= missing
 
     @rule(name=NAMES)
