--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -208,8 +208,8 @@
     def _drop_expired(self, now: float) -> None:
         """Drop limits that servers have not announced for a long time.
 
-        Unlisted servers are not dropped: an limit may only be missing from the list
-        because the store was unavailable.
+        Unlisted servers are not dropped: the list may only lack them because the store
+        was unavailable.
         """
         expired = [
             process
