--- a/libs/bench/fireflyhitch_bench/moves.py
+++ b/libs/bench/fireflyhitch_bench/moves.py
@@ -34,7 +34,13 @@
     SteppedPolicy,
 )
 from fireflyhitch_fleet.needs import VersionNeed
-from fireflyhitch_fleet.planner import Bounds, Market, Need, Placement, plan_version
+from fireflyhitch_fleet.planner import (
+    Bounds,
+    Market,
+    Placement,
+    PlanRequest,
+    plan_version,
+)
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import VersionId
 from fireflyhitch_model.states import MachineClass
@@ -49,7 +55,7 @@
 PLAN_SECONDS = 30.0
 REFUSED = 0.1
 AFTERWARDS = 30.0
-BOUNDS = Bounds(survive=0.5, least=1, most=64, most_on_demand=8)
+BOUNDS = Bounds(survive_domain_loss=0.5, min_servers=1, max_servers=64, max_on_demand=8)
 POLICIES: dict[str, Callable[[Case, ManualClock], Policy]] = {
     'fireflyhitch': KeeperPolicy,
     'canary': CanaryPolicy,
@@ -107,7 +113,7 @@
                 self._backends.stop(server_id)
 
     def _fulfil(self, need: VersionNeed, wait: float, refused: float) -> None:
-        servers = max(1, math.ceil(need.part * self._case.needed))
+        servers = max(1, math.ceil(need.traffic_fraction * self._case.needed))
         running: dict[Placement, int] = {}
         for engine in self._backends.engines.values():
             server = engine.server
@@ -115,7 +121,7 @@
                 place = Placement(server.failure_domain, server.machine_class)
                 running[place] = running.get(place, 0) + 1
         plan = plan_version(
-            Need(need.version, servers, running, need.keep),
+            PlanRequest(need.version, servers, running, need.scale_in_protected),
             self._markets,
             BOUNDS,
             self._case.start_seconds / 3600,
--- a/libs/bench/fireflyhitch_bench/moves_matrix.py
+++ b/libs/bench/fireflyhitch_bench/moves_matrix.py
@@ -117,7 +117,7 @@
     states = {report.state for report in reports}
     if len(states) != 1:
         wrong.append('daemons differ on the end')
-    if not states <= {MoveState.DONE, MoveState.UNDONE}:
+    if not states <= {MoveState.DONE, MoveState.ROLLED_BACK}:
         wrong.append('the move did not end by its date')
     if bad and MoveState.DONE in states:
         wrong.append('a bad version is done')
--- a/libs/bench/fireflyhitch_bench/moves_policies.py
+++ b/libs/bench/fireflyhitch_bench/moves_policies.py
@@ -16,7 +16,7 @@
     Case,
     Ended,
 )
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.needs import VersionNeed
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.calls import Call
@@ -24,9 +24,9 @@
 from fireflyhitch_model.hashing import hash_text
 from fireflyhitch_model.ids import BackendServerId, DaemonId, VersionId
 from fireflyhitch_model.peers import Daemon
-from fireflyhitch_rollout.evidence import EvidenceBook
-from fireflyhitch_rollout.moves import MoveKeeper
-from fireflyhitch_rollout.records import MoveState, Reason
+from fireflyhitch_rollout.evidence import EvidenceCollector
+from fireflyhitch_rollout.moves import MoveManager
+from fireflyhitch_rollout.records import MoveEndReason, MoveState
 from fireflyhitch_rollout.shares import HASH_RANGE, VersionPicker
 from fireflyhitch_rollout.supplies import Supply
 from fireflyhitch_settings.schema import (
@@ -83,10 +83,10 @@
     ) -> None:
         here = Daemon(DaemonId(f'daemon-{number}'), DOMAINS[number], '', '')
         messenger = network.join(here)
-        self.duties = DutyKeeper(store, clock, here.daemon_id, messenger.live)
-        self.book = EvidenceBook(here, messenger, clock)
+        self.duties = DutyManager(store, clock, here.daemon_id, messenger.live)
+        self.book = EvidenceCollector(here, messenger, clock)
         self.picker = VersionPicker()
-        self.keeper = MoveKeeper(
+        self.keeper = MoveManager(
             here, store, messenger, self.duties, self.book, self.picker, clock
         )
 
@@ -152,7 +152,7 @@
         start_time = timedelta(seconds=self._case.start_seconds)
         supply = Supply(ready, self._case.needed, start_time)
         for node in self._nodes:
-            node.keeper.observe({DEPLOYMENT: supply})
+            node.keeper.update_supplies({DEPLOYMENT: supply})
 
     def list_needs(self) -> Sequence[VersionNeed]:
         """Return what the keeper asks of the fleet."""
@@ -172,11 +172,11 @@
         ended = [
             report
             for report in reports
-            if report.state in {MoveState.DONE, MoveState.UNDONE}
+            if report.state in {MoveState.DONE, MoveState.ROLLED_BACK}
         ]
         if ended:
             done = ended[0].state is MoveState.DONE
-            reason = ended[0].reason or Reason.UNCONFIRMED
+            reason = ended[0].reason or MoveEndReason.UNCONFIRMED
             self._ending = Ending(done, now, reason.name.lower())
 
 
@@ -201,7 +201,7 @@
         """Keep both versions whole until the end."""
         if self.ending is not None:
             return (VersionNeed(NEW if self.ending.done else OLD, 1),)
-        return (VersionNeed(OLD, 1, keep=True), VersionNeed(NEW, 1))
+        return (VersionNeed(OLD, 1, scale_in_protected=True), VersionNeed(NEW, 1))
 
     def find_ending(self) -> Ending | None:
         """Return the end."""
--- a/libs/bench/fireflyhitch_bench/moves_world.py
+++ b/libs/bench/fireflyhitch_bench/moves_world.py
@@ -9,11 +9,11 @@
 from datetime import timedelta
 
 from fireflyhitch_bench.moves_backends import DEPLOYMENT, DOMAINS, NEW, OLD, make_call
-from fireflyhitch_fleet.capacity import CapacityKeeper
-from fireflyhitch_fleet.capacity import find_duty as find_capacity_duty
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.capacity import CapacityManager
+from fireflyhitch_fleet.capacity import make_duty_id as find_capacity_duty
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.needs import Demand, DeploymentNeed
-from fireflyhitch_fleet.orders import OrderDesk, Wish
+from fireflyhitch_fleet.orders import DesiredState, EngineReconciler
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.errors import PeerError
@@ -35,10 +35,10 @@
     InstanceOrder,
     Price,
 )
-from fireflyhitch_rollout.evidence import EvidenceBook
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.evidence import EvidenceCollector
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.records import MoveState
-from fireflyhitch_rollout.schedule import Pace
+from fireflyhitch_rollout.schedule import MovePolicy
 from fireflyhitch_rollout.shares import VersionPicker
 from fireflyhitch_rollout.supplies import Supply
 from fireflyhitch_settings.schema import (
@@ -56,11 +56,11 @@
 START_TIME = timedelta(seconds=20)
 WINDOW = timedelta(minutes=6)
 PACE = replace(
-    Pace(),
+    MovePolicy(),
     burst_period=timedelta(seconds=40),
-    burst_part=0.1,
+    burst_fraction=0.1,
     base_share=0.05,
-    least_calls=8,
+    min_calls=8,
     step_calls=3,
 )
 STATE_STEPS = {MoveState.TRIAL: 'canary', MoveState.SHIFTING: 'raise'}
@@ -203,16 +203,16 @@
         clock = world.clock
         messenger = world.network.join(here)
         self.store = MemoryKeyValueStore(clock) if world.store is None else world.store
-        self.duties = DutyKeeper(self.store, clock, here.daemon_id, messenger.live)
-        self.book = EvidenceBook(here, messenger, clock)
+        self.duties = DutyManager(self.store, clock, here.daemon_id, messenger.live)
+        self.book = EvidenceCollector(here, messenger, clock)
         self.picker = VersionPicker()
-        self.keeper = MoveKeeper(
+        self.keeper = MoveManager(
             here, self.store, messenger, self.duties, self.book, self.picker, clock
         )
-        self.keeper.pace = PACE
+        self.keeper.policy = PACE
         cloud = world.cloud
-        self.capacity = CapacityKeeper(self.duties, cloud, cloud, cloud, clock)
-        self.desk = OrderDesk(world.engines, self.duties, clock)
+        self.capacity = CapacityManager(self.duties, cloud, cloud, cloud, clock)
+        self.desk = EngineReconciler(world.engines, self.duties, clock)
 
 
 class World:
@@ -268,7 +268,7 @@
         self._watch()
 
     def _run(self, node: Node, supply: Supply) -> None:
-        node.keeper.observe({DEPLOYMENT: supply})
+        node.keeper.update_supplies({DEPLOYMENT: supply})
         duties = (*node.keeper.list_duties(), find_capacity_duty(DEPLOYMENT))
         node.duties.set_duties(duties)
         node.duties.step()
@@ -277,9 +277,9 @@
         node.capacity.step([DeploymentNeed(self.deployment, versions, Demand(CALLS))])
         for instance in tuple(self.cloud.instances.values()):
             if instance.server is not None:
-                wish = Wish(EngineAction.LOAD_VERSION, instance.server.version)
+                wish = DesiredState(EngineAction.LOAD_VERSION, instance.server.version)
                 duty = find_capacity_duty(DEPLOYMENT)
-                node.desk.fulfil(duty, instance.server, wish)
+                node.desk.reconcile(duty, instance.server, wish)
         self._tell('report')
         node.keeper.moves()
 
@@ -310,7 +310,7 @@
             if node.picker.is_withdrawn(DEPLOYMENT, NEW):
                 self._tell('withdraw')
                 self._withdrawn.add(number)
-            judge = node.book.find_judge(DEPLOYMENT)
+            judge = node.book.find_test(DEPLOYMENT)
             if judge is not None and judge.count_new():
                 self._tell('verdict')
             for report in node.keeper.moves():
--- a/libs/bench/fireflyhitch_bench/routing_runs.py
+++ b/libs/bench/fireflyhitch_bench/routing_runs.py
@@ -43,7 +43,7 @@
     """Return a daemon's router, as the daemon sets it up."""
     router = Router(clock, name_daemon(number), random.Random(number))  # noqa: S311
     router.configure(shape.configuration(1))
-    router.share_with(shape.daemons)
+    router.set_daemon_count(shape.daemons)
     return router
 
 
@@ -95,7 +95,7 @@
     world.subsets = find_subsets(large)
     for policy in world.policies:
         if isinstance(policy, Router):
-            policy.share_with(count_sharing(large, world.subsets))
+            policy.set_daemon_count(count_sharing(large, world.subsets))
     load = PLANS[Phase.STEADY].load
     arrivals = draw_arrivals(large, load, SECONDS / 2, seed)
     return _finish(world, arrivals)
--- a/libs/daemon/fireflyhitch_daemon/accounts.py
+++ b/libs/daemon/fireflyhitch_daemon/accounts.py
@@ -8,7 +8,7 @@
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.ids import VersionId
 from fireflyhitch_model.states import Outcome, Step
-from fireflyhitch_rollout.evidence import EvidenceBook
+from fireflyhitch_rollout.evidence import EvidenceCollector
 from fireflyhitch_routing.choices import Ticket
 from fireflyhitch_telemetry.burn import BurnRecorder
 from fireflyhitch_telemetry.metrics import CallRecord, Metrics
@@ -46,7 +46,7 @@
     """Hands what is known of ended calls to all that count them."""
 
     def __init__(
-        self, metrics: Metrics, burn: BurnRecorder, evidence: EvidenceBook
+        self, metrics: Metrics, burn: BurnRecorder, evidence: EvidenceCollector
     ) -> None:
         self.metrics = metrics
         self._burn = burn
--- a/libs/daemon/fireflyhitch_daemon/admin.py
+++ b/libs/daemon/fireflyhitch_daemon/admin.py
@@ -35,7 +35,7 @@
 from fireflyhitch_model.peers import PeerMessage
 from fireflyhitch_model.states import Step
 from fireflyhitch_platform.rates import CallBudget
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.records import MoveReport
 from fireflyhitch_settings.checks import check_configuration
 from fireflyhitch_settings.schema import Configuration, VersionMove
@@ -81,7 +81,7 @@
     clock: Clock
     network: PeerNetwork
     keeper: ConfigurationKeeper
-    moves: MoveKeeper
+    moves: MoveManager
     burn: BurnRecorder
     calls: ModelCalls
     directory: Directory
--- a/libs/daemon/fireflyhitch_daemon/attempts.py
+++ b/libs/daemon/fireflyhitch_daemon/attempts.py
@@ -81,7 +81,7 @@
             raise _pass_refusal(upstream, reason)
         if not refused:
             exchange.sent = True
-        if self._parts.crashes.find_wait(exchange.tracked.accepted.content):
+        if self._parts.crashes.find_remaining_hold(exchange.tracked.accepted.content):
             raise _give_up(exchange, 'servers have ended under this call')
         outcome = Outcome.NOT_RUN if refused else Outcome.UNKNOWN
         if not self._parts.retries.take(exchange.call, outcome):
@@ -121,7 +121,7 @@
             return None
         done = exchange.state is ExchangeState.DONE
         if done:
-            self._parts.crashes.note_answer(exchange.tracked.accepted.content)
+            self._parts.crashes.record_response(exchange.tracked.accepted.content)
         self._finish_ticket(
             exchange, ResultStatus.SUCCEEDED if done else _judge_end(exchange)
         )
@@ -132,13 +132,15 @@
         if ticket is None:
             return
         if upstream.status:
-            self._parts.limits.note_answer(
+            self._parts.limits.record_response(
                 ticket.choice.server, upstream.limit, ticket.started
             )
         if upstream.refused:
             return
         content = exchange.tracked.accepted.content
-        self._parts.crashes.note_broken(ticket.choice.server, content, ticket.started)
+        self._parts.crashes.record_broken_response(
+            ticket.choice.server, content, ticket.started
+        )
 
     def _resume_stream(self, exchange: Exchange) -> bool:
         """Ask the engine that had the stream for its rest.
@@ -268,7 +270,7 @@
 
     def _start_ticket(self, exchange: Exchange, choice: Choice) -> None:
         exchange.attempts += 1
-        self._parts.limits.note_sent(choice.server)
+        self._parts.limits.record_sent(choice.server)
         exchange.ticket = self._parts.selection.router.start(choice, exchange.call)
 
     def _finish_ticket(self, exchange: Exchange, status: ResultStatus) -> None:
--- a/libs/daemon/fireflyhitch_daemon/calls.py
+++ b/libs/daemon/fireflyhitch_daemon/calls.py
@@ -180,7 +180,7 @@
             return
         self._parts.selection.router.first_token(ticket)
         if exchange.upstream is not None:
-            self._parts.limits.note_answer(
+            self._parts.limits.record_response(
                 ticket.choice.server, exchange.upstream.limit, ticket.started
             )
 
--- a/libs/daemon/fireflyhitch_daemon/capacity.py
+++ b/libs/daemon/fireflyhitch_daemon/capacity.py
@@ -9,9 +9,9 @@
 
 from fireflyhitch_daemon.directory import Directory
 from fireflyhitch_daemon.reports import EngineReports
-from fireflyhitch_fleet.capacity import CapacityKeeper, find_duty
+from fireflyhitch_fleet.capacity import CapacityManager, make_duty_id
 from fireflyhitch_fleet.needs import Demand, DeploymentNeed
-from fireflyhitch_fleet.orders import OrderDesk, OrderResult, Wish
+from fireflyhitch_fleet.orders import DesiredState, EngineReconciler, OrderResult
 from fireflyhitch_membership.network import PeerNetwork
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import Clock
@@ -24,7 +24,7 @@
     InstanceOrder,
     Price,
 )
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.supplies import Supply
 from fireflyhitch_settings.schema import Configuration, Deployment, ModelDeployment
 
@@ -87,9 +87,9 @@
 class CapacityParts:
     """What the capacity duty is done with."""
 
-    keeper: CapacityKeeper
-    desk: OrderDesk
-    moves: MoveKeeper
+    keeper: CapacityManager
+    desk: EngineReconciler
+    moves: MoveManager
     directory: Directory
     reports: EngineReports
 
@@ -110,12 +110,12 @@
             if deployment.name in plans and isinstance(deployment, ModelDeployment):
                 self._set_right(deployment.name)
 
-    def observe(self, configuration: Configuration | None) -> None:
+    def update_supplies(self, configuration: Configuration | None) -> None:
         """Tell the version moves what there is to serve with."""
         if configuration is None:
             return
         servers = self._parts.directory.list_servers()
-        self._parts.moves.observe(
+        self._parts.moves.update_supplies(
             {
                 deployment.name: self._find_supply(deployment, servers)
                 for deployment in configuration.deployments
@@ -141,12 +141,12 @@
 
     def _set_right(self, deployment: DeploymentId) -> None:
         """Have engines that hold another version than they are listed for load it."""
-        duty = find_duty(deployment)
+        duty = make_duty_id(deployment)
         for server in self._parts.directory.list_servers():
             if server.deployment != deployment:
                 continue
-            wish = Wish(EngineAction.LOAD_VERSION, server.version)
-            became = self._parts.desk.fulfil(duty, server, wish)
+            wish = DesiredState(EngineAction.LOAD_VERSION, server.version)
+            became = self._parts.desk.reconcile(duty, server, wish)
             if became is not OrderResult.IN_EFFECT:
                 logger.bind(
                     step=Step.ORDER.value, peer=server.server_id, result=became.value
--- a/libs/daemon/fireflyhitch_daemon/composition.py
+++ b/libs/daemon/fireflyhitch_daemon/composition.py
@@ -28,9 +28,9 @@
 from fireflyhitch_daemon.requests import RequestAnswers
 from fireflyhitch_daemon.selection import Selection
 from fireflyhitch_daemon.services import ServiceCalls, ServiceParts
-from fireflyhitch_fleet.capacity import CapacityKeeper
-from fireflyhitch_fleet.duties import DutyKeeper
-from fireflyhitch_fleet.orders import OrderDesk
+from fireflyhitch_fleet.capacity import CapacityManager
+from fireflyhitch_fleet.duties import DutyManager
+from fireflyhitch_fleet.orders import EngineReconciler
 from fireflyhitch_ledger.ledger import Ledger
 from fireflyhitch_membership.configuration import ConfigurationKeeper
 from fireflyhitch_membership.links import LinkOptions
@@ -48,8 +48,8 @@
 from fireflyhitch_recovery.drain import Drain
 from fireflyhitch_recovery.handover import HandOver
 from fireflyhitch_recovery.inflight import InFlight, make_request_id
-from fireflyhitch_rollout.evidence import EvidenceBook
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.evidence import EvidenceCollector
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.shares import VersionPicker
 from fireflyhitch_routing.admission import Admission
 from fireflyhitch_routing.retries import RetryBudget
@@ -149,12 +149,12 @@
         self.snapshots = SnapshotExchange(self.network, here)
         self.snapshots.add(self.keeper.snapshot_section())
         self.snapshots.add(self.network.snapshot_section())
-        self.duties = DutyKeeper(
+        self.duties = DutyManager(
             platform.store, clock, settings.daemon_id, self.network.live
         )
-        self.evidence = EvidenceBook(here, self.network, clock)
+        self.evidence = EvidenceCollector(here, self.network, clock)
         self.picker = VersionPicker()
-        self.moves = MoveKeeper(
+        self.moves = MoveManager(
             here,
             platform.store,
             self.network,
@@ -268,7 +268,7 @@
     serving: Serving
     departure: Departure
     capacity: CapacityDuty
-    capacity_keeper: CapacityKeeper
+    capacity_keeper: CapacityManager
 
 
 def compose(
@@ -288,7 +288,7 @@
     serving = Serving(settings, clock, platform, control)
     departure = _make_departure(settings, clock, platform, control, serving)
     keeper = _make_capacity_keeper(clock, platform, control, serving)
-    desk = OrderDesk(serving.engines, control.duties, clock)
+    desk = EngineReconciler(serving.engines, control.duties, clock)
     capacity = CapacityDuty(
         CapacityParts(keeper, desk, control.moves, serving.directory, serving.reports)
     )
@@ -352,11 +352,11 @@
 
 def _make_capacity_keeper(
     clock: Clock, platform: Platform, control: Control, serving: Serving
-) -> CapacityKeeper:
+) -> CapacityManager:
     cloud = DrainingCloud(
         platform.cloud, control.network, serving.directory, clock, LONGEST_ANSWER
     )
-    return CapacityKeeper(
+    return CapacityManager(
         control.duties, cloud, platform.instance_list, platform.weights, clock
     )
 
--- a/libs/daemon/fireflyhitch_daemon/crash_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/crash_guard.py
@@ -17,7 +17,7 @@
 from fireflyhitch_model.ids import BackendServerId, ContentId, DaemonId
 from fireflyhitch_model.peers import PeerMessage, PeerMessenger, Scope
 from fireflyhitch_model.states import Step
-from fireflyhitch_routing.crashes import CrashBook, CrashNote, ServerEnd
+from fireflyhitch_routing.crashes import CrashReport, CrashTracker, ServerCrash
 from fireflyhitch_routing.quarantine import Quarantine
 
 # A refusal comes at once; a call that goes on elsewhere waits for it.
@@ -35,7 +35,7 @@
 
     kind: ClassVar[str] = 'crash-news'
 
-    notes: dict[ContentId, CrashNote]
+    notes: dict[ContentId, CrashReport]
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         self._is_listed = is_listed
         self._find_address = find_address
         self._lock = Lock()
-        self._book = CrashBook()
+        self._book = CrashTracker()
         self._quarantine = Quarantine(self._book)
         self._broken: list[_BrokenRun] = []
         messenger.handle(CrashNews, self._take_news)
@@ -75,7 +75,7 @@
 
         :raises RequestError: if it is held back; it was not run.
         """
-        wait = self.find_wait(content)
+        wait = self.find_remaining_hold(content)
         if wait is None:
             return
         raise RequestError(
@@ -86,17 +86,19 @@
             retry_after=timedelta(seconds=wait),
         )
 
-    def find_wait(self, content: ContentId) -> float | None:
+    def find_remaining_hold(self, content: ContentId) -> float | None:
         """Return the seconds for which a call is held back, if it is."""
         with self._lock:
-            return self._quarantine.find_wait(content, self._clock.monotonic())
+            return self._quarantine.find_remaining_hold(
+                content, self._clock.monotonic()
+            )
 
-    def note_answer(self, content: ContentId) -> None:
+    def record_response(self, content: ContentId) -> None:
         """Take in that a call was answered whole."""
         with self._lock:
-            self._book.note_answer(content, self._clock.monotonic())
+            self._book.record_response(content, self._clock.monotonic())
 
-    def note_broken(
+    def record_broken_response(
         self, server: BackendServer, content: ContentId, began: float
     ) -> None:
         """Take in that a server broke off the answer to a call.
@@ -146,9 +148,9 @@
 
     def _note_end(self, run: _BrokenRun) -> None:
         process = identify_process(run.server.server_id, run.server.incarnation)
-        end = ServerEnd(run.at, run.began)
+        end = ServerCrash(run.at, run.began)
         with self._lock:
-            self._book.note_end(run.content, process, end, self._clock.monotonic())
+            self._book.record_crash(run.content, process, end, self._clock.monotonic())
         logger.bind(
             step=Step.RELAY.value, peer=run.server.server_id, content=run.content
         ).warning('server ended under a call')
--- a/libs/daemon/fireflyhitch_daemon/departure.py
+++ b/libs/daemon/fireflyhitch_daemon/departure.py
@@ -19,7 +19,7 @@
 from fireflyhitch_recovery.drain import Drain
 from fireflyhitch_recovery.handover import HandOver
 from fireflyhitch_recovery.reclaim import ReclaimPlan, RequestProgress, plan_reclaim
-from fireflyhitch_rollout.evidence import EvidenceBook
+from fireflyhitch_rollout.evidence import EvidenceCollector
 
 # Until an answer has shown its own pace.
 ASSUMED_TOKEN_SECONDS = 0.05
@@ -39,7 +39,7 @@
     calls: ModelCalls
     directory: Directory
     cloud: Cloud
-    evidence: EvidenceBook
+    evidence: EvidenceCollector
 
 
 class Departure:
--- a/libs/daemon/fireflyhitch_daemon/directory.py
+++ b/libs/daemon/fireflyhitch_daemon/directory.py
@@ -54,7 +54,7 @@
             self._servers = servers
             self._subsets = subsets
         self._router.update_servers(servers.values())
-        self._router.share_with(len(self._network.live()))
+        self._router.set_daemon_count(len(self._network.live()))
 
     def remove(self, instances: Iterable[InstanceId]) -> tuple[BackendServerId, ...]:
         """Give the servers of some instances no new work.
--- a/libs/daemon/fireflyhitch_daemon/limit_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/limit_guard.py
@@ -9,7 +9,7 @@
 from fireflyhitch_model.identity import identify_process
 from fireflyhitch_model.ids import BackendServerId, DaemonId, ProcessId
 from fireflyhitch_model.peers import PeerMessage, PeerMessenger, Scope
-from fireflyhitch_routing.server_limits import LimitNote, ServerLimits, parse_rate
+from fireflyhitch_routing.server_limits import LimitReport, ServerLimits, parse_rate
 
 LIMIT_HEADER = 'server-limit'
 
@@ -19,7 +19,7 @@
 
     kind: ClassVar[str] = 'limit-news'
 
-    notes: dict[ProcessId, LimitNote]
+    notes: dict[ProcessId, LimitReport]
 
 
 class LimitGuard:
@@ -45,7 +45,7 @@
         )
         messenger.handle(LimitNews, self._take_news)
 
-    def note_answer(
+    def record_response(
         self, server: BackendServer, named: str | None, sent: float
     ) -> None:
         """Take in what a server's answer says.
@@ -56,19 +56,19 @@
         process = _identify(server)
         now = self._clock.monotonic()
         with self._lock:
-            self._limits.note_answer(
+            self._limits.record_response(
                 process, server.server_id, parse_rate(named), sent, now
             )
 
-    def note_sent(self, server: BackendServer) -> None:
+    def record_sent(self, server: BackendServer) -> None:
         """Use a turn at a server."""
         with self._lock:
-            self._limits.note_sent(_identify(server))
+            self._limits.record_sent(_identify(server))
 
     def find_closed(self) -> frozenset[BackendServerId]:
         """Return the servers at which this daemon has no turn now."""
         with self._lock:
-            if not self._limits.are_named:
+            if not self._limits.has_limits:
                 return frozenset()
             return frozenset(
                 server.server_id
--- a/libs/daemon/fireflyhitch_daemon/process.py
+++ b/libs/daemon/fireflyhitch_daemon/process.py
@@ -152,7 +152,7 @@
         listing = self._parts.platform.instance_list.read()
         directory = self._parts.serving.directory
         directory.update(listing)
-        self._parts.capacity.observe(self._applied)
+        self._parts.capacity.update_supplies(self._applied)
         unreachable = self._parts.control.network.unreachable_domains()
         for domain in {server.failure_domain for server in directory.list_servers()}:
             state = DomainState.REACHABLE
--- a/libs/daemon/fireflyhitch_daemon/services.py
+++ b/libs/daemon/fireflyhitch_daemon/services.py
@@ -257,21 +257,21 @@
             raise describe_unreached(server, error) from error
         try:
             self._mark_sent(service)
-            self._parts.limits.note_sent(server)
+            self._parts.limits.record_sent(server)
             received = self._exchange(service, connection)
         except BROKEN as error:
-            self._parts.crashes.note_broken(server, service.content, started)
+            self._parts.crashes.record_broken_response(server, service.content, started)
             raise describe_lost(server, error) from error
         finally:
             connection.close()
-        self._parts.limits.note_answer(
+        self._parts.limits.record_response(
             server, received.headers.get(LIMIT_HEADER), started
         )
         if received.headers.get(OUTCOME_HEADER) == Outcome.NOT_RUN.value:
             raise describe_refused(server, received)
         answer = take_answer(received)
         if judge_answer(answer) is ResultStatus.SUCCEEDED:
-            self._parts.crashes.note_answer(service.content)
+            self._parts.crashes.record_response(service.content)
         if service.claim is not None:
             self._parts.ledger.record_ran(service.claim, keep_answer(answer))
             service.claim = None
@@ -311,7 +311,7 @@
         """
         if service.claim is not None and service.sent:
             return False
-        if self._parts.crashes.find_wait(service.content):
+        if self._parts.crashes.find_remaining_hold(service.content):
             return False
         not_run = error.outcome is Outcome.NOT_RUN
         if not not_run and service.request.method not in IDEMPOTENT_METHODS:
--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -6,10 +6,16 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.needs import DeploymentNeed, VersionNeed
 from fireflyhitch_fleet.offers import Offers
-from fireflyhitch_fleet.planner import Bounds, Need, Placement, Plan, plan_version
+from fireflyhitch_fleet.planner import (
+    Bounds,
+    Placement,
+    Plan,
+    PlanRequest,
+    plan_version,
+)
 from fireflyhitch_fleet.purchases import Purchases
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
@@ -31,7 +37,7 @@
 SETTLE_SECONDS = 300.0
 
 
-class CapacityKeeper:
+class CapacityManager:
     """Plans and buys under the lease; ``step`` is called every ten seconds or so.
 
     Without the store or the cloud nothing is started or stopped: what serves
@@ -40,7 +46,7 @@
 
     def __init__(
         self,
-        duties: DutyKeeper,
+        duties: DutyManager,
         cloud: Cloud,
         instances: InstanceList,
         weights: WeightStore,
@@ -58,7 +64,7 @@
 
     def list_duties(self, deployments: Iterable[DeploymentId]) -> tuple[DutyId, ...]:
         """Return the duties for the duty keeper."""
-        return tuple(find_duty(deployment) for deployment in deployments)
+        return tuple(make_duty_id(deployment) for deployment in deployments)
 
     def find_start_time(self, deployment: DeploymentId) -> timedelta:
         """Return how long a start takes, as measured, with the wait for weights."""
@@ -85,7 +91,7 @@
         return {need.deployment.name: self._tend(need, staying) for need in held}
 
     def _holds(self, deployment: DeploymentId) -> bool:
-        return self._duties.holds(find_duty(deployment)) is not None
+        return self._duties.holds(make_duty_id(deployment)) is not None
 
     def _tend(self, need: DeploymentNeed, instances: list[Instance]) -> list[Plan]:
         plans = []
@@ -124,13 +130,15 @@
         wanted = need.count_servers(version, ahead)
         capacity = deployment.capacity
         bounds = Bounds(
-            survive=capacity.survive_domain_loss,
-            least=capacity.min_servers if version.part >= 1 else 1,
-            most=capacity.max_servers,
-            most_on_demand=capacity.max_on_demand,
+            survive_domain_loss=capacity.survive_domain_loss,
+            min_servers=capacity.min_servers if version.traffic_fraction >= 1 else 1,
+            max_servers=capacity.max_servers,
+            max_on_demand=capacity.max_on_demand,
         )
         markets = self._offers.list_markets(deployment, running)
-        order = Need(version.version, wanted, running, version.keep)
+        order = PlanRequest(
+            version.version, wanted, running, version.scale_in_protected
+        )
         return plan_version(order, markets, bounds, ahead / SECONDS_PER_HOUR)
 
     def _start(self, need: DeploymentNeed, plan: Plan) -> None:
@@ -138,7 +146,7 @@
         for place, count in plan.starts.items():
             for _ in range(count):
                 # Each start may take long; the lease can have run out since.
-                fencing = self._duties.holds(find_duty(name))
+                fencing = self._duties.holds(make_duty_id(name))
                 if fencing is None:
                     return
                 order_id = self._purchases.find_order_id(
@@ -166,7 +174,7 @@
         if not self._has_settled(*key):
             return
         invariant(
-            not version.keep,
+            not version.scale_in_protected,
             Invariant.MOVE_ENDS,
             f"{plan.version} is a move's way back",
             step=Step.PLAN,
@@ -188,7 +196,7 @@
             logger.bind(step=error.step.value, peer=instance).warning('not stopped')
 
 
-def find_duty(deployment: DeploymentId) -> DutyId:
+def make_duty_id(deployment: DeploymentId) -> DutyId:
     """Return the duty whose holder buys a deployment's instances."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
 
--- a/libs/fleet/fireflyhitch_fleet/duties.py
+++ b/libs/fleet/fireflyhitch_fleet/duties.py
@@ -66,7 +66,7 @@
     held: HeldDuty | None = None
 
 
-class DutyKeeper:
+class DutyManager:
     """Takes, renews and gives up duties; ``holds`` may be asked by any thread."""
 
     def __init__(
--- a/libs/fleet/fireflyhitch_fleet/needs.py
+++ b/libs/fleet/fireflyhitch_fleet/needs.py
@@ -15,14 +15,14 @@
 class VersionNeed:
     """What the fleet has to hold ready of one version.
 
-    :param part: part of the deployment's traffic that it must be able to carry.
-    :param keep: whether none of its servers may be stopped, since the way back
+    :param traffic_fraction: part of the deployment's traffic that it must be able to carry.
+    :param scale_in_protected: whether none of its servers may be stopped, since the way back
         of a move rests on them.
     """
 
     version: VersionId
-    part: float
-    keep: bool = False
+    traffic_fraction: float
+    scale_in_protected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,5 +55,5 @@
         :param ahead: seconds until a server that is ordered now is ready.
         """
         planned = self.deployment.capacity.calls_per_server * PLANNED_LOAD
-        calls = self.demand.forecast(ahead) * version.part
+        calls = self.demand.forecast(ahead) * version.traffic_fraction
         return max(1, math.ceil(calls / planned))
--- a/libs/fleet/fireflyhitch_fleet/orders.py
+++ b/libs/fleet/fireflyhitch_fleet/orders.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper, HeldDuty
+from fireflyhitch_fleet.duties import DutyManager, HeldDuty
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import FireflyhitchError
@@ -35,20 +35,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class DesiredState:
     """What an engine should hold."""
 
     action: EngineAction
     argument: str
 
 
-class OrderDesk:
+class EngineReconciler:
     """Gives orders under a duty's lease and re-reads what the engines hold."""
 
     def __init__(
         self,
         engines: Engines,
-        duties: DutyKeeper,
+        duties: DutyManager,
         clock: Clock,
         order_timeout: timedelta = DEFAULT_ORDER_TIMEOUT,
     ) -> None:
@@ -62,7 +62,9 @@
         self._clock = clock
         self._order_timeout = order_timeout.total_seconds()
 
-    def fulfil(self, duty: DutyId, server: BackendServer, wish: Wish) -> OrderResult:
+    def reconcile(
+        self, duty: DutyId, server: BackendServer, wish: DesiredState
+    ) -> OrderResult:
         """Bring an engine to a wished state; to be repeated until in effect.
 
         The engine is read first and after the order, also when it was read
@@ -85,7 +87,7 @@
         self,
         duty: DutyId,
         server: BackendServerId,
-        wish: Wish,
+        wish: DesiredState,
         fencing: FencingNumber,
     ) -> OrderResult:
         if is_fulfilled(self._engines.read_state(server), wish):
@@ -123,7 +125,7 @@
         return self._clock.monotonic() - held.since >= lease + self._order_timeout
 
 
-def is_fulfilled(state: EngineState, wish: Wish) -> bool:
+def is_fulfilled(state: EngineState, wish: DesiredState) -> bool:
     """Tell whether an engine holds what is wished."""
     if wish.action is EngineAction.LOAD_VERSION:
         return state.version == wish.argument
--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -42,33 +42,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class PlanRequest:
     """What one version has to carry.
 
     :param servers: servers that carry the load at the latency target at the
         time at which an instance ordered now is ready.
     :param running: instances there are, by placement.
-    :param keep: never stop one, since a move's way back rests on them.
+    :param scale_in_protected: never stop one, since a move's way back rests on them.
     """
 
     version: VersionId
     servers: int
     running: Mapping[Placement, int]
-    keep: bool = False
+    scale_in_protected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
     """The operator's bounds.
 
-    :param survive: part of the load that the loss of any one failure domain
+    :param survive_domain_loss: part of the load that the loss of any one failure domain
         leaves served.
     """
 
-    survive: float
-    least: int
-    most: int
-    most_on_demand: int
+    survive_domain_loss: float
+    min_servers: int
+    max_servers: int
+    max_on_demand: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
 
 
 def plan_version(
-    need: Need,
+    need: PlanRequest,
     markets: Mapping[Placement, Market],
     bounds: Bounds,
     start_hours: float,
@@ -107,8 +107,8 @@
     :param start_hours: from order to ready, with the wait for weights; an
         instance that is reclaimed is missing for so long.
     """
-    wanted = min(max(need.servers, bounds.least), bounds.most)
-    left = math.ceil(bounds.survive * wanted)
+    wanted = min(max(need.servers, bounds.min_servers), bounds.max_servers)
+    left = math.ceil(bounds.survive_domain_loss * wanted)
     costs = {
         placement: _weigh_price(market, start_hours)
         for placement, market in markets.items()
@@ -143,15 +143,17 @@
         return _mix_total(total, total - left, markets, costs, bounds)
 
     low = max(wanted, left + 1)
-    low = _find_first(low, bounds.most, lambda total: math.isfinite(mix(total).cost))
-    if low > bounds.most:
+    low = _find_first(
+        low, bounds.max_servers, lambda total: math.isfinite(mix(total).cost)
+    )
+    if low > bounds.max_servers:
         return _Mix()
     best = _find_first(
         low,
-        bounds.most - 1,
+        bounds.max_servers - 1,
         lambda total: mix(total + 1).cost >= mix(total).cost,
     )
-    return mix(min(best, bounds.most))
+    return mix(min(best, bounds.max_servers))
 
 
 def _find_first(low: int, high: int, holds: Callable[[int], bool]) -> int:
@@ -170,7 +172,7 @@
     bounds: Bounds,
 ) -> _Mix:
     network = FlowNetwork()
-    on_demand = min(bounds.most_on_demand, total)
+    on_demand = min(bounds.max_on_demand, total)
     network.connect(SOURCE, MachineClass.RECLAIMABLE, total)
     network.connect(SOURCE, MachineClass.ON_DEMAND, on_demand)
     domains = {placement.failure_domain for placement in markets}
@@ -213,7 +215,7 @@
 
 
 def _is_good_enough(
-    need: Need,
+    need: PlanRequest,
     mix: _Mix,
     wanted: int,
     left: int,
@@ -239,7 +241,7 @@
 
 
 def _compare(
-    need: Need,
+    need: PlanRequest,
     mix: _Mix,
     markets: Mapping[Placement, Market],
     wanted: int,
@@ -250,7 +252,7 @@
     target = dict(mix.counts)
     for place in target.keys() | need.running.keys():
         running = need.running.get(place, 0)
-        if need.keep:
+        if need.scale_in_protected:
             target[place] = max(target.get(place, 0), running)
         change = target.get(place, 0) - running
         if change > 0:
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -123,7 +123,7 @@
     return min(short, max(bounds.most - coming - bought, 0))
 
 
-def count_lasting(
+def count_servers_after_loss(
     present: Mapping[FailureDomainId, DomainServers], domains_lost: int
 ) -> float:
     """Return the servers that are left when some domains' reclaimable ones go."""
--- a/libs/fleet/tests/conftest.py
+++ b/libs/fleet/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_standins.keyvalue import MemoryKeyValueStore
@@ -30,7 +30,9 @@
     def list_live():
         return daemons
 
-    made = [DutyKeeper(store, clock, daemon.daemon_id, list_live) for daemon in daemons]
+    made = [
+        DutyManager(store, clock, daemon.daemon_id, list_live) for daemon in daemons
+    ]
     for keeper in made:
         keeper.set_duties([DUTY])
     return made
--- a/libs/fleet/tests/test_capacity.py
+++ b/libs/fleet/tests/test_capacity.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fireflyhitch_fleet.capacity import CapacityKeeper, find_duty
+from fireflyhitch_fleet.capacity import CapacityManager, make_duty_id
 from fireflyhitch_fleet.needs import Demand, DeploymentNeed, VersionNeed
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.errors import PlatformError
@@ -119,9 +119,9 @@
 @pytest.fixture
 def keeper(keepers, cloud, clock):
     duties = keepers[0]
-    duties.set_duties([find_duty(NAME)])
+    duties.set_duties([make_duty_id(NAME)])
     duties.step()
-    return CapacityKeeper(duties, cloud, cloud, cloud, clock)
+    return CapacityManager(duties, cloud, cloud, cloud, clock)
 
 
 class TestCapacity:
@@ -213,7 +213,10 @@
         The old version's instances stay until the move is done.
         """
         keeper.step([make_need(calls=50)])
-        versions = (VersionNeed('v1', 0.1, keep=True), VersionNeed('v2', 1))
+        versions = (
+            VersionNeed('v1', 0.1, scale_in_protected=True),
+            VersionNeed('v2', 1),
+        )
         bought = cloud.count()
         for _ in range(320):
             clock.advance(timedelta(seconds=1))
--- a/libs/fleet/tests/test_orders.py
+++ b/libs/fleet/tests/test_orders.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from fireflyhitch_fleet.duties import DutyKeeper
-from fireflyhitch_fleet.orders import OrderDesk, OrderResult, Wish
+from fireflyhitch_fleet.duties import DutyManager
+from fireflyhitch_fleet.orders import DesiredState, EngineReconciler, OrderResult
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.errors import PeerError
@@ -67,19 +67,19 @@
 
 
 def load(version):
-    return Wish(EngineAction.LOAD_VERSION, version)
+    return DesiredState(EngineAction.LOAD_VERSION, version)
 
 
 class Desk:
     """A daemon with its keeper and desk."""
 
     def __init__(self, number, store, clock, engines, live):
-        self.duties = DutyKeeper(store, clock, f'd{number}', live)
+        self.duties = DutyManager(store, clock, f'd{number}', live)
         self.duties.set_duties([DUTY])
-        self.desk = OrderDesk(engines, self.duties, clock)
+        self.desk = EngineReconciler(engines, self.duties, clock)
 
-    def fulfil(self, wish, fencing=FencingSupport.ENFORCED):
-        return self.desk.fulfil(DUTY, make_server(fencing), wish)
+    def reconcile(self, wish, fencing=FencingSupport.ENFORCED):
+        return self.desk.reconcile(DUTY, make_server(fencing), wish)
 
 
 class Arrangement:
@@ -118,9 +118,9 @@
     def test_order_takes_effect_under_the_lease(self):
         arrangement = Arrangement(enforced=True)
         desk = arrangement.desks[0]
-        assert desk.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert desk.reconcile(load('v2')) is OrderResult.NOT_HELD
         desk.duties.step()
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert desk.reconcile(load('v2')) is OrderResult.IN_EFFECT
         assert arrangement.engines.taken == [desk.duties.holds(DUTY)]
 
     def test_paused_holder_gives_no_order_when_it_wakes(self):
@@ -132,8 +132,8 @@
         arrangement = Arrangement(enforced=True)
         first, second = arrangement.desks
         arrangement.change_holder()
-        assert second.fulfil(load('v3')) is OrderResult.IN_EFFECT
-        assert first.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert second.reconcile(load('v3')) is OrderResult.IN_EFFECT
+        assert first.reconcile(load('v2')) is OrderResult.NOT_HELD
         assert arrangement.engines.version == 'v3'
 
     def test_late_order_is_refused_by_an_enforcing_engine(self):
@@ -143,7 +143,7 @@
         """
         arrangement = Arrangement(enforced=True)
         fencing = arrangement.change_holder()
-        arrangement.desks[1].fulfil(load('v3'))
+        arrangement.desks[1].reconcile(load('v3'))
         late = EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing)
         assert not arrangement.engines.receive(late)
         assert arrangement.engines.version == 'v3'
@@ -158,14 +158,14 @@
         second = arrangement.desks[1]
         fencing = arrangement.change_holder()
         ignored = FencingSupport.IGNORED
-        assert second.fulfil(load('v3'), ignored) is OrderResult.TOO_EARLY
+        assert second.reconcile(load('v3'), ignored) is OrderResult.TOO_EARLY
         arrangement.engines.receive(
             EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing)
         )
         for _ in range(LEASE_SECONDS + ORDER_SECONDS):
             arrangement.advance(1)
             second.duties.step()
-        assert second.fulfil(load('v3'), ignored) is OrderResult.IN_EFFECT
+        assert second.reconcile(load('v3'), ignored) is OrderResult.IN_EFFECT
         assert arrangement.engines.version == 'v3'
 
     def test_lost_answer_is_settled_by_reading_the_engine(self):
@@ -178,8 +178,8 @@
         desk = arrangement.desks[0]
         desk.duties.step()
         arrangement.engines.lost = True
-        assert desk.fulfil(load('v2')) is OrderResult.UNKNOWN
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert desk.reconcile(load('v2')) is OrderResult.UNKNOWN
+        assert desk.reconcile(load('v2')) is OrderResult.IN_EFFECT
         assert len(arrangement.engines.taken) == 1
 
     def test_no_order_in_the_last_seconds_of_a_lease(self):
@@ -188,7 +188,7 @@
         desk.duties.step()
         arrangement.advance(5)
         assert desk.duties.holds(DUTY) is not None
-        assert desk.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert desk.reconcile(load('v2')) is OrderResult.NOT_HELD
 
     @pytest.mark.parametrize('enforced', [True, False])
     def test_restarted_engine_is_brought_back(self, enforced):
@@ -199,10 +199,10 @@
         arrangement = Arrangement(enforced)
         desk = arrangement.desks[0]
         desk.duties.step()
-        desk.fulfil(load('v2'))
+        desk.reconcile(load('v2'))
         arrangement.engines.version = 'v1'
         arrangement.engines.fencing = 0
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert desk.reconcile(load('v2')) is OrderResult.IN_EFFECT
 
 
 class OrderMachine(RuleBasedStateMachine):
@@ -244,7 +244,7 @@
         support = FencingSupport.ENFORCED
         if not self.enforced:
             support = FencingSupport.IGNORED
-        self.arrangement.desks[number].fulfil(load(version), support)
+        self.arrangement.desks[number].reconcile(load(version), support)
 
     @precondition(lambda machine: machine.sent)
     @rule(position=st.integers(0, 9))
--- a/libs/fleet/tests/test_planner.py
+++ b/libs/fleet/tests/test_planner.py
@@ -9,8 +9,8 @@
 from fireflyhitch_fleet.planner import (
     Bounds,
     Market,
-    Need,
     Placement,
+    PlanRequest,
     plan_version,
 )
 from fireflyhitch_model.states import MachineClass
@@ -18,7 +18,9 @@
 RECLAIMABLE = MachineClass.RECLAIMABLE
 ON_DEMAND = MachineClass.ON_DEMAND
 DOMAINS = ('gent', 'brugge', 'kortrijk')
-BOUNDS = Bounds(survive=0.75, least=2, most=24, most_on_demand=4)
+BOUNDS = Bounds(
+    survive_domain_loss=0.75, min_servers=2, max_servers=24, max_on_demand=4
+)
 
 
 def make_markets(reclaimable=1.0, on_demand=3.0, supply=20, reclaims=0.0):
@@ -30,8 +32,10 @@
     return markets
 
 
-def plan(servers, markets, running=(), bounds=BOUNDS, keep=False, hours=0.05):
-    need = Need('v1', servers, dict(running), keep)
+def plan(
+    servers, markets, running=(), bounds=BOUNDS, scale_in_protected=False, hours=0.05
+):
+    need = PlanRequest('v1', servers, dict(running), scale_in_protected)
     return plan_version(need, markets, bounds, hours)
 
 
@@ -56,8 +60,10 @@
             if placement.machine_class is ON_DEMAND
         )
         rest = total - max(count_domains(mix).values())
-        fits = servers <= total <= bounds.most and on_demand <= bounds.most_on_demand
-        if fits and rest >= math.ceil(bounds.survive * servers):
+        fits = (
+            servers <= total <= bounds.max_servers and on_demand <= bounds.max_on_demand
+        )
+        if fits and rest >= math.ceil(bounds.survive_domain_loss * servers):
             cost = sum(markets[place].price * count for place, count in mix.items())
             best = min(best, cost)
     return best
@@ -75,19 +81,19 @@
     @settings(max_examples=40, derandomize=True, deadline=None)
     @given(
         servers=st.integers(2, 5),
-        survive=st.sampled_from((0.0, 0.5, 0.75, 1.0)),
+        survive_domain_loss=st.sampled_from((0.0, 0.5, 0.75, 1.0)),
         prices=st.lists(st.integers(1, 6), min_size=6, max_size=6),
         supplies=st.lists(st.integers(0, 3), min_size=6, max_size=6),
     )
     def test_is_as_cheap_as_the_best_of_all_mixes(
-        self, servers, survive, prices, supplies
+        self, servers, survive_domain_loss, prices, supplies
     ):
         offers = zip(prices, supplies, strict=True)
         markets = {
             placement: Market(float(price), supply)
             for placement, (price, supply) in zip(make_markets(), offers, strict=True)
         }
-        bounds = Bounds(survive, 2, 12, 3)
+        bounds = Bounds(survive_domain_loss, 2, 12, 3)
         best = find_cheapest_by_trying(servers, markets, bounds)
         made = plan(servers, markets, bounds=bounds, hours=0)
         assert made.survives == math.isfinite(best)
@@ -116,7 +122,7 @@
     def test_way_back_is_never_scaled_in(self):
         running = {Placement(domain, RECLAIMABLE): 4 for domain in DOMAINS}
         assert plan(2, make_markets(), running).stops
-        assert not plan(2, make_markets(), running, keep=True).stops
+        assert not plan(2, make_markets(), running, scale_in_protected=True).stops
 
     def test_small_saving_moves_nothing(self):
         markets = make_markets()
--- a/libs/fleet/tests/test_spread.py
+++ b/libs/fleet/tests/test_spread.py
@@ -4,7 +4,7 @@
     DomainServers,
     SpreadBounds,
     SpreadNeed,
-    count_lasting,
+    count_servers_after_loss,
     spread_servers,
 )
 from fireflyhitch_model.ids import FailureDomainId
@@ -164,8 +164,8 @@
         # Reading more would order more at each change of the leader.
         calm = {domain: DomainServers(2, 0) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, calm)
-        assert count_lasting(target, NEED.domains_lost) == NEED.servers
+        assert count_servers_after_loss(target, NEED.domains_lost) == NEED.servers
 
     def test_servers_on_demand_all_last(self) -> None:
         start = {domain: DomainServers(0, 14) for domain in PRICES}
-        assert count_lasting(start, 2) == 56
+        assert count_servers_after_loss(start, 2) == 56
--- a/libs/rollout/fireflyhitch_rollout/evidence.py
+++ b/libs/rollout/fireflyhitch_rollout/evidence.py
@@ -52,7 +52,7 @@
     new: VersionId
 
 
-class EvidenceBook:
+class EvidenceCollector:
     """Takes one record a call; ``step`` passes them on and judges.
 
     Each daemon sends its counts to the carriers of its failure domain; the
@@ -164,7 +164,7 @@
                 verdicts[deployment] = verdict
         return verdicts
 
-    def find_judge(self, deployment: DeploymentId) -> Judge | None:
+    def find_test(self, deployment: DeploymentId) -> Judge | None:
         """Return what is known of a deployment on trial."""
         return self._judges.get(deployment)
 
--- a/libs/rollout/fireflyhitch_rollout/judge.py
+++ b/libs/rollout/fireflyhitch_rollout/judge.py
@@ -119,14 +119,14 @@
             route for route, calls in self._old_calls.items() if calls >= least
         )
 
-    def has_enough(self, least_calls: int) -> bool:
+    def has_enough(self, min_calls: int) -> bool:
         """Tell whether each route that is not minor was tried, also under load.
 
-        :param least_calls: calls of the new version that are needed in all.
+        :param min_calls: calls of the new version that are needed in all.
         """
         routes = self.find_routes()
         loaded = sum(self.count_calls(route, LoadBand.USUAL) for route in routes)
-        if not routes or self.count_new() < least_calls:
+        if not routes or self.count_new() < min_calls:
             return False
         if loaded < min(LEAST_ROUTE_CALLS, self.count_usual()):
             return False
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.needs import VersionNeed
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.ids import (
@@ -22,18 +22,18 @@
 from fireflyhitch_model.states import Step
 from fireflyhitch_platform.keyvalue import KeyValueStore
 from fireflyhitch_rollout.archive import MoveArchive
-from fireflyhitch_rollout.evidence import EvidenceBook, Trial
+from fireflyhitch_rollout.evidence import EvidenceCollector, Trial
 from fireflyhitch_rollout.phases import PhaseCounts
 from fireflyhitch_rollout.records import (
+    MoveEndReason,
     MoveNews,
     MoveRecord,
     MoveReport,
     MoveState,
-    Reason,
     WithdrawalNews,
 )
 from fireflyhitch_rollout.schedule import (
-    Pace,
+    MovePolicy,
     Situation,
     advance,
     end,
@@ -63,7 +63,7 @@
     )
 
 
-class MoveKeeper:
+class MoveManager:
     """Takes part in all moves; ``step`` is called every half second or so.
 
     The holder of the duty ``moves/{deployment}`` raises shares and ends moves
@@ -75,13 +75,13 @@
         here: Daemon,
         store: KeyValueStore,
         messenger: PeerMessenger,
-        duties: DutyKeeper,
-        evidence: EvidenceBook,
+        duties: DutyManager,
+        evidence: EvidenceCollector,
         picker: VersionPicker,
         clock: Clock,
     ) -> None:
         """Make a keeper without moves; the picker is updated by it alone."""
-        self.pace = Pace()
+        self.policy = MovePolicy()
         self._here = here
         self._archive = MoveArchive(store)
         self._messenger = messenger
@@ -114,9 +114,9 @@
 
     def list_duties(self) -> tuple[DutyId, ...]:
         """Return the duties that the moves need, for the duty keeper."""
-        return tuple(find_duty(deployment) for deployment in self._deployments)
+        return tuple(make_duty_id(deployment) for deployment in self._deployments)
 
-    def observe(self, supplies: Mapping[DeploymentId, Supply]) -> None:
+    def update_supplies(self, supplies: Mapping[DeploymentId, Supply]) -> None:
         """Say what there is to serve with; to be called when it changes."""
         with self._lock:
             self._supplies = dict(supplies)
@@ -156,11 +156,11 @@
         with self._lock:
             record = self._archive.find(deployment)
             base = find_base(record, self._deployments[deployment])
-            return find_needs(record, base, self.pace)
+            return find_needs(record, base, self.policy)
 
     def _lead(self, name: DeploymentId, deployment: Deployment) -> None:
         """Bring the store's record on, as far as this daemon may."""
-        fencing = self._duties.holds(find_duty(name))
+        fencing = self._duties.holds(make_duty_id(name))
         if fencing is None and not self._has_unsaved(name):
             return
         if not self._archive.is_read(name) and not self._archive.read(name):
@@ -193,17 +193,17 @@
         if record is None or record.has_ended:
             return record
         supply = self._supplies.get(deployment.name, Supply())
-        judge = self._evidence.find_judge(deployment.name)
+        judge = self._evidence.find_test(deployment.name)
         situation = Situation(
             now=now,
             last_return=record.move_by - way_back,
             finish_by=record.move_by - find_way_back(0, 1, supply.start_time),
             capacity=supply.find_capacity(record.to_version),
             old_servers=len(supply.list_version(record.from_version)),
-            proven=judge is not None and judge.has_enough(self.pace.least_calls),
+            proven=judge is not None and judge.has_enough(self.policy.min_calls),
             phase_calls=self._phases.count(record, judge),
         )
-        record = advance(record, situation, self.pace)
+        record = advance(record, situation, self.policy)
         if record.has_ended and judge is not None:
             record = record.model_copy(update={'evidence': judge.describe()})
         return record
@@ -216,7 +216,8 @@
     ) -> None:
         raises = self._is_raise(record, known)
         invariant(
-            not raises or self._duties.holds(find_duty(record.deployment)) == fencing,
+            not raises
+            or self._duties.holds(make_duty_id(record.deployment)) == fencing,
             Invariant.SHARE_NEEDS_LEASE,
             f'{record.deployment} to {record.to_version}',
             step=Step.PLAN,
@@ -235,11 +236,11 @@
         self._tell_record(record)
 
     def _is_raise(self, record: MoveRecord, known: MoveRecord | None) -> bool:
-        if record.state is MoveState.UNDONE:
+        if record.state is MoveState.ROLLED_BACK:
             return False
         if known is None or known.attempt != record.attempt:
             return True
-        return find_share(record, 1, self.pace) > find_share(known, 1, self.pace)
+        return find_share(record, 1, self.policy) > find_share(known, 1, self.policy)
 
     def _confirm(
         self, record: MoveRecord | None, fencing: FencingNumber | None
@@ -274,8 +275,8 @@
             return
         withdrawn = tuple(sorted({*record.withdrawn, version}))
         record = record.model_copy(update={'withdrawn': withdrawn})
-        if record.to_version == version and record.state is not MoveState.UNDONE:
-            record = end(record, MoveState.UNDONE, Reason.FAULT)
+        if record.to_version == version and record.state is not MoveState.ROLLED_BACK:
+            record = end(record, MoveState.ROLLED_BACK, MoveEndReason.FAULT)
             record = record.model_copy(update={'evidence': evidence})
         self._archive.merge(record)
         logger.bind(deployment=deployment, version=version, evidence=evidence).warning(
@@ -342,7 +343,7 @@
         if followed is None or followed.has_ended:
             return followed
         if now >= followed.move_by - way_back:
-            return end(followed, MoveState.UNDONE, Reason.UNCONFIRMED)
+            return end(followed, MoveState.ROLLED_BACK, MoveEndReason.UNCONFIRMED)
         return followed
 
     def _find_shares(
@@ -360,9 +361,9 @@
         supply = self._supplies.get(deployment.name, Supply())
         new = supply.list_version(record.to_version)
         old_count = len(supply.list_version(record.from_version))
-        share = find_share(record, old_count, self.pace)
-        if self._phases.is_overdue(record, find_burst_length(old_count, self.pace)):
-            share = self.pace.base_share
+        share = find_share(record, old_count, self.policy)
+        if self._phases.is_overdue(record, find_burst_length(old_count, self.policy)):
+            share = self.policy.base_share
         share = min(share, supply.find_capacity(record.to_version))
         servers = choose_servers(new, old_count, share)
         return VersionShares(base, record.to_version, share, servers)
@@ -372,7 +373,7 @@
         record = self._view(deployment)
         if record is None:
             return None
-        judge = self._evidence.find_judge(name)
+        judge = self._evidence.find_test(name)
         described = judge.describe() if judge and not record.has_ended else ()
         shares = self._picker.find(name)
         share = shares.share if shares else 0
@@ -389,6 +390,6 @@
         )
 
 
-def find_duty(deployment: DeploymentId) -> DutyId:
+def make_duty_id(deployment: DeploymentId) -> DutyId:
     """Return the duty whose holder leads a deployment's moves."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
--- a/libs/rollout/fireflyhitch_rollout/records.py
+++ b/libs/rollout/fireflyhitch_rollout/records.py
@@ -12,16 +12,16 @@
 
 
 class MoveState(Enum):
-    """How far a move is; it only goes forward, and ``UNDONE`` is final."""
+    """How far a move is; it only goes forward, and ``ROLLED_BACK`` is final."""
 
     STARTING = 'starting'
     TRIAL = 'trial'
     SHIFTING = 'shifting'
     DONE = 'done'
-    UNDONE = 'undone'
+    ROLLED_BACK = 'undone'
 
 
-class Reason(Enum):
+class MoveEndReason(Enum):
     """Why a move ended."""
 
     PROVEN = 'evidence good and all traffic moved'
@@ -69,7 +69,7 @@
     state: MoveState = MoveState.STARTING
     step: int = 0
     burst: int = 0
-    reason: Reason | None = None
+    reason: MoveEndReason | None = None
     fencing: FencingNumber = FencingNumber(0)
     evidence: tuple[str, ...] = ()
     withdrawn: tuple[VersionId, ...] = ()
@@ -77,7 +77,7 @@
     @property
     def has_ended(self) -> bool:
         """Whether the move is done or undone."""
-        return self.state in {MoveState.DONE, MoveState.UNDONE}
+        return self.state in {MoveState.DONE, MoveState.ROLLED_BACK}
 
     @property
     def serving(self) -> VersionId:
@@ -127,21 +127,21 @@
     share: float
     move_by: datetime
     last_return: datetime
-    reason: Reason | None
+    reason: MoveEndReason | None
     evidence: tuple[str, ...]
 
 
 def merge_records(one: MoveRecord, other: MoveRecord) -> MoveRecord:
     """Return the record that holds; the result does not depend on the order.
 
-    Of two moves the later configured one holds. Within one move ``UNDONE``
+    Of two moves the later configured one holds. Within one move ``ROLLED_BACK``
     wins, then the further one. Versions withdrawn in either stay withdrawn.
     """
     ahead = max(one, other, key=_weight)
     withdrawn = tuple(sorted({*one.withdrawn, *other.withdrawn}))
     ahead = ahead.model_copy(update={'withdrawn': withdrawn})
-    if ahead.to_version in withdrawn and ahead.state is not MoveState.UNDONE:
-        undone = {'state': MoveState.UNDONE, 'reason': Reason.FAULT}
+    if ahead.to_version in withdrawn and ahead.state is not MoveState.ROLLED_BACK:
+        undone = {'state': MoveState.ROLLED_BACK, 'reason': MoveEndReason.FAULT}
         return ahead.model_copy(update=undone)
     return ahead
 
--- a/libs/rollout/fireflyhitch_rollout/schedule.py
+++ b/libs/rollout/fireflyhitch_rollout/schedule.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
+from fireflyhitch_rollout.records import MoveEndReason, MoveRecord, MoveState
 
 # From a withdrawal until every daemon that can be reached follows it.
 SPREAD_TIME = timedelta(seconds=10)
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class MovePolicy:
     """How a move uses the time until its date.
 
     The base share and the bursts together expose 1.6% of the traffic while
@@ -24,11 +24,11 @@
         rest is for reclaim waves, refused starts and outages near the end.
     :param longest: the longest that a move takes, however far off its date is.
     :param base_share: share of the traffic during the trial.
-    :param burst_part: part of the traffic that bursts take over their period.
+    :param burst_fraction: part of the traffic that bursts take over their period.
     :param burst_share: most that a burst takes.
     :param steps: shares after the trial. The last leaves the old version half,
         without which a shock to both would look like a fault.
-    :param least_calls: calls that the new version needs before the trial ends.
+    :param min_calls: calls that the new version needs before the trial ends.
     :param step_calls: calls of the new version that each step needs.
     """
 
@@ -36,11 +36,11 @@
     finish_part: float = 0.8
     longest: timedelta = timedelta(hours=6)
     base_share: float = 0.006
-    burst_part: float = 0.01
+    burst_fraction: float = 0.01
     burst_period: timedelta = timedelta(minutes=7)
     burst_share: float = 0.5
     steps: tuple[float, ...] = (0.04, 0.1, 0.25, 0.5)
-    least_calls: int = 40
+    min_calls: int = 40
     step_calls: int = 30
 
 
@@ -79,7 +79,7 @@
     return SPREAD_TIME + start_time
 
 
-def advance(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
+def advance(record: MoveRecord, situation: Situation, policy: MovePolicy) -> MoveRecord:
     """Return the record after what is due now, or the same one.
 
     A move that is not done when its last return comes is undone, whatever
@@ -88,48 +88,48 @@
     if record.has_ended:
         return record
     if situation.now >= situation.last_return:
-        return end(record, MoveState.UNDONE, _explain_lateness(record, situation))
+        return end(record, MoveState.ROLLED_BACK, _explain_lateness(record, situation))
     if record.state is MoveState.STARTING:
         return _begin_trial(record, situation)
     if record.state is MoveState.TRIAL:
-        return _try_on(record, situation, pace)
-    return _shift(record, situation, pace)
+        return _try_on(record, situation, policy)
+    return _shift(record, situation, policy)
 
 
-def end(record: MoveRecord, state: MoveState, reason: Reason) -> MoveRecord:
+def end(record: MoveRecord, state: MoveState, reason: MoveEndReason) -> MoveRecord:
     """Return the record of the move's end."""
     return record.model_copy(update={'state': state, 'reason': reason})
 
 
-def find_share(record: MoveRecord, old_servers: int, pace: Pace) -> float:
+def find_share(record: MoveRecord, old_servers: int, policy: MovePolicy) -> float:
     """Return the new version's share that a record stands for."""
     if record.state is MoveState.TRIAL:
         if record.burst % 2:
-            return find_burst_share(old_servers, pace)
-        return pace.base_share
+            return find_burst_share(old_servers, policy)
+        return policy.base_share
     if record.state is MoveState.SHIFTING:
-        return pace.steps[min(record.step, len(pace.steps) - 1)]
+        return policy.steps[min(record.step, len(policy.steps) - 1)]
     return 1 if record.state is MoveState.DONE else 0
 
 
-def find_burst_share(old_servers: int, pace: Pace) -> float:
+def find_burst_share(old_servers: int, policy: MovePolicy) -> float:
     """Return the share that loads one new server as the old ones are loaded."""
-    usual = min(pace.burst_share, PEAK / max(old_servers, 1))
-    return max(usual, pace.base_share)
+    usual = min(policy.burst_share, PEAK / max(old_servers, 1))
+    return max(usual, policy.base_share)
 
 
-def find_burst_length(old_servers: int, pace: Pace) -> timedelta:
+def find_burst_length(old_servers: int, policy: MovePolicy) -> timedelta:
     """Return how long a burst may last, so that its calls stay within bounds."""
-    share = find_burst_share(old_servers, pace)
-    return pace.burst_period * pace.burst_part / share
+    share = find_burst_share(old_servers, policy)
+    return policy.burst_period * policy.burst_fraction / share
 
 
-def _explain_lateness(record: MoveRecord, situation: Situation) -> Reason:
+def _explain_lateness(record: MoveRecord, situation: Situation) -> MoveEndReason:
     if record.state is MoveState.STARTING:
-        return Reason.NEVER_READY
+        return MoveEndReason.NEVER_READY
     if record.state is MoveState.TRIAL and not situation.proven:
-        return Reason.UNPROVEN
-    return Reason.LATE
+        return MoveEndReason.UNPROVEN
+    return MoveEndReason.LATE
 
 
 def _begin_trial(record: MoveRecord, situation: Situation) -> MoveRecord:
@@ -138,46 +138,48 @@
     return _enter(record, situation, state=MoveState.TRIAL)
 
 
-def _try_on(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
-    is_long_enough = situation.now >= _find_trial_end(record, situation, pace)
-    has_room = situation.capacity >= pace.steps[0]
+def _try_on(record: MoveRecord, situation: Situation, policy: MovePolicy) -> MoveRecord:
+    is_long_enough = situation.now >= _find_trial_end(record, situation, policy)
+    has_room = situation.capacity >= policy.steps[0]
     if is_long_enough and has_room and situation.proven:
         return _enter(record, situation, state=MoveState.SHIFTING, step=0, burst=0)
-    if find_burst_share(situation.old_servers, pace) <= pace.base_share:
+    if find_burst_share(situation.old_servers, policy) <= policy.base_share:
         return record
-    length = find_burst_length(situation.old_servers, pace)
+    length = find_burst_length(situation.old_servers, policy)
     in_burst = record.burst % 2 == 1
-    wait = length if in_burst else pace.burst_period - length
+    wait = length if in_burst else policy.burst_period - length
     if situation.now - record.phase_began < wait:
         return record
     return _enter(record, situation, burst=record.burst + 1)
 
 
-def _shift(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
-    finish = record.started + _usable(record, situation, pace) * pace.finish_part
-    steps_left = len(pace.steps) - record.step
+def _shift(record: MoveRecord, situation: Situation, policy: MovePolicy) -> MoveRecord:
+    finish = record.started + _usable(record, situation, policy) * policy.finish_part
+    steps_left = len(policy.steps) - record.step
     stay = max((finish - record.phase_began) / steps_left, SPREAD_TIME)
     if situation.now - record.phase_began < stay:
         return record
-    if situation.phase_calls < pace.step_calls:
+    if situation.phase_calls < policy.step_calls:
         return record
-    if record.step + 1 >= len(pace.steps):
+    if record.step + 1 >= len(policy.steps):
         if situation.capacity < 1:
             return record
-        return end(record, MoveState.DONE, Reason.PROVEN)
-    if situation.capacity < pace.steps[record.step + 1]:
+        return end(record, MoveState.DONE, MoveEndReason.PROVEN)
+    if situation.capacity < policy.steps[record.step + 1]:
         return record
     return _enter(record, situation, step=record.step + 1)
 
 
-def _usable(record: MoveRecord, situation: Situation, pace: Pace) -> timedelta:
+def _usable(record: MoveRecord, situation: Situation, policy: MovePolicy) -> timedelta:
     left = situation.last_return - record.started
     aim = situation.finish_by - record.started
-    return min(max(aim, left / 2), left, pace.longest)
+    return min(max(aim, left / 2), left, policy.longest)
 
 
-def _find_trial_end(record: MoveRecord, situation: Situation, pace: Pace) -> datetime:
-    return record.started + _usable(record, situation, pace) * pace.trial_part
+def _find_trial_end(
+    record: MoveRecord, situation: Situation, policy: MovePolicy
+) -> datetime:
+    return record.started + _usable(record, situation, policy) * policy.trial_part
 
 
 def _enter(
--- a/libs/rollout/fireflyhitch_rollout/brief.py
+++ b/libs/rollout/fireflyhitch_rollout/short_moves.py
@@ -37,11 +37,11 @@
     """How a move ends."""
 
     COMPLETED = 'completed'
-    TAKEN_BACK = 'taken-back'
+    ROLLED_BACK = 'taken-back'
 
 
 @immutable
-class Answers:
+class RouteResults:
     """Answers of one version on one route.
 
     :param failed: of them, failures and broken answers.
@@ -52,9 +52,9 @@
     failed: int = 0
     slow: int = 0
 
-    def add(self, other: 'Answers') -> 'Answers':
+    def add(self, other: 'RouteResults') -> 'RouteResults':
         """Return both together."""
-        return Answers(
+        return RouteResults(
             self.calls + other.calls,
             self.failed + other.failed,
             self.slow + other.slow,
@@ -69,8 +69,8 @@
     :param new: the new version's.
     """
 
-    old: Mapping[str, Answers]
-    new: Mapping[str, Answers]
+    old: Mapping[str, RouteResults]
+    new: Mapping[str, RouteResults]
 
     @property
     def new_calls(self) -> int:
@@ -85,20 +85,20 @@
     if _is_worse(total_new, total_old):
         return f'all routes: {total_new} against {total_old}'
     for route, answers in evidence.new.items():
-        old = evidence.old.get(route, Answers())
+        old = evidence.old.get(route, RouteResults())
         if _is_worse(answers, old):
             return f'{route}: {answers} against {old}'
     return None
 
 
-def find_share(evidence: MoveEvidence, exposure_part: float) -> float:
+def find_share(evidence: MoveEvidence, exposure_fraction: float) -> float:
     """Return the part of the requests that an untried version is to get.
 
-    :param exposure_part: what the platform allows over the whole move.
+    :param exposure_fraction: what the platform allows over the whole move.
     """
     if evidence.new_calls < FIRST_CALLS:
         return FIRST_SHARE
-    return exposure_part * SHARE_PART
+    return exposure_fraction * SHARE_PART
 
 
 def find_end(evidence: MoveEvidence, seconds: float, duration: float) -> MoveEnd | None:
@@ -108,24 +108,24 @@
     :param duration: seconds that the operator gave it.
     """
     if find_fault(evidence) is not None:
-        return MoveEnd.TAKEN_BACK
+        return MoveEnd.ROLLED_BACK
     enough = evidence.new_calls >= LEAST_CALLS
     if enough and seconds >= min(duration * DONE_PART, duration - END_SECONDS):
         return MoveEnd.COMPLETED
     if seconds >= duration - END_SECONDS:
         # Too little was seen to trust it with everything.
-        return MoveEnd.TAKEN_BACK
+        return MoveEnd.ROLLED_BACK
     return None
 
 
-def _sum(routes: Mapping[str, Answers]) -> Answers:
-    total = Answers()
+def _sum(routes: Mapping[str, RouteResults]) -> RouteResults:
+    total = RouteResults()
     for answers in routes.values():
         total = total.add(answers)
     return total
 
 
-def _is_worse(new: Answers, old: Answers) -> bool:
+def _is_worse(new: RouteResults, old: RouteResults) -> bool:
     failing = _exceeds(new.failed, new.calls, old.failed, old.calls)
     return failing or _exceeds(new.slow, new.calls, old.slow, old.calls)
 
--- a/libs/rollout/fireflyhitch_rollout/supplies.py
+++ b/libs/rollout/fireflyhitch_rollout/supplies.py
@@ -7,7 +7,7 @@
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.ids import VersionId
 from fireflyhitch_rollout.records import MoveRecord, MoveState
-from fireflyhitch_rollout.schedule import Pace
+from fireflyhitch_rollout.schedule import MovePolicy
 
 DEFAULT_START_TIME = timedelta(minutes=3)
 
@@ -36,7 +36,7 @@
 
 
 def find_needs(
-    record: MoveRecord | None, base: VersionId, pace: Pace
+    record: MoveRecord | None, base: VersionId, policy: MovePolicy
 ) -> tuple[VersionNeed, ...]:
     """Return what a deployment needs of each version.
 
@@ -47,5 +47,8 @@
         return (VersionNeed(base, 1),)
     # Servers take minutes to start, as long as a step; so all are ordered when
     # the first step begins.
-    part = 1.0 if record.state is MoveState.SHIFTING else pace.steps[1]
-    return (VersionNeed(base, 1, keep=True), VersionNeed(record.to_version, part))
+    traffic_fraction = 1.0 if record.state is MoveState.SHIFTING else policy.steps[1]
+    return (
+        VersionNeed(base, 1, scale_in_protected=True),
+        VersionNeed(record.to_version, traffic_fraction),
+    )
--- a/libs/rollout/fireflyhitch_rollout/wishes.py
+++ b/libs/rollout/fireflyhitch_rollout/wishes.py
@@ -14,7 +14,7 @@
 from datetime import datetime, timedelta
 
 from fireflyhitch_model.ids import VersionId
-from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
+from fireflyhitch_rollout.records import MoveEndReason, MoveRecord, MoveState
 from fireflyhitch_rollout.schedule import end
 from fireflyhitch_settings.schema import Deployment, VersionMove
 
@@ -67,17 +67,17 @@
 ) -> MoveRecord:
     move = deployment.move
     if deployment.version == record.to_version:
-        return _end(record, MoveState.DONE, Reason.CONFIRMED, configured)
+        return _end(record, MoveState.DONE, MoveEndReason.CONFIRMED, configured)
     if move is None:
-        return _end(record, MoveState.UNDONE, Reason.CANCELLED, configured)
+        return _end(record, MoveState.ROLLED_BACK, MoveEndReason.CANCELLED, configured)
     if (move.to_version, deployment.version) != (record.to_version, record.named):
-        return _end(record, MoveState.UNDONE, Reason.REPLACED, configured)
+        return _end(record, MoveState.ROLLED_BACK, MoveEndReason.REPLACED, configured)
     if move.move_by == record.move_by:
         return record
     changes = {'move_by': move.move_by, 'configured': configured}
     moved = record.model_copy(update=changes)
     if reach >= move.move_by:
-        return end(moved, MoveState.UNDONE, Reason.BROUGHT_FORWARD)
+        return end(moved, MoveState.ROLLED_BACK, MoveEndReason.BROUGHT_FORWARD)
     return moved
 
 
@@ -103,7 +103,7 @@
         withdrawn=withdrawn,
     )
     if move.to_version in withdrawn:
-        return end(begun, MoveState.UNDONE, Reason.FAULTY_BEFORE)
+        return end(begun, MoveState.ROLLED_BACK, MoveEndReason.FAULTY_BEFORE)
     return begun
 
 
@@ -114,7 +114,7 @@
 
 
 def _end(
-    record: MoveRecord, state: MoveState, reason: Reason, configured: int
+    record: MoveRecord, state: MoveState, reason: MoveEndReason, configured: int
 ) -> MoveRecord:
     ended = end(record, state, reason)
     return ended.model_copy(update={'configured': configured})
--- a/libs/rollout/tests/conftest.py
+++ b/libs/rollout/tests/conftest.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_model.states import MachineClass, Priority
-from fireflyhitch_rollout.evidence import EvidenceBook
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.evidence import EvidenceCollector
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.shares import VersionPicker
 from fireflyhitch_rollout.supplies import Supply
 from fireflyhitch_settings.schema import (
@@ -63,12 +63,12 @@
     def __init__(self, number, site):
         here = Daemon(f'd{number}', DOMAINS[number % len(DOMAINS)], '', '')
         self.messenger = site.network.join(here)
-        self.duties = DutyKeeper(
+        self.duties = DutyManager(
             site.store, site.clock, here.daemon_id, self.messenger.live
         )
-        self.book = EvidenceBook(here, self.messenger, site.clock)
+        self.book = EvidenceCollector(here, self.messenger, site.clock)
         self.picker = VersionPicker()
-        self.keeper = MoveKeeper(
+        self.keeper = MoveManager(
             here,
             site.store,
             self.messenger,
@@ -124,7 +124,7 @@
         servers = [make_server(number, 'v1') for number in range(old)]
         servers += [make_server(number, 'v2') for number in range(new)]
         for node in self.nodes:
-            node.keeper.observe({NAME: Supply(tuple(servers), needed)})
+            node.keeper.update_supplies({NAME: Supply(tuple(servers), needed)})
 
     def step(self, seconds=1.0, calls=6, nodes=None):
         self.clock.advance(timedelta(seconds=seconds))
--- a/libs/rollout/tests/test_brief.py
+++ b/libs/rollout/tests/test_brief.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from fireflyhitch_rollout.brief import (
-    Answers,
+from fireflyhitch_rollout.short_moves import (
     MoveEnd,
     MoveEvidence,
+    RouteResults,
     find_end,
     find_fault,
     find_share,
@@ -26,8 +26,8 @@
     :param from_second: at which the fault begins.
     :returns: how it ended, and how many requests the new version got.
     """
-    old = Answers()
-    new = Answers()
+    old = RouteResults()
+    new = RouteResults()
     now = 0.0
     while True:
         now += 1 / 30
@@ -38,9 +38,9 @@
         failed = draw.random() < RATE
         if draw.random() < find_share(evidence, 0.1):
             bad = now >= from_second and draw.random() < failing
-            new = new.add(Answers(1, int(failed or bad)))
+            new = new.add(RouteResults(1, int(failed or bad)))
         else:
-            old = old.add(Answers(1, int(failed)))
+            old = old.add(RouteResults(1, int(failed)))
 
 
 class TestMoves:
@@ -67,20 +67,20 @@
 
 class TestVerdict:
     def test_three_failures_of_a_clean_service_are_enough(self) -> None:
-        old = {'r': Answers(100, 0)}
-        assert find_fault(MoveEvidence(old, {'r': Answers(3, 3)})) is not None
-        assert find_fault(MoveEvidence(old, {'r': Answers(2, 2)})) is None
+        old = {'r': RouteResults(100, 0)}
+        assert find_fault(MoveEvidence(old, {'r': RouteResults(3, 3)})) is not None
+        assert find_fault(MoveEvidence(old, {'r': RouteResults(2, 2)})) is None
 
     def test_a_fault_on_one_route_is_not_hidden_by_the_others(self) -> None:
-        old = {'a': Answers(500, 10), 'b': Answers(50, 1)}
-        new = {'a': Answers(300, 6), 'b': Answers(6, 5)}
+        old = {'a': RouteResults(500, 10), 'b': RouteResults(50, 1)}
+        new = {'a': RouteResults(300, 6), 'b': RouteResults(6, 5)}
         assert 'b:' in (find_fault(MoveEvidence(old, new)) or '')
 
     def test_slow_answers_are_a_fault(self) -> None:
-        old = {'r': Answers(100, 0, 1)}
-        assert find_fault(MoveEvidence(old, {'r': Answers(8, 0, 6)})) is not None
+        old = {'r': RouteResults(100, 0, 1)}
+        assert find_fault(MoveEvidence(old, {'r': RouteResults(8, 0, 6)})) is not None
 
     def test_too_little_to_judge_is_taken_back_by_its_date(self) -> None:
-        evidence = MoveEvidence({'r': Answers(100, 0)}, {'r': Answers(2, 0)})
+        evidence = MoveEvidence({'r': RouteResults(100, 0)}, {'r': RouteResults(2, 0)})
         assert find_end(evidence, 9.5, SECONDS) is None
-        assert find_end(evidence, 10.1, SECONDS) is MoveEnd.TAKEN_BACK
+        assert find_end(evidence, 10.1, SECONDS) is MoveEnd.ROLLED_BACK
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -9,7 +9,7 @@
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_model.states import MachineClass, Priority
-from fireflyhitch_rollout.evidence import EvidenceBook, Trial
+from fireflyhitch_rollout.evidence import EvidenceCollector, Trial
 from fireflyhitch_standins.peers import MemoryPeerNetwork
 
 NAME = 'answers'
@@ -42,7 +42,7 @@
         for number in range(12):
             here = Daemon(f'd{number}', f'domain-{number % 3}', '', '')
             messenger = self.network.join(here)
-            self.books.append(EvidenceBook(here, messenger, self.clock))
+            self.books.append(EvidenceCollector(here, messenger, self.clock))
         for book in self.books:
             book.watch({NAME: Trial('v1', 'v2')})
 
@@ -53,7 +53,7 @@
                 book.step()
 
     def counts(self):
-        return [book.find_judge(NAME).count_new() for book in self.books]
+        return [book.find_test(NAME).count_new() for book in self.books]
 
 
 @pytest.fixture
--- a/libs/rollout/tests/test_machine.py
+++ b/libs/rollout/tests/test_machine.py
@@ -15,15 +15,15 @@
 
 from fireflyhitch_model.invariants import count_violations
 from fireflyhitch_rollout.records import STATE_RANK, MoveRecord, MoveState
-from fireflyhitch_rollout.schedule import Pace, find_share
+from fireflyhitch_rollout.schedule import MovePolicy, find_share
 from fireflyhitch_standins.faults import Fault
 
 SHORT_PACE = replace(
-    Pace(),
+    MovePolicy(),
     burst_period=timedelta(seconds=40),
-    burst_part=0.1,
+    burst_fraction=0.1,
     base_share=0.05,
-    least_calls=5,
+    min_calls=5,
     step_calls=3,
 )
 BOUNDED = settings(
@@ -53,7 +53,7 @@
         self.best = None
         self.allowed = {}
         for node in self.site.nodes:
-            node.keeper.pace = SHORT_PACE
+            node.keeper.policy = SHORT_PACE
 
     def teardown(self):
         logger.enable('fireflyhitch_rollout')
@@ -156,4 +156,4 @@
         site = site_type()
         site.move(minutes=2)
         site.run(180)
-        assert MoveState(site.states().pop()) in {MoveState.DONE, MoveState.UNDONE}
+        assert MoveState(site.states().pop()) in {MoveState.DONE, MoveState.ROLLED_BACK}
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -5,17 +5,17 @@
 import pytest
 
 from fireflyhitch_model.errors import InvariantError
-from fireflyhitch_rollout.moves import find_duty
-from fireflyhitch_rollout.records import MoveState, Reason, merge_records
+from fireflyhitch_rollout.moves import make_duty_id
+from fireflyhitch_rollout.records import MoveEndReason, MoveState, merge_records
 from fireflyhitch_settings.schema import VersionMove
 from fireflyhitch_standins.faults import Fault
 
 DONE = {'done'}
-UNDONE = {'undone'}
+ROLLED_BACK = {'undone'}
 
 
 def find_holder(site):
-    duty = find_duty('answers')
+    duty = make_duty_id('answers')
     return next(node for node in site.nodes if node.duties.holds(duty) is not None)
 
 
@@ -47,9 +47,9 @@
         site.fault_rate = 0.5
         site.move()
         site.run(300)
-        assert site.states() == UNDONE
+        assert site.states() == ROLLED_BACK
         report = site.nodes[0].report
-        assert report.reason is Reason.FAULT
+        assert report.reason is MoveEndReason.FAULT
         assert 'failing on' in report.evidence[0]
         assert '"undone"' in read_stored(site)
 
@@ -64,12 +64,12 @@
         site.supply(5, 0)
         site.move(minutes=10)
         site.run(11 * 60, step=4)
-        assert site.nodes[0].report.reason is Reason.NEVER_READY
+        assert site.nodes[0].report.reason is MoveEndReason.NEVER_READY
 
     def test_no_traffic_ends_it_undone_and_says_so(self, site):
         site.move(minutes=10)
         site.run(11 * 60, step=4, calls=0)
-        assert site.nodes[0].report.reason is Reason.UNPROVEN
+        assert site.nodes[0].report.reason is MoveEndReason.UNPROVEN
 
     def test_withdrawn_version_stays_when_named_again(self, site):
         """The operator names the withdrawn version once more, with a new date.
@@ -82,7 +82,7 @@
         site.fault_rate = 0
         site.move(minutes=90)
         site.run(60)
-        assert site.nodes[0].report.reason is Reason.FAULTY_BEFORE
+        assert site.nodes[0].report.reason is MoveEndReason.FAULTY_BEFORE
         assert {site.serve(node) for node in site.nodes} == {'v1'}
 
 
@@ -99,7 +99,7 @@
         moving.configure(move=None)
         assert [node.share for node in moving.nodes] == [0, 0, 0]
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.CANCELLED
+        assert moving.nodes[0].report.reason is MoveEndReason.CANCELLED
 
     def test_other_version_replaces_the_move(self, moving):
         moving.move('v3', minutes=60)
@@ -111,14 +111,14 @@
     def test_new_version_made_current_is_done(self, moving):
         moving.configure(version='v2')
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.CONFIRMED
+        assert moving.nodes[0].report.reason is MoveEndReason.CONFIRMED
         assert moving.serve(moving.nodes[0]) == 'v2'
 
     def test_date_brought_forward_past_the_way_back_is_undone(self, moving):
         moving.move(minutes=0.1)
         assert [node.share for node in moving.nodes] == [0, 0, 0]
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.BROUGHT_FORWARD
+        assert moving.nodes[0].report.reason is MoveEndReason.BROUGHT_FORWARD
 
     def test_date_brought_forward_within_reach_is_kept(self, moving):
         moving.move(minutes=30)
@@ -136,7 +136,7 @@
         ahead = [node for node in moving.nodes if node is not behind]
         moving.configure(nodes=ahead, move=None)
         moving.run(10)
-        assert behind.report.reason is Reason.CANCELLED
+        assert behind.report.reason is MoveEndReason.CANCELLED
 
     def test_holder_with_an_older_configuration_raises_nowhere_else(self, moving):
         """Only the holder has not heard that the operator took the move out.
@@ -151,7 +151,7 @@
         assert [node.share for node in ahead] == [0, 0]
         moving.configure(move=None)
         moving.run(10)
-        assert moving.states() == UNDONE
+        assert moving.states() == ROLLED_BACK
 
     def test_back_to_the_old_version_after_done(self, site):
         site.move(minutes=20)
@@ -182,7 +182,7 @@
         assert alone.share <= known
         site.fault_rate = 1
         site.run(1500)
-        assert site.states() == UNDONE
+        assert site.states() == ROLLED_BACK
         site.network.cut.clear()
         site.run(30)
         assert [node.share for node in site.nodes] == [0, 0, 0]
@@ -200,7 +200,7 @@
         site.run(20 * 60, step=4)
         site.network.cut.clear()
         site.run(40)
-        assert site.states() == UNDONE
+        assert site.states() == ROLLED_BACK
         assert '"undone"' in read_stored(site)
 
     def test_store_outage_holds_the_share_and_the_date(self, site):
@@ -216,7 +216,9 @@
         site.run(15 * 60, step=4)
         assert max(node.share for node in site.nodes) <= known
         site.run(4 * 60 + 54)
-        assert {node.report.reason for node in site.nodes} == {Reason.UNCONFIRMED}
+        assert {node.report.reason for node in site.nodes} == {
+            MoveEndReason.UNCONFIRMED
+        }
         assert [node.share for node in site.nodes] == [0, 0, 0]
         site.store.faults.lift()
         site.run(60)
@@ -274,12 +276,12 @@
         site.run(120)
         site.network.cut.clear()
         site.run(400)
-        assert site.states() == UNDONE
+        assert site.states() == ROLLED_BACK
 
     def test_batch_sent_again_counts_once(self, site):
         site.move()
         site.run(600)
-        counts = [node.book.find_judge('answers').count_new() for node in site.nodes]
+        counts = [node.book.find_test('answers').count_new() for node in site.nodes]
         assert max(counts) - min(counts) <= 6
 
     def test_wall_clock_jump_ends_no_move(self, site):
@@ -341,7 +343,7 @@
         done = record.model_copy(update={'state': MoveState.DONE})
         withdrawn = record.model_copy(update={'withdrawn': ('v2',)})
         assert merge_records(done, withdrawn) == merge_records(withdrawn, done)
-        assert merge_records(done, withdrawn).state is MoveState.UNDONE
+        assert merge_records(done, withdrawn).state is MoveState.ROLLED_BACK
 
     def test_new_attempt_is_ahead_of_the_old(self, site):
         site.move(minutes=1)
--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -31,7 +31,7 @@
 MOST_TOLD = 32
 
 
-class ServerEnd(NamedTuple):
+class ServerCrash(NamedTuple):
     """A server's process that ended while a request ran there.
 
     :param at: monotonic seconds.
@@ -42,19 +42,19 @@
     began: float
 
 
-class CrashNote(NamedTuple):
+class CrashReport(NamedTuple):
     """What a daemon tells of one request.
 
-    :param ends: rows of a server's process, seconds since it ended, and seconds that the
+    :param crashes: rows of a server's process, seconds since it ended, and seconds that the
         request had run there.
     :param answered: seconds since the request was last answered whole, if it was.
     """
 
-    ends: list[tuple[ProcessId, float, float]]
+    crashes: list[tuple[ProcessId, float, float]]
     answered: float | None = None
 
 
-CrashNotes = Mapping[ContentId, CrashNote]
+CrashReports = Mapping[ContentId, CrashReport]
 
 
 @dataclass(slots=True)
@@ -64,35 +64,35 @@
     :param answered_at: monotonic seconds at which it was last answered whole.
     """
 
-    ends: dict[ProcessId, ServerEnd] = field(default_factory=dict)
+    crashes: dict[ProcessId, ServerCrash] = field(default_factory=dict)
     answered_at: float = float('-inf')
     telling: Telling = field(default_factory=Telling)
 
-    def find_unanswered(self) -> dict[ProcessId, ServerEnd]:
+    def find_unanswered(self) -> dict[ProcessId, ServerCrash]:
         """Return the ends that no whole answer of the request speaks against."""
         since = self.answered_at + ANSWERED_SECONDS
-        return {process: end for process, end in self.ends.items() if end.at > since}
+        return {process: end for process, end in self.crashes.items() if end.at > since}
 
-    def describe(self, now: float) -> CrashNote:
+    def describe(self, now: float) -> CrashReport:
         """Return what others are told."""
         answered = now - self.answered_at
-        return CrashNote(
+        return CrashReport(
             [
                 (process, round(now - end.at, 2), round(end.at - end.began, 2))
-                for process, end in self.ends.items()
+                for process, end in self.crashes.items()
             ],
             round(answered, 2) if answered < ANSWERED_SECONDS else None,
         )
 
-    def take_end(self, process: ProcessId, end: ServerEnd) -> bool:
+    def take_end(self, process: ProcessId, end: ServerCrash) -> bool:
         """Take in an end; tell whether it was not known."""
-        if process in self.ends:
+        if process in self.crashes:
             return False
-        self.ends[process] = end
-        if len(self.ends) > MOST_ENDS:
-            oldest = min(self.ends, key=lambda known: self.ends[known])
-            del self.ends[oldest]
-        return process in self.ends
+        self.crashes[process] = end
+        if len(self.crashes) > MOST_ENDS:
+            oldest = min(self.crashes, key=lambda known: self.crashes[known])
+            del self.crashes[oldest]
+        return process in self.crashes
 
     def take_answer(self, at: float) -> bool:
         """Take in a whole answer; tell whether that is news."""
@@ -100,10 +100,10 @@
         self.answered_at = max(self.answered_at, at)
         return is_news
 
-    def knows_more_than(self, note: CrashNote, now: float) -> bool:
+    def knows_more_than(self, note: CrashReport, now: float) -> bool:
         """Tell whether there is something here that a teller does not know."""
-        told = {process for process, _, _ in note.ends}
-        if self.ends.keys() - told:
+        told = {process for process, _, _ in note.crashes}
+        if self.crashes.keys() - told:
             return True
         answered = float('inf') if note.answered is None else note.answered
         return (
@@ -112,7 +112,7 @@
         )
 
 
-class CrashBook:
+class CrashTracker:
     """The evidence of this daemon and of those that told it theirs."""
 
     def __init__(self) -> None:
@@ -137,8 +137,8 @@
         strong.sort(key=lambda row: (-row[1], row[0]))
         return [content for content, _ in strong]
 
-    def note_end(
-        self, content: ContentId, process: ProcessId, end: ServerEnd, now: float
+    def record_crash(
+        self, content: ContentId, process: ProcessId, end: ServerCrash, now: float
     ) -> None:
         """Take in that a server ended while a request of this daemon ran there.
 
@@ -149,7 +149,7 @@
             suspect.telling.note_own(now)
             self._note_change(content, suspect, now)
 
-    def note_answer(self, content: ContentId, now: float) -> None:
+    def record_response(self, content: ContentId, now: float) -> None:
         """Take in that a request of this daemon was answered whole."""
         self._answered[content] = now
         suspect = self._suspects.get(content)
@@ -157,12 +157,12 @@
             suspect.telling.note_own(now)
             self._note_change(content, suspect, now)
 
-    def take(self, notes: CrashNotes, now: float) -> None:
+    def take(self, notes: CrashReports, now: float) -> None:
         """Take in what another daemon tells."""
         for content, note in notes.items():
             self._take_note(content, note, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashNote]:
+    def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashReport]:
         """Return what is new, the requests under which most servers ended first.
 
         :param heard: whether also what others told, for those who do not hear them.
@@ -178,17 +178,17 @@
             if self._suspects[content].telling.is_due(now, heard=heard)
         ]
         told.sort(
-            key=lambda row: (-len(row[1].ends), -row[1].telling.changed_at, row[0])
+            key=lambda row: (-len(row[1].crashes), -row[1].telling.changed_at, row[0])
         )
         return {content: suspect.describe(now) for content, suspect in told[:MOST_TOLD]}
 
-    def _take_note(self, content: ContentId, note: CrashNote, now: float) -> None:
+    def _take_note(self, content: ContentId, note: CrashReport, now: float) -> None:
         suspect = self._find(content)
-        ends = [
-            (process, ServerEnd(now - age, now - age - ran))
-            for process, age, ran in note.ends
+        crashes = [
+            (process, ServerCrash(now - age, now - age - ran))
+            for process, age, ran in note.crashes
         ]
-        is_news = [suspect.take_end(process, end) for process, end in ends]
+        is_news = [suspect.take_end(process, end) for process, end in crashes]
         if note.answered is not None:
             is_news.append(suspect.take_answer(now - note.answered))
         if suspect.knows_more_than(note, now) and suspect.telling.own_until < now:
@@ -216,18 +216,18 @@
     def _note_change(self, content: ContentId, suspect: Suspect, now: float) -> None:
         suspect.telling.changed_at = now
         self._fresh.add(content)
-        if len(suspect.ends) > 1:
-            self._by_ends[content] = len(suspect.ends)
+        if len(suspect.crashes) > 1:
+            self._by_ends[content] = len(suspect.crashes)
 
 
-def count_rounds(ends: Iterable[ServerEnd]) -> int:
+def count_rounds(crashes: Iterable[ServerCrash]) -> int:
     """Return how often a request was sent again after a server had ended under it.
 
     Servers that end in the same moment have ended for one reason; it counts once.
     """
     rounds = 0
     last = float('-inf')
-    for end in sorted(ends):
+    for end in sorted(crashes):
         if end.began > last:
             rounds += 1
             last = end.at
--- a/libs/routing/fireflyhitch_routing/quarantine.py
+++ b/libs/routing/fireflyhitch_routing/quarantine.py
@@ -17,7 +17,12 @@
 from loguru import logger
 
 from fireflyhitch_model.ids import ContentId, ProcessId
-from fireflyhitch_routing.crashes import CrashBook, ServerEnd, Suspect, count_rounds
+from fireflyhitch_routing.crashes import (
+    CrashTracker,
+    ServerCrash,
+    Suspect,
+    count_rounds,
+)
 
 # Ended under a request, it is held.
 ENDS_TO_HOLD = 3
@@ -45,13 +50,13 @@
 class Quarantine:
     """Holds requests by the evidence in a book."""
 
-    def __init__(self, book: CrashBook) -> None:
+    def __init__(self, book: CrashTracker) -> None:
         """Make a quarantine of nothing."""
         self._book = book
         self._held: dict[ContentId, Hold] = {}
         self._seen_at: dict[ContentId, float] = {}
 
-    def find_wait(self, content: ContentId, now: float) -> float | None:
+    def find_remaining_hold(self, content: ContentId, now: float) -> float | None:
         """Return the seconds for which a request is held back, if it is."""
         hold = self._held.get(content)
         if hold is None or hold.until <= now:
@@ -62,7 +67,7 @@
         """Return the requests that are held back."""
         return self._held
 
-    def take_hold(self, content: ContentId, hold: Hold) -> None:
+    def add_hold(self, content: ContentId, hold: Hold) -> None:
         """Hold a request that others have found to end servers."""
         if content not in self._held and len(self._held) < MOST_HELD:
             self._hold(content, hold, 'told')
@@ -84,16 +89,19 @@
         suspect = self._book.find(content)
         if suspect is None:
             return
-        ends = self._find_unexplained(suspect)
-        if len(ends) < ENDS_TO_HOLD or count_rounds(ends.values()) < ROUNDS_TO_HOLD:
+        crashes = self._find_unexplained(suspect)
+        if (
+            len(crashes) < ENDS_TO_HOLD
+            or count_rounds(crashes.values()) < ROUNDS_TO_HOLD
+        ):
             return
-        if len(ends) < ENDS_OF_CERTAINTY and self._has_rival(content, ends):
+        if len(crashes) < ENDS_OF_CERTAINTY and self._has_rival(content, crashes):
             return
-        until = max(end.at for end in ends.values()) + HOLD_SECONDS
+        until = max(end.at for end in crashes.values()) + HOLD_SECONDS
         if until > now and len(self._held) < MOST_HELD:
-            self._hold(content, Hold(until, frozenset(ends)), 'seen')
+            self._hold(content, Hold(until, frozenset(crashes)), 'seen')
 
-    def _find_unexplained(self, suspect: Suspect) -> dict[ProcessId, ServerEnd]:
+    def _find_unexplained(self, suspect: Suspect) -> dict[ProcessId, ServerCrash]:
         held = (hold.processes for hold in self._held.values())
         explained = frozenset[ProcessId]().union(*held)
         return {
--- a/libs/routing/fireflyhitch_routing/router.py
+++ b/libs/routing/fireflyhitch_routing/router.py
@@ -78,7 +78,7 @@
                 )
                 known.target = Target.of_deployment(deployment)
 
-    def share_with(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Tell how many daemons, this one included, use the same servers.
 
         The others are taken to act as this one on the same late reports.
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -45,7 +45,7 @@
     return rate if math.isfinite(rate) and rate >= 0 else None
 
 
-class LimitNote(NamedTuple):
+class LimitReport(NamedTuple):
     """What a daemon tells of a server's process.
 
     :param rate: requests a second; ``None`` if it names none any more.
@@ -56,7 +56,7 @@
     age: float
 
 
-LimitNotes = Mapping[ProcessId, LimitNote]
+LimitReports = Mapping[ProcessId, LimitReport]
 
 
 @dataclass(slots=True)
@@ -116,7 +116,7 @@
         self._named: set[ProcessId] = set()
         self._hashes: dict[str, int] = {}
 
-    def note_answer(
+    def record_response(
         self,
         process: ProcessId,
         server: BackendServerId,
@@ -141,7 +141,7 @@
         self._set(process, known, rate, now, now)
         known.telling.note_own(now)
 
-    def take(self, notes: LimitNotes, now: float) -> None:
+    def take(self, notes: LimitReports, now: float) -> None:
         """Take in what another daemon tells; the last that the server said holds."""
         for process, note in notes.items():
             known = self._limits.get(process)
@@ -151,7 +151,7 @@
             if at > known.at:
                 self._set(process, known, note.rate, at, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitNote]:
+    def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitReport]:
         """Return what servers said to this daemon lately.
 
         :param heard: whether also what they said to others.
@@ -164,12 +164,12 @@
         ]
         fresh.sort(key=lambda row: row[1].at, reverse=True)
         return {
-            process: LimitNote(limit.rate, round(now - limit.at, 2))
+            process: LimitReport(limit.rate, round(now - limit.at, 2))
             for process, limit in fresh[:MOST_TOLD]
         }
 
     @property
-    def are_named(self) -> bool:
+    def has_limits(self) -> bool:
         """Tell whether there is a server that names a limit."""
         return bool(self._named)
 
@@ -181,13 +181,13 @@
         self._turn_slot(process, limit)
         return limit.count() > 0
 
-    def note_sent(self, process: ProcessId) -> None:
+    def record_sent(self, process: ProcessId) -> None:
         """Use a turn."""
         limit = self._limits.get(process)
         if limit is not None and limit.count() > 0:
             limit.take()
 
-    def find_own_rate(self, process: ProcessId) -> float:
+    def find_local_rate(self, process: ProcessId) -> float:
         """Return the requests a second that this daemon may send to a server."""
         limit = self._limits.get(process)
         if limit is None or limit.rate is None:
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -12,8 +12,8 @@
     MOST_ENDS,
     MOST_SUSPECTS,
     MOST_TOLD,
-    CrashBook,
-    ServerEnd,
+    CrashTracker,
+    ServerCrash,
     count_rounds,
 )
 from fireflyhitch_routing.quarantine import HOLD_SECONDS, Hold, Quarantine
@@ -28,7 +28,7 @@
     """Daemons that see servers end, and tell each other."""
 
     def __init__(self, count: int = 1) -> None:
-        self.books = [CrashBook() for _ in range(count)]
+        self.books = [CrashTracker() for _ in range(count)]
         self.quarantines = [Quarantine(book) for book in self.books]
         self.now = 100.0
         self.ended = 0
@@ -38,8 +38,8 @@
         self.ended += 1
         process = ProcessId(self.ended)
         for content in contents:
-            end = ServerEnd(self.now, self.now - ran)
-            self.books[at].note_end(content, process, end, self.now)
+            end = ServerCrash(self.now, self.now - ran)
+            self.books[at].record_crash(content, process, end, self.now)
         self.now += 1
         self.tell()
 
@@ -55,7 +55,9 @@
 
     def count_holding(self, content: ContentId) -> int:
         """Return how many daemons hold a request back."""
-        waits = (found.find_wait(content, self.now) for found in self.quarantines)
+        waits = (
+            found.find_remaining_hold(content, self.now) for found in self.quarantines
+        )
         return sum(wait is not None for wait in waits)
 
 
@@ -110,13 +112,13 @@
         # It is at each server that another request ends, and is answered elsewhere.
         fleet = Fleet(5)
         for turn in range(40):
-            fleet.books[turn % 5].note_answer(HARMLESS, fleet.now)
+            fleet.books[turn % 5].record_response(HARMLESS, fleet.now)
             fleet.end_server((turn + 1) % 5, HARMLESS, ContentId(f'other-{turn}'))
             assert not fleet.count_holding(HARMLESS)
 
     def test_an_answer_before_the_first_end_speaks_for_it(self) -> None:
         fleet = Fleet(2)
-        fleet.books[1].note_answer(HARMLESS, fleet.now)
+        fleet.books[1].record_response(HARMLESS, fleet.now)
         for _ in range(4):
             fleet.end_server(0, HARMLESS)
         assert not fleet.count_holding(HARMLESS)
@@ -125,7 +127,7 @@
         fleet = Fleet()
         for _ in range(2 * MOST_ENDS):
             fleet.end_server(0, CRASHING)
-        fleet.books[0].note_answer(CRASHING, fleet.now)
+        fleet.books[0].record_response(CRASHING, fleet.now)
         fleet.now += 2 * HOLD_SECONDS
         fleet.tell()
         assert not fleet.count_holding(CRASHING)
@@ -135,7 +137,7 @@
 
     def test_what_was_answered_long_ago_may_end_servers_now(self) -> None:
         fleet = Fleet()
-        fleet.books[0].note_answer(CRASHING, fleet.now)
+        fleet.books[0].record_response(CRASHING, fleet.now)
         fleet.now += ANSWERED_SECONDS + 1
         for _ in range(3):
             fleet.end_server(0, CRASHING)
@@ -145,8 +147,8 @@
         # A failure domain loses power while a request is at five of its servers.
         fleet = Fleet()
         for number in range(5):
-            end = ServerEnd(fleet.now, fleet.now - 0.3)
-            fleet.books[0].note_end(HARMLESS, ProcessId(number), end, fleet.now)
+            end = ServerCrash(fleet.now, fleet.now - 0.3)
+            fleet.books[0].record_crash(HARMLESS, ProcessId(number), end, fleet.now)
         fleet.tell()
         assert not fleet.count_holding(HARMLESS)
 
@@ -154,20 +156,20 @@
         fleet = Fleet()
         for _ in range(2):
             fleet.end_server(0, CRASHING)
-        end = ServerEnd(fleet.now, fleet.now - 0.1)
-        fleet.books[0].note_end(CRASHING, ProcessId(9), end, fleet.now)
+        end = ServerCrash(fleet.now, fleet.now - 0.1)
+        fleet.books[0].record_crash(CRASHING, ProcessId(9), end, fleet.now)
         quarantine = fleet.quarantines[0]
         quarantine.review(fleet.now, SETTLED)
-        assert quarantine.find_wait(CRASHING, fleet.now) is None
+        assert quarantine.find_remaining_hold(CRASHING, fleet.now) is None
         quarantine.review(fleet.now + SETTLED, SETTLED)
-        assert quarantine.find_wait(CRASHING, fleet.now) is not None
+        assert quarantine.find_remaining_hold(CRASHING, fleet.now) is not None
 
     def test_an_answer_that_was_under_way_releases_it(self) -> None:
         fleet = Fleet(2)
         for _ in range(3):
             fleet.end_server(0, HARMLESS)
         assert fleet.count_holding(HARMLESS) == 2
-        fleet.books[1].note_answer(HARMLESS, fleet.now)
+        fleet.books[1].record_response(HARMLESS, fleet.now)
         fleet.tell()
         assert not fleet.count_holding(HARMLESS)
 
@@ -183,8 +185,8 @@
     def test_a_hold_that_the_store_tells_counts_at_once(self) -> None:
         fleet = Fleet()
         hold = Hold(fleet.now + 10, frozenset((ProcessId(1),)))
-        fleet.quarantines[0].take_hold(CRASHING, hold)
-        assert fleet.quarantines[0].find_wait(CRASHING, fleet.now) == 10
+        fleet.quarantines[0].add_hold(CRASHING, hold)
+        assert fleet.quarantines[0].find_remaining_hold(CRASHING, fleet.now) == 10
 
 
 class TestTelling:
@@ -195,7 +197,7 @@
         fleet.end_server(0, CRASHING)
         fleet.end_server(0, CRASHING)
         fleet.now += 10 * TELL_SECONDS
-        fleet.books[1] = CrashBook()
+        fleet.books[1] = CrashTracker()
         fleet.quarantines[1] = Quarantine(fleet.books[1])
         fleet.end_server(1, CRASHING)
         fleet.tell()
@@ -205,24 +207,24 @@
     def test_order_and_repeats_of_what_is_told_do_not_matter(
         self, draw: random.Random, count: int
     ) -> None:
-        tellers = [CrashBook() for _ in range(3)]
+        tellers = [CrashTracker() for _ in range(3)]
         for number in range(count):
-            end = ServerEnd(number / 10, number / 10 - 0.05)
-            draw.choice(tellers).note_end(CRASHING, ProcessId(number), end, end.at)
+            end = ServerCrash(number / 10, number / 10 - 0.05)
+            draw.choice(tellers).record_crash(CRASHING, ProcessId(number), end, end.at)
         told = [teller.tell(1, heard=False) for teller in (*tellers, *tellers)]
         draw.shuffle(told)
-        book = CrashBook()
+        book = CrashTracker()
         for notes in told:
             book.take(notes, 1)
         suspect = book.find(CRASHING)
         assert suspect is not None
-        assert suspect.ends.keys() == set(range(count))
+        assert suspect.crashes.keys() == set(range(count))
 
     def test_an_end_that_was_found_late_is_told_all_the_same(self) -> None:
         # A server whose whole instance is gone is silent until it is listed no more.
-        teller, other = CrashBook(), CrashBook()
-        end = ServerEnd(10, 9.9)
-        teller.note_end(CRASHING, ProcessId(1), end, 10 + 3 * TELL_SECONDS)
+        teller, other = CrashTracker(), CrashTracker()
+        end = ServerCrash(10, 9.9)
+        teller.record_crash(CRASHING, ProcessId(1), end, 10 + 3 * TELL_SECONDS)
         other.take(teller.tell(10 + 3 * TELL_SECONDS, heard=False), 20)
         assert other.find(CRASHING) is not None
 
@@ -240,17 +242,17 @@
     ) -> None:
         fleet = Fleet()
         for number in range(2 * MOST_SUSPECTS):
-            end = ServerEnd(fleet.now, fleet.now - 1)
+            end = ServerCrash(fleet.now, fleet.now - 1)
             content = ContentId(f'r{number}')
-            fleet.books[0].note_end(content, ProcessId(number), end, fleet.now)
+            fleet.books[0].record_crash(content, ProcessId(number), end, fleet.now)
         assert len(fleet.books[0].all()) == MOST_SUSPECTS
         assert len(fleet.books[0].tell(fleet.now, heard=True)) == MOST_TOLD
 
 
 class TestRounds:
     def test_a_run_that_began_before_the_last_end_is_of_the_same_round(self) -> None:
-        ends = [ServerEnd(1, 0), ServerEnd(1.2, 0.9), ServerEnd(3, 2)]
-        assert count_rounds(ends) == 2
+        crashes = [ServerCrash(1, 0), ServerCrash(1.2, 0.9), ServerCrash(3, 2)]
+        assert count_rounds(crashes) == 2
 
     def test_two_starts_of_one_server_are_two_processes(self) -> None:
         server = BackendServerId('i-1')
--- a/libs/routing/tests/test_router_machine.py
+++ b/libs/routing/tests/test_router_machine.py
@@ -29,7 +29,7 @@
         self.violations = count_violations()
         self.clock = ManualClock()
         self.router = Router(self.clock, 'daemon-1', random.Random(seed))
-        self.router.share_with(4)
+        self.router.set_daemon_count(4)
         self.incarnations = dict.fromkeys(['s0', 's1', 's2', 's3', 's4'], 1)
         self.leaving = set()
         self.tickets = []
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -44,13 +44,13 @@
         listed = known or self.names
         ahead = self.draw.uniform(-1, 1) * MOST_AHEAD_SECONDS
         limits = ServerLimits(name, lambda: listed, lambda: self.now + ahead)
-        limits.note_answer(PROCESS, SERVER, self.rate, self.now, self.now)
+        limits.record_response(PROCESS, SERVER, self.rate, self.now, self.now)
         return limits
 
     def ask(self, limits: ServerLimits) -> None:
         """Have one daemon send, if it may."""
         if limits.may_send(PROCESS):
-            limits.note_sent(PROCESS)
+            limits.record_sent(PROCESS)
             self.sent.append(self.now)
 
     def run(self, seconds: float, demand: float) -> None:
@@ -95,7 +95,7 @@
             fleet.run(STEP_SECONDS, demand=50)
             named = fleet.draw.uniform(0.8, 1.0)
             for limits in fleet.limits:
-                limits.note_answer(PROCESS, SERVER, named, fleet.now, fleet.now)
+                limits.record_response(PROCESS, SERVER, named, fleet.now, fleet.now)
         assert fleet.count_most() <= fleet.find_allowed()
 
     def test_a_surge_after_quiet_seconds_keeps_to_it(self) -> None:
@@ -123,7 +123,7 @@
         for _ in range(2000):
             for place, limits in enumerate(fleet.limits):
                 if limits.may_send(PROCESS):
-                    limits.note_sent(PROCESS)
+                    limits.record_sent(PROCESS)
                     turns[place] += 1
             fleet.now += 1
         assert sum(turns) == 2000
@@ -133,22 +133,22 @@
 class TestWhatServersName:
     def test_a_server_that_names_none_may_be_asked(self) -> None:
         limits = ServerLimits('a', lambda: ['a', 'b'], float)
-        limits.note_answer(PROCESS, SERVER, None, 0, 0)
-        assert not limits.are_named
+        limits.record_response(PROCESS, SERVER, None, 0, 0)
+        assert not limits.has_limits
         assert limits.may_send(PROCESS)
 
     def test_an_answer_without_it_ends_a_limit(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
-        limits.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
+        limits.record_response(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
         assert limits.may_send(PROCESS)
-        assert limits.find_own_rate(PROCESS) == float('inf')
+        assert limits.find_local_rate(PROCESS) == float('inf')
 
     def test_an_answer_to_a_request_sent_before_does_not_end_it(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
-        limits.note_answer(PROCESS, SERVER, None, fleet.now - 1, fleet.now + 2)
-        assert limits.find_own_rate(PROCESS) < 1
+        limits.record_response(PROCESS, SERVER, None, fleet.now - 1, fleet.now + 2)
+        assert limits.find_local_rate(PROCESS) < 1
 
     def test_a_server_that_takes_nothing_is_asked_now_and_again(self) -> None:
         fleet = Fleet(1, 0.0)
@@ -157,9 +157,9 @@
 
     def test_what_it_says_last_holds_in_whatever_order_it_is_told(self) -> None:
         teller = ServerLimits('a', lambda: ['a', 'b'], float)
-        teller.note_answer(PROCESS, SERVER, 2.0, 0, 0)
+        teller.record_response(PROCESS, SERVER, 2.0, 0, 0)
         early = teller.tell(0.1, heard=False)
-        teller.note_answer(PROCESS, SERVER, None, 1, 1)
+        teller.record_response(PROCESS, SERVER, None, 1, 1)
         late = teller.tell(1.1, heard=False)
         for notes in ((early, late), (late, early)):
             other = ServerLimits('b', lambda: ['a', 'b'], float)
@@ -172,21 +172,23 @@
                     },
                     at,
                 )
-            assert other.find_own_rate(PROCESS) == float('inf')
+            assert other.find_local_rate(PROCESS) == float('inf')
 
     def test_where_none_names_one_any_more_requests_cost_no_look(self) -> None:
         fleet = Fleet(2, 1.0)
         ended, gone = fleet.limits
-        ended.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
-        assert not ended.are_named
-        assert gone.are_named
+        ended.record_response(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
+        assert not ended.has_limits
+        assert gone.has_limits
         gone.tell(fleet.now + 2 * KEPT_SECONDS, heard=False)
-        assert not gone.are_named
+        assert not gone.has_limits
 
     def test_it_is_told_for_a_while_and_stays_bounded(self) -> None:
         limits = ServerLimits('a', lambda: ['a'], float)
         for number in range(MOST_KNOWN + 10):
-            limits.note_answer(ProcessId(number), SERVER, 1.0, number, number / 1000)
+            limits.record_response(
+                ProcessId(number), SERVER, 1.0, number, number / 1000
+            )
         now = MOST_KNOWN / 1000
         assert len(limits.tell(now, heard=True)) == MOST_TOLD
         assert not limits.tell(now + 2 * TELL_SECONDS, heard=True)
--- a/libs/serving/fireflyhitch_serving/admission.py
+++ b/libs/serving/fireflyhitch_serving/admission.py
@@ -8,10 +8,10 @@
 from fireflyhitch_model.ids import ContentId, DeploymentId
 from fireflyhitch_serving.callers import Reply
 from fireflyhitch_serving.catalog import Catalog, Customer, Route
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.edge import Refusal
 from fireflyhitch_serving.exchanges import Exchange, find_content
-from fireflyhitch_serving.messages import CallerMessage, RequestFacts
-from fireflyhitch_serving.parts import PathParts
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo
 
 # A request without a server comes back after about the time in which servers that
 # leave are replaced or the list is read; spread, so that not all come back at once.
@@ -30,13 +30,13 @@
 class Admission:
     """Admits requests, or refuses them at once."""
 
-    def __init__(self, parts: PathParts) -> None:
+    def __init__(self, parts: RequestDependencies) -> None:
         """Make an admission on the configuration in force."""
         self._parts = parts
         self._clock = parts.clock
 
     def admit(
-        self, message: CallerMessage, facts: RequestFacts, reply: Reply
+        self, message: CallerRequest, facts: RequestInfo, reply: Reply
     ) -> Exchange:
         """Return a request that may be sent.
 
@@ -73,10 +73,10 @@
         self._charge(exchange)
         return exchange
 
-    def _check_held(self, content: ContentId, facts: RequestFacts) -> None:
+    def _check_held(self, content: ContentId, facts: RequestInfo) -> None:
         """Refuse a request that would end the server that it is sent to."""
         now = self._clock.monotonic()
-        wait = self._parts.crashes.quarantine.find_wait(content, now)
+        wait = self._parts.crashes.quarantine.find_remaining_hold(content, now)
         if wait is None:
             return
         logger.bind(
@@ -85,19 +85,19 @@
         message = 'servers have ended under this request; it is held back'
         raise refuse_for(wait, 'held', message)
 
-    def _check_time(self, route: Route, facts: RequestFacts) -> None:
+    def _check_time(self, route: Route, facts: RequestInfo) -> None:
         """Refuse what may not be over when this process ends.
 
         It would be cut off in the middle; another daemon can take it now.
         """
-        last = self._parts.last_moment()
+        last = self._parts.shutdown_deadline()
         if last is None:
             return
         if self._clock.monotonic() + _find_wait(route, facts) > last:
             raise self.refuse_for_now('stopping', 'this daemon is about to stop')
 
     def _find_customer(
-        self, catalog: Catalog, route: Route, facts: RequestFacts
+        self, catalog: Catalog, route: Route, facts: RequestInfo
     ) -> Customer | None:
         if not catalog.asks_keys or route.public:
             return None
@@ -112,7 +112,7 @@
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
-        return self._parts.draw.choices(route.shares, weights)[0].service
+        return self._parts.rng.choices(route.shares, weights)[0].service
 
     def _charge(self, exchange: Exchange) -> None:
         customer = exchange.customer
@@ -140,11 +140,11 @@
                 )
             )
         exchange.charged = units
-        self._parts.workloads.note_units(units)
+        self._parts.workloads.record_units(units)
 
     def refuse_for_now(self, code: str, message: str) -> RefusedError:
         """Return the error for a request that did not run and may come back."""
-        seconds = RETRY_SECONDS * self._parts.draw.uniform(
+        seconds = RETRY_SECONDS * self._parts.rng.uniform(
             1 - RETRY_SPREAD, 1 + RETRY_SPREAD
         )
         return refuse_for(seconds, code, message)
@@ -162,6 +162,6 @@
     )
 
 
-def _find_wait(route: Route, facts: RequestFacts) -> float:
+def _find_wait(route: Route, facts: RequestInfo) -> float:
     """Return the seconds within which a request gets its final answer."""
     return min(route.timeout, facts.time_left or route.timeout)
--- a/libs/serving/fireflyhitch_serving/choices.py
+++ b/libs/serving/fireflyhitch_serving/attempt_policy.py
@@ -4,13 +4,13 @@
 
 from fireflyhitch_model.ids import BackendServerId
 from fireflyhitch_model.states import Outcome
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.parts import PathParts
-from fireflyhitch_serving.placing import (
-    Place,
+from fireflyhitch_serving.placement import (
+    Locality,
     Placement,
-    PromptNeed,
+    PromptRequest,
     place_plain,
     place_prompt,
 )
@@ -32,7 +32,7 @@
 class Choices:
     """Decides on attempts by what is known of servers, versions and budgets."""
 
-    def __init__(self, parts: PathParts) -> None:
+    def __init__(self, parts: RequestDependencies) -> None:
         """Make choices on the parts' state."""
         self._parts = parts
         self._clock = parts.clock
@@ -41,16 +41,14 @@
         """Return the servers that an attempt may go to."""
         now = self._clock.monotonic()
         servers = self._parts.servers
-        servers.judge(exchange.service, now)
+        servers.evaluate(exchange.service, now)
         listed = [
             record
-            for record in servers.of_service(exchange.service)
+            for record in servers.find_by_service(exchange.service)
             if record.server.ready
         ]
         versions = frozenset(record.server.version for record in listed)
-        allowed = self._parts.versions.pick(
-            exchange.service, versions, self._parts.draw
-        )
+        allowed = self._parts.versions.pick(exchange.service, versions, self._parts.rng)
         ready = [record for record in listed if record.server.version in allowed]
         fresh = [
             record for record in ready if record.server.server_id not in exchange.tried
@@ -67,14 +65,14 @@
     def find_able(self, candidates: list[ServerRecord]) -> list[ServerRecord]:
         """Return the candidates that their limits, if they name any, let have work now."""
         limits = self._parts.limits
-        if not limits.are_named:
+        if not limits.has_limits:
             return candidates
         return [record for record in candidates if limits.may_send(record.process)]
 
-    def find_own_rate(self, candidates: Iterable[ServerRecord]) -> float:
+    def find_local_rate(self, candidates: Iterable[ServerRecord]) -> float:
         """Return the requests a second that this daemon may send to servers."""
         limits = self._parts.limits
-        return sum(limits.find_own_rate(record.process) for record in candidates)
+        return sum(limits.find_local_rate(record.process) for record in candidates)
 
     def choose(
         self, exchange: Exchange, candidates: list[ServerRecord]
@@ -82,14 +80,14 @@
         """Choose one of them; nothing if the request has to wait for a place."""
         now = self._clock.monotonic()
         facts = exchange.facts
-        place = Place(self._parts.own_domain, self._parts.silent_domains())
+        place = Locality(self._parts.own_domain, self._parts.unreachable_domains())
         if facts.prompt_tokens is None:
             return place_plain(candidates, place, now)
-        need = PromptNeed(
+        need = PromptRequest(
             facts.prompt_tokens,
             facts.parts,
             exchange.route.target,
-            self._parts.workloads.pace_of(exchange.service).seconds_per_token,
+            self._parts.workloads.prefill_model(exchange.service).seconds_per_token,
         )
         return place_prompt(
             need, candidates, place, now, self._find_agreed(exchange, candidates)
@@ -103,7 +101,7 @@
         if len(parts) < 2:
             return []
         among = {record.server.server_id for record in candidates}
-        return self._parts.servers.find_agreed(
+        return self._parts.servers.find_affinity_servers(
             exchange.service, parts[-2].part_id, among
         )
 
@@ -114,8 +112,8 @@
             return None
         if exchange.facts.prompt_tokens is None:
             return max(route.target, LEAST_PATIENCE_SECONDS)
-        pace = self._parts.workloads.pace_of(exchange.service)
-        expected = pace.expect(placement.queued_tokens + placement.fresh_tokens)
+        pace = self._parts.workloads.prefill_model(exchange.service)
+        expected = pace.predict(placement.queued_tokens + placement.fresh_tokens)
         return max(
             expected * PATIENCE_FACTOR + PATIENCE_SECONDS,
             route.target * TARGET_PART,
@@ -136,7 +134,7 @@
         now = self._clock.monotonic()
         if exchange.sends > route.attempts + EXTRA_SENDS:
             return False
-        if self._parts.crashes.quarantine.find_wait(exchange.content, now):
+        if self._parts.crashes.quarantine.find_remaining_hold(exchange.content, now):
             return False
         if failure.outcome is not Outcome.NOT_RUN:
             if not route.repeatable or exchange.runs >= route.attempts:
--- a/libs/serving/fireflyhitch_serving/attempts.py
+++ b/libs/serving/fireflyhitch_serving/attempts.py
@@ -8,14 +8,14 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.records import immutable
 from fireflyhitch_model.states import Outcome, Step
-from fireflyhitch_serving.connections import AnswerHead, ServerConnection, connect
-from fireflyhitch_serving.edge import Edge, RenderedAnswer, Sending
+from fireflyhitch_serving.connections import ResponseHead, ServerConnection, connect
+from fireflyhitch_serving.edge import AttemptContext, Edge, RenderedResponse
 from fireflyhitch_serving.errors import ServerError, SilentError
 from fireflyhitch_serving.events import EventOrderError
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import AnswerFacts, drop_connection_headers
-from fireflyhitch_serving.placing import Placement
+from fireflyhitch_serving.messages import ResponseInfo, drop_connection_headers
+from fireflyhitch_serving.placement import Placement
 
 # Links take some ms; a lost opening packet is sent again after a second, by which
 # time another server has answered.
@@ -39,7 +39,7 @@
     """Whom an attempt tells what it learns; each returns at once."""
 
     began: Callable[[Exchange, Placement], None]
-    answered: Callable[[Exchange, Placement, AnswerFacts], None]
+    answered: Callable[[Exchange, Placement, ResponseInfo], None]
 
 
 class Attempt:
@@ -121,7 +121,7 @@
         exchange = self._exchange
         server = self._placement.record.server
         time_left = exchange.deadline - self._clock.monotonic()
-        sending = Sending(
+        sending = AttemptContext(
             server.server_id,
             exchange.customer.name if exchange.customer else None,
             time_left,
@@ -137,7 +137,7 @@
 
     async def _read_head(
         self, connection: ServerConnection, patience: float | None
-    ) -> tuple[AnswerHead, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseInfo]:
         """Wait for the head of the answer to this request.
 
         A server may send a second answer to an earlier request; its id tells.
@@ -145,7 +145,7 @@
         own = self._exchange.facts.request_id
         for _ in range(MOST_STRAY_ANSWERS):
             head = await self._wait(connection.read_head, patience)
-            facts = self._edge.read_answer(head)
+            facts = self._edge.parse_response_head(head)
             if facts.request_id in {own, None}:
                 return head, facts
         raise self._broken('answers of other requests')
@@ -153,8 +153,8 @@
     async def _take_answer(
         self,
         connection: ServerConnection,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        facts: ResponseInfo,
         patience: float | None,
     ) -> AttemptFailure | None:
         if facts.not_run:
@@ -173,13 +173,13 @@
     async def _pass_whole(
         self,
         connection: ServerConnection,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        facts: ResponseInfo,
         patience: float | None,
     ) -> AttemptFailure | None:
         body = await self._read_whole(connection, patience)
         headers = drop_connection_headers(head.headers)
-        answer = RenderedAnswer(head.status, headers, body)
+        answer = RenderedResponse(head.status, headers, body)
         if head.status >= SERVER_FAULT:
             detail = f'status {head.status}'
             return AttemptFailure(Ending.FAILED, Outcome.RAN, detail, answer)
@@ -198,7 +198,7 @@
             parts.append(part)
 
     async def _relay(
-        self, connection: ServerConnection, head: AnswerHead, patience: float | None
+        self, connection: ServerConnection, head: ResponseHead, patience: float | None
     ) -> None:
         exchange = self._exchange
         events = exchange.events
@@ -211,14 +211,14 @@
             if not part:
                 break
             patience = gap
-            whole = events.cut(part)
+            whole = events.feed(part)
             if whole:
                 await self._pass_events(head, whole)
-        if events.torn or not exchange.reply.begun:
+        if events.has_partial_event or not exchange.reply.begun:
             raise self._broken('ended in mid event')
         exchange.reply.finish()
 
-    async def _pass_events(self, head: AnswerHead, events: bytes) -> None:
+    async def _pass_events(self, head: ResponseHead, events: bytes) -> None:
         reply = self._exchange.reply
         if not reply.begun:
             reply.begin(head.status, drop_connection_headers(head.headers))
--- a/libs/serving/fireflyhitch_serving/scale_orders.py
+++ b/libs/serving/fireflyhitch_serving/autoscaler.py
@@ -11,7 +11,7 @@
     DomainServers,
     SpreadBounds,
     SpreadNeed,
-    count_lasting,
+    count_servers_after_loss,
     spread_servers,
 )
 from fireflyhitch_model.clock import Clock
@@ -19,7 +19,7 @@
 from fireflyhitch_serving.catalog import Catalog, ScaleBounds, Service
 from fireflyhitch_serving.duty_calls import CallResult, DutyCalls, ServerOrder
 from fireflyhitch_serving.leases import LeaderLease
-from fireflyhitch_serving.servers import ServerBook
+from fireflyhitch_serving.servers import ServerRegistry
 from fireflyhitch_serving.workloads import Workloads
 
 LOOK_SECONDS = 0.5
@@ -109,13 +109,13 @@
         self.requests = max(self.requests * PEAK_KEPT, requests)
 
 
-class ScaleKeeper:
+class Autoscaler:
     """Orders servers; a new leader begins from what there is."""
 
     def __init__(
         self,
         catalog: Callable[[], Catalog | None],
-        servers: ServerBook,
+        servers: ServerRegistry,
         demand: Callable[[], float],
         workloads: Workloads,
         lease: LeaderLease,
@@ -149,7 +149,7 @@
     async def _look(self, services: Collection[Service]) -> None:
         for service in services:
             self._note_load(service.name)
-        if self._lease.lead() is None:
+        if self._lease.current_leadership() is None:
             self._given.clear()
             self._floors.clear()
             return
@@ -170,7 +170,7 @@
         need = SpreadNeed(needed, DOMAINS_LOST)
         target = spread_servers(
             need,
-            SpreadBounds(scale.least, scale.most),
+            SpreadBounds(scale.min_servers, scale.max_servers),
             scale.domain_prices,
             present,
         )
@@ -218,7 +218,7 @@
         floor = self._floors.get(service)
         if floor is None:
             part = HANDED_PART if self._demand() else KNOWN_PART
-            floor = part * count_lasting(present, DOMAINS_LOST)
+            floor = part * count_servers_after_loss(present, DOMAINS_LOST)
         elif self._demand():
             floor *= PEAK_KEPT
         self._floors[service] = floor
@@ -231,7 +231,8 @@
         """
         now = self._clock.monotonic()
         requests = sum(
-            record.total(now).requests for record in self._servers.of_service(service)
+            record.total(now).requests
+            for record in self._servers.find_by_service(service)
         )
         busy = self._workloads.find_busy_seconds(service, self._demand())
         self._peaks.setdefault(service, _Peak()).raise_to(busy, requests)
@@ -248,7 +249,7 @@
         self, service: DeploymentId, scale: ScaleBounds
     ) -> dict[FailureDomainId, DomainServers]:
         counts = {domain: [0, 0] for domain in scale.domain_prices}
-        for record in self._servers.of_service(service):
+        for record in self._servers.find_by_service(service):
             server = record.server
             if server.ready and server.failure_domain in counts:
                 counts[server.failure_domain][not server.reclaimable] += 1
@@ -264,7 +265,7 @@
             return
         if given is not None and given.stands(order, present, now):
             return
-        leadership = self._lease.lead()
+        leadership = self._lease.current_leadership()
         if leadership is None:
             return
         result = await self._calls.order_servers(leadership, order)
--- a/libs/serving/fireflyhitch_serving/callers.py
+++ b/libs/serving/fireflyhitch_serving/callers.py
@@ -13,7 +13,7 @@
 from fireflyhitch_serving.catalog import CallerLimits
 from fireflyhitch_serving.errors import CallerGone
 from fireflyhitch_serving.messages import (
-    CallerMessage,
+    CallerRequest,
     Header,
     Headers,
     find_header,
@@ -30,11 +30,11 @@
 # What a request's size is checked for each time more of it comes.
 SLACK_BYTES = 4096
 
-Serve = Callable[[CallerMessage, 'Reply'], Awaitable[None]]
+Serve = Callable[[CallerRequest, 'Reply'], Awaitable[None]]
 
 
 @dataclass(slots=True)
-class FrontState:
+class ListenerState:
     """What all connections of a listener share.
 
     :param closing: whether callers are told to use another daemon.
@@ -116,12 +116,12 @@
 class CallerConnection(asyncio.Protocol):
     """Reads requests and has them served in order."""
 
-    def __init__(self, state: FrontState) -> None:
+    def __init__(self, state: ListenerState) -> None:
         """Make a protocol for the listener's next connection."""
         self.state = state
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[tuple[CallerMessage, bool]] = deque()
+        self._waiting: deque[tuple[CallerRequest, bool]] = deque()
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._writable: asyncio.Future[None] | None = None
@@ -279,7 +279,7 @@
         self._head_bytes = 0
         if self._refused:
             return
-        message = CallerMessage(
+        message = CallerRequest(
             self._parser.get_method(),
             self._target,
             self._headers,
@@ -302,7 +302,7 @@
         reply = Reply(self, keep)
         self._task = asyncio.get_running_loop().create_task(self._run(message, reply))
 
-    async def _run(self, message: CallerMessage, reply: Reply) -> None:
+    async def _run(self, message: CallerRequest, reply: Reply) -> None:
         try:
             await self.state.serve(message, reply)
         finally:
--- a/libs/serving/fireflyhitch_serving/catalog.py
+++ b/libs/serving/fireflyhitch_serving/catalog.py
@@ -94,7 +94,7 @@
 
 
 @immutable
-class EngineTraits:
+class EngineCapacity:
     """What the operators know of a service's model engines.
 
     :param batch: requests worked on at once.
@@ -114,8 +114,8 @@
     :param domain_prices: price of a server by failure domain.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
     start_seconds: float
     spot_price: float
     domain_prices: Mapping[FailureDomainId, float]
@@ -126,8 +126,8 @@
     """A kind of backend server."""
 
     name: DeploymentId
-    most_connections: int
-    engine: EngineTraits | None = None
+    max_connections: int
+    engine: EngineCapacity | None = None
     scale: ScaleBounds | None = None
 
 
--- a/libs/serving/fireflyhitch_serving/changes.py
+++ b/libs/serving/fireflyhitch_serving/changes.py
@@ -7,7 +7,7 @@
 
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.records import immutable
-from fireflyhitch_serving.peer_news import read_rows, render_rows
+from fireflyhitch_serving.peer_state import read_rows, render_rows
 
 CHANGES = 'changes'
 # Values are JSON with few words in them: the fastest level takes off most of it.
@@ -58,7 +58,7 @@
     return render_rows(CHANGES, [packed])
 
 
-def read_changes(data: bytes) -> ChangeMessage | None:
+def decode_changes(data: bytes) -> ChangeMessage | None:
     """Read a datagram; nothing for one of another kind."""
     packed = read_rows(CHANGES, data, _unpack)
     if not packed:
--- a/libs/serving/fireflyhitch_serving/client.py
+++ b/libs/serving/fireflyhitch_serving/client.py
@@ -18,7 +18,7 @@
 
 
 @immutable
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -42,7 +42,7 @@
         headers: Headers | None = None,
         body: bytes = b'',
         timeout: float,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Make one call.
 
         :param timeout: seconds to the whole answer.
@@ -62,7 +62,7 @@
                 outcome=Outcome.UNKNOWN,
             ) from error
 
-    async def _call(self, request: bytes) -> HttpAnswer:
+    async def _call(self, request: bytes) -> HttpResponse:
         kept = self._pool.take(self._clock.monotonic())
         connection = kept or await connect(self.address, CONNECT_SECONDS)
         whole = False
@@ -78,7 +78,7 @@
         return answer
 
 
-async def _exchange(connection: ServerConnection, request: bytes) -> HttpAnswer:
+async def _exchange(connection: ServerConnection, request: bytes) -> HttpResponse:
     connection.send(request)
     head = await connection.read_head()
-    return HttpAnswer(head.status, await connection.read_whole_body())
+    return HttpResponse(head.status, await connection.read_whole_body())
--- a/libs/serving/fireflyhitch_serving/connections.py
+++ b/libs/serving/fireflyhitch_serving/connections.py
@@ -59,7 +59,7 @@
 
 
 @immutable
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer."""
 
     status: int
@@ -80,7 +80,7 @@
         self.keep_seconds = DEFAULT_KEEP_SECONDS
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._events: deque[AnswerHead | bytes | _Mark] = deque()
+        self._events: deque[ResponseHead | bytes | _Mark] = deque()
         self._unread = 0
         self._waiter: asyncio.Future[None] | None = None
         self._headers: Headers = []
@@ -105,7 +105,7 @@
         self._keep = True
         self._transport.write(request)
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for an answer's head.
 
         :raises ServerError: if the connection ends or says something else.
@@ -214,7 +214,7 @@
         status = self._parser.get_status_code()
         if status < HTTPStatus.OK:
             return
-        self._events.append(AnswerHead(status, self._headers))
+        self._events.append(ResponseHead(status, self._headers))
         self._note_framing()
 
     def on_body(self, body: bytes) -> None:
@@ -247,7 +247,7 @@
             if name.lower() == b'timeout' and value.isdigit():
                 self.keep_seconds = float(value)
 
-    async def _next(self) -> AnswerHead | bytes | _Mark:
+    async def _next(self) -> ResponseHead | bytes | _Mark:
         while not self._events:
             if self._fault is not None:
                 raise ServerError(
@@ -290,15 +290,15 @@
             waiter.set_result(None)
 
 
-class Reach(Enum):
+class ConnectResult(Enum):
     """What became of a try to open a connection."""
 
     OPEN = 'open'
     REFUSED = 'refused'
-    SILENT = 'silent'
+    UNREACHABLE = 'silent'
 
 
-async def reach(address: Address, timeout: float) -> Reach:
+async def try_connect(address: Address, timeout: float) -> ConnectResult:
     """Tell whether anybody listens at an address.
 
     :param timeout: seconds.
@@ -307,9 +307,9 @@
         connection = await connect(address, timeout)
     except ServerError as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Reach.REFUSED if refused else Reach.SILENT
+        return ConnectResult.REFUSED if refused else ConnectResult.UNREACHABLE
     connection.close()
-    return Reach.OPEN
+    return ConnectResult.OPEN
 
 
 async def connect(address: Address, timeout: float) -> ServerConnection:
--- a/libs/serving/fireflyhitch_serving/server_ends.py
+++ b/libs/serving/fireflyhitch_serving/crash_detection.py
@@ -13,8 +13,8 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.identity import identify_process
 from fireflyhitch_model.ids import BackendServerId, ContentId
-from fireflyhitch_routing.crashes import CrashBook, ServerEnd
-from fireflyhitch_serving.connections import Reach, reach
+from fireflyhitch_routing.crashes import CrashTracker, ServerCrash
+from fireflyhitch_serving.connections import ConnectResult, try_connect
 from fireflyhitch_serving.servers import ServerRecord
 
 # Between looks: a process that ends closes its sockets one after the other. An instance that is
@@ -33,10 +33,12 @@
     began: dict[ContentId, float] = field(default_factory=dict)
 
 
-class ServerEndWatch:
+class CrashDetector:
     """Looks after servers that broke off answers, and keeps the evidence."""
 
-    def __init__(self, clock: Clock, find_server: FindServer, book: CrashBook) -> None:
+    def __init__(
+        self, clock: Clock, find_server: FindServer, book: CrashTracker
+    ) -> None:
         """Make a watch that looks after none.
 
         :param find_server: returns a server's record while it is listed.
@@ -47,7 +49,7 @@
         self._broken: dict[int, _BrokenRuns] = {}
         self._looks: set[asyncio.Task[None]] = set()
 
-    def note_broken(
+    def record_broken_response(
         self, record: ServerRecord, content: ContentId, began: float
     ) -> None:
         """Take in that a server broke off the answer to a request.
@@ -81,9 +83,9 @@
             await asyncio.sleep(seconds)
             if self._find_server(record.server.server_id) is not record:
                 return True
-            found = await reach(record.server.address, REACH_SECONDS)
-            if found is not Reach.SILENT:
-                return found is Reach.REFUSED
+            found = await try_connect(record.server.address, REACH_SECONDS)
+            if found is not ConnectResult.UNREACHABLE:
+                return found is ConnectResult.REFUSED
         return False
 
     def _note_end(self, record: ServerRecord, runs: _BrokenRuns) -> None:
@@ -91,7 +93,7 @@
         process = identify_process(server.server_id, server.born)
         now = self._clock.monotonic()
         for content, began in runs.began.items():
-            self._book.note_end(content, process, ServerEnd(runs.at, began), now)
+            self._book.record_crash(content, process, ServerCrash(runs.at, began), now)
         logger.bind(
             server=server.server_id,
             born=server.born,
--- a/libs/serving/fireflyhitch_serving/parts.py
+++ b/libs/serving/fireflyhitch_serving/dependencies.py
@@ -7,18 +7,18 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.ids import BackendServerId, DeploymentId, FailureDomainId
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.quarantine import Quarantine
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.budgets import RepeatBudget
 from fireflyhitch_serving.catalog import Catalog
+from fireflyhitch_serving.crash_detection import CrashDetector
 from fireflyhitch_serving.edge import Edge
 from fireflyhitch_serving.messages import PromptPart
-from fireflyhitch_serving.metrics_page import RequestRecord
+from fireflyhitch_serving.metrics_endpoint import RequestRecord
 from fireflyhitch_serving.quotas import Quotas
-from fireflyhitch_serving.server_ends import ServerEndWatch
-from fireflyhitch_serving.servers import ServerBook
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.retry_budget import RetryBudget
+from fireflyhitch_serving.servers import ServerRegistry
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.versions import VersionShares
 from fireflyhitch_serving.workloads import Workloads
 
@@ -38,7 +38,7 @@
         """Count an answer."""
 
 
-class FreshParts:
+class RecentPromptParts:
     """Prompt parts given to servers lately, to be told to peers."""
 
     def __init__(self) -> None:
@@ -61,26 +61,28 @@
 
 
 @immutable
-class CrashParts:
+class CrashTracking:
     """What guards servers from requests that end them."""
 
-    book: CrashBook
+    book: CrashTracker
     quarantine: Quarantine
-    ends: ServerEndWatch
+    ends: CrashDetector
 
 
-def make_crash_parts(clock: Clock, servers: ServerBook) -> CrashParts:
+def make_crash_tracking(clock: Clock, servers: ServerRegistry) -> CrashTracking:
     """Return parts that know of no request."""
-    book = CrashBook()
-    return CrashParts(book, Quarantine(book), ServerEndWatch(clock, servers.find, book))
+    book = CrashTracker()
+    return CrashTracking(
+        book, Quarantine(book), CrashDetector(clock, servers.find, book)
+    )
 
 
 @immutable
-class PathParts:
+class RequestDependencies:
     """What the path of a request uses.
 
     :param catalog: the configuration in force, if there is one yet.
-    :param last_moment: monotonic seconds by which a stopping process must be done.
+    :param shutdown_deadline: monotonic seconds by which a stopping process must be done.
     :param wall: seconds since 1970, corrected by what peers say.
     """
 
@@ -88,18 +90,18 @@
     wall: Callable[[], float]
     edge: Edge
     catalog: Callable[[], Catalog | None]
-    servers: ServerBook
+    servers: ServerRegistry
     quotas: Quotas
-    budget: RepeatBudget
-    usage: UsageBook
+    budget: RetryBudget
+    usage: UsageTracker
     workloads: Workloads
     versions: VersionShares
-    count_answer: CountAnswer
-    fresh_parts: FreshParts
-    silent_domains: Callable[[], frozenset[FailureDomainId]]
+    record_outcome: CountAnswer
+    fresh_parts: RecentPromptParts
+    unreachable_domains: Callable[[], frozenset[FailureDomainId]]
     record: Callable[[RequestRecord], None]
-    last_moment: Callable[[], float | None]
+    shutdown_deadline: Callable[[], float | None]
     own_domain: FailureDomainId
-    draw: random.Random
-    crashes: CrashParts
+    rng: random.Random
+    crashes: CrashTracking
     limits: ServerLimits
--- a/libs/serving/fireflyhitch_serving/candidates.py
+++ b/libs/serving/fireflyhitch_serving/duty_ranking.py
@@ -5,14 +5,14 @@
 
 from fireflyhitch_model.hashing import rank_by_hash
 from fireflyhitch_model.ids import FailureDomainId
-from fireflyhitch_serving.peers import PeerBook
-from fireflyhitch_serving.summaries import SummaryBook
+from fireflyhitch_serving.peers import PeerRegistry
+from fireflyhitch_serving.summaries import SummaryTable
 
 # Of each group; others would only wait for their turn in vain.
 MOST_CLAIMANTS = 4
 
 
-def rank_able(peers: PeerBook, duty: str) -> list[str]:
+def rank_eligible(peers: PeerRegistry, duty: str) -> list[str]:
     """Order the daemons of the own group that can take a duty, this one included.
 
     Only those that hear the store and are heard now count. The first ones are of
@@ -20,35 +20,35 @@
     """
     able = {
         daemon: news.failure_domain
-        for daemon, news in peers.heard_lately().items()
+        for daemon, news in peers.unsuspected_members().items()
         if news.hears_store and not news.stopping
     }
     domains = {**able, peers.own: peers.own_domain}
     return _alternate_domains(peers.rank(duty, domains), domains)
 
 
-class LeadTurns:
+class LeadershipOrder:
     """In which order daemons claim the lead."""
 
     def __init__(
         self,
-        peers: PeerBook,
-        summaries: SummaryBook,
-        knows_peers: Callable[[], bool],
+        peers: PeerRegistry,
+        summaries: SummaryTable,
+        has_discovered_peers: Callable[[], bool],
     ) -> None:
         """Make turns by what peers and summaries tell.
 
-        :param knows_peers: whether this daemon has had time to hear the others.
+        :param has_discovered_peers: whether this daemon has had time to hear the others.
         """
         self._peers = peers
         self._summaries = summaries
-        self._knows_peers = knows_peers
+        self._knows_peers = has_discovered_peers
 
     def find(self) -> int | None:
         """Return how many claim before this daemon; ``None`` if it does not claim."""
         if not self._knows_peers():
             return None
-        place = rank_able(self._peers, 'lead').index(self._peers.own)
+        place = rank_eligible(self._peers, 'lead').index(self._peers.own)
         if place >= MOST_CLAIMANTS:
             return None
         own = self._peers.own_domain
--- a/libs/serving/fireflyhitch_serving/edge.py
+++ b/libs/serving/fireflyhitch_serving/edge.py
@@ -6,17 +6,17 @@
 from fireflyhitch_model.ids import BackendServerId, CustomerId, RequestId
 from fireflyhitch_model.records import immutable
 from fireflyhitch_model.states import Outcome
-from fireflyhitch_serving.connections import AnswerHead
+from fireflyhitch_serving.connections import ResponseHead
 from fireflyhitch_serving.messages import (
-    AnswerFacts,
-    CallerMessage,
+    CallerRequest,
     Headers,
-    RequestFacts,
+    RequestInfo,
+    ResponseInfo,
 )
 
 
 @immutable
-class Sending:
+class AttemptContext:
     """What an attempt adds to its request.
 
     :param time_left: seconds that the server may work on it.
@@ -48,7 +48,7 @@
 
 
 @immutable
-class RenderedAnswer:
+class RenderedResponse:
     """An answer ready to be sent."""
 
     status: int
@@ -63,19 +63,19 @@
 class Edge(Protocol):
     """An interface that requests come in by."""
 
-    def read_request(self, message: CallerMessage) -> RequestFacts:
+    def parse_request(self, message: CallerRequest) -> RequestInfo:
         """Read a request's facts.
 
         :raises BadRequestError: if they cannot be read.
         """
 
-    def render_request(self, message: CallerMessage, sending: Sending) -> bytes:
+    def render_request(self, message: CallerRequest, sending: AttemptContext) -> bytes:
         """Return the request as it goes to a server."""
 
-    def read_answer(self, head: AnswerHead) -> AnswerFacts:
+    def parse_response_head(self, head: ResponseHead) -> ResponseInfo:
         """Read the facts in a server's answer."""
 
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
-    ) -> RenderedAnswer:
+    ) -> RenderedResponse:
         """Return a final answer of the daemon's own."""
--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class EventCutter:
+class EventSplitter:
     """The events of one attempt.
 
     :param last_id: of the last event that was cut, by any attempt.
@@ -20,7 +20,7 @@
     last_id: int | None = None
     _rest: bytes = b''
 
-    def cut(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return the whole events that have come, as their server wrote them.
 
         :raises EventOrderError: if ids do not follow one another. Events that the
@@ -35,7 +35,7 @@
         return self._check(read[:end])
 
     @property
-    def torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether a part of an event has come."""
         return bool(self._rest)
 
--- a/libs/serving/fireflyhitch_serving/exchanges.py
+++ b/libs/serving/fireflyhitch_serving/exchanges.py
@@ -8,10 +8,10 @@
 from fireflyhitch_model.states import Outcome
 from fireflyhitch_serving.callers import Reply
 from fireflyhitch_serving.catalog import Customer, Route
-from fireflyhitch_serving.edge import RenderedAnswer
-from fireflyhitch_serving.events import EventCutter
+from fireflyhitch_serving.edge import RenderedResponse
+from fireflyhitch_serving.events import EventSplitter
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import CallerMessage, RequestFacts
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo
 
 
 @dataclass(slots=True, eq=False)
@@ -29,11 +29,11 @@
     :param reading: prompt tokens that its present server has yet to read.
     :param attempt_began: monotonic seconds of the present attempt's begin.
     :param first_event_at: of the present attempt's first event or whole answer.
-    :param lateness: of that, as a multiple of what was expected.
+    :param relative_latency: of that, as a multiple of what was expected.
     """
 
-    message: CallerMessage
-    facts: RequestFacts
+    message: CallerRequest
+    facts: RequestInfo
     route: Route
     service: DeploymentId
     customer: Customer | None
@@ -49,8 +49,8 @@
     reading: int = 0
     attempt_began: float = 0
     first_event_at: float | None = None
-    lateness: float = 1
-    events: EventCutter = field(default_factory=EventCutter)
+    relative_latency: float = 1
+    events: EventSplitter = field(default_factory=EventSplitter)
 
     @property
     def urgency(self) -> int:
@@ -60,7 +60,7 @@
         return self.route.priority
 
 
-def find_content(message: CallerMessage, customer: Customer | None) -> ContentId:
+def find_content(message: CallerRequest, customer: Customer | None) -> ContentId:
     """Return what a request has in common with its repeats."""
     return identify_content(
         customer.name if customer else None,
@@ -82,5 +82,5 @@
     ending: Ending
     outcome: Outcome
     detail: str
-    answer: RenderedAnswer | None = None
+    answer: RenderedResponse | None = None
     paid: bool = False
--- a/libs/serving/fireflyhitch_serving/holds.py
+++ b/libs/serving/fireflyhitch_serving/holds.py
@@ -14,19 +14,19 @@
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import ABSENT, ContentId, ProcessId
 from fireflyhitch_routing.quarantine import HOLD_SECONDS, Hold, Quarantine
-from fireflyhitch_serving.leases import OWN_PREFIX, LeaderLease
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LeaderLease
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.store_health import StoreHealth
 
-HOLDS_PREFIX = f'{OWN_PREFIX}holds/'
+HOLDS_PREFIX = f'{FIREFLYHITCH_PREFIX}holds/'
 LOOK_SECONDS = 0.2
 # Turns of news after which all have told what speaks for a request.
 SETTLED_TURNS = 2
 RETRY_SECONDS = 0.5
 
 
-class HoldKeeper:
+class HoldManager:
     """Takes in the holds in the store, and writes them while this daemon leads."""
 
     def __init__(
@@ -36,7 +36,7 @@
         lease: LeaderLease,
         health: StoreHealth,
         clock: Clock,
-        peers: PeerBook,
+        peers: PeerRegistry,
     ) -> None:
         """Make a keeper that knows of none."""
         self._quarantine = quarantine
@@ -63,20 +63,20 @@
             logger.bind(content=content, error=repr(error)).error('hold not readable')
             return
         self._stored.add(content)
-        self._quarantine.take_hold(content, hold)
+        self._quarantine.add_hold(content, hold)
 
     async def run(self) -> None:
         """Judge, write and delete until cancelled."""
         while True:
             await asyncio.sleep(LOOK_SECONDS)
-            settled = SETTLED_TURNS * self._peers.turn_seconds()
+            settled = SETTLED_TURNS * self._peers.propagation_seconds()
             self._quarantine.review(self._clock.monotonic(), settled)
-            if self._lease.lead() is None or not self._health.answers:
+            if self._lease.current_leadership() is None or not self._health.answers:
                 continue
             try:
                 await self._write_all()
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _write_all(self) -> None:
@@ -86,16 +86,16 @@
         released = self._stored - held.keys()
         if released:
             keys = [f'{HOLDS_PREFIX}{name}' for name in released]
-            await self._health.hear(self._store.put([], deletes=keys))
+            await self._health.track(self._store.put([], deletes=keys))
             self._stored -= released
 
     async def _write(self, content: ContentId, hold: Hold) -> None:
         left = hold.until - self._clock.monotonic()
         if left <= 0:
             return
-        lease = await self._health.hear(self._store.grant_lease(left))
+        lease = await self._health.track(self._store.grant_lease(left))
         put = Put(f'{HOLDS_PREFIX}{content}', self._render(hold), ABSENT, lease)
-        await self._health.hear(self._store.put([put]))
+        await self._health.track(self._store.put([put]))
         # If another has written it, the view of the store tells what.
         self._stored.add(content)
         logger.bind(content=content, seconds=round(left)).info('hold kept')
--- a/libs/serving/fireflyhitch_serving/hubs.py
+++ b/libs/serving/fireflyhitch_serving/hubs.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.peers import GroupMember, PeerBook
+from fireflyhitch_serving.peers import GroupMember, PeerRegistry
 from fireflyhitch_serving.summaries import DomainSummary
 
 # Those who are told: the hub, and who takes its place.
@@ -28,10 +28,10 @@
 KEPT_SECONDS = 1.5
 
 
-class Hubs:
+class HubTracker:
     """The hub of the own failure domain, as this daemon hears it."""
 
-    def __init__(self, peers: PeerBook, clock: Clock) -> None:
+    def __init__(self, peers: PeerRegistry, clock: Clock) -> None:
         """Make a daemon that has heard no hub."""
         self._peers = peers
         self._clock = clock
--- a/libs/serving/fireflyhitch_serving/leases.py
+++ b/libs/serving/fireflyhitch_serving/leases.py
@@ -20,8 +20,8 @@
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.store_health import StoreHealth
 
-OWN_PREFIX = 'fireflyhitch/'
-LEADER_KEY = f'{OWN_PREFIX}leader'
+FIREFLYHITCH_PREFIX = 'fireflyhitch/'
+LEADER_KEY = f'{FIREFLYHITCH_PREFIX}leader'
 # Longer than the 3 s in which two holders may not act by turns.
 LEASE_SECONDS = 4.0
 # Four renewals fit into a lease, so that one lost answer or two do not end it.
@@ -47,14 +47,14 @@
 
 
 class LeaderLease:
-    """Claims the lead in turn; ``lead`` tells whether this daemon may act now."""
+    """Claims the lead in turn; ``current_leadership`` tells whether this daemon may act now."""
 
     def __init__(
         self,
         store: AsyncStore,
         boot_clock: Callable[[], float],
         process: str,
-        draw: random.Random,
+        rng: random.Random,
         health: StoreHealth,
         find_turn: Callable[[], int | None],
     ) -> None:
@@ -68,7 +68,7 @@
         self._store = store
         self._clock = boot_clock
         self._process = process
-        self._draw = draw
+        self._rng = rng
         self._health = health
         self._find_turn = find_turn
         self._lease: LeaseId | None = None
@@ -78,7 +78,7 @@
         self._listed = False
         self._wake = asyncio.Event()
 
-    def lead(self) -> Leadership | None:
+    def current_leadership(self) -> Leadership | None:
         """Return the right to act, if this daemon has it now."""
         if self._fencing is None or self.stopping or self._leader != self._mark():
             return None
@@ -92,12 +92,12 @@
         process = self._leader.decode().split(' ')[0]
         return process.rpartition('/')[0]
 
-    def take_listed(self) -> None:
+    def mark_keys_listed(self) -> None:
         """Note that the store's keys are known now."""
         self._listed = True
         self._wake.set()
 
-    def take_leader(self, value: bytes | None, revision: Revision) -> None:
+    def apply_leader(self, value: bytes | None, revision: Revision) -> None:
         """Take in who stands under the leader's key."""
         was = self._leader
         self._leader = value
@@ -116,8 +116,8 @@
                 await self._step()
             except PlatformError as error:
                 # Logged there once for each outage, with what failed.
-                self._health.note_failure(error)
-                await asyncio.sleep(RETRY_SECONDS * (0.5 + self._draw.random()))
+                self._health.record_failure(error)
+                await asyncio.sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
 
     async def _step(self) -> None:
         self._wake.clear()
@@ -139,7 +139,7 @@
         if asked < self._until - LEASE_SECONDS + RENEW_SECONDS / 2:
             return
         assert self._lease is not None
-        if await self._health.hear(self._store.keep_lease(self._lease)):
+        if await self._health.track(self._store.keep_lease(self._lease)):
             self._until = asked + LEASE_SECONDS
             return
         logger.warning('lease lapsed')
@@ -149,15 +149,15 @@
         turn = self._find_turn()
         if turn is None:
             return
-        await asyncio.sleep(CLAIM_SECONDS * (turn + self._draw.random() / 2))
+        await asyncio.sleep(CLAIM_SECONDS * (turn + self._rng.random() / 2))
         if self._leader is not None or not self._health.answers:
             return
         asked = self._clock()
-        self._lease = await self._health.hear(self._store.grant_lease(LEASE_SECONDS))
+        self._lease = await self._health.track(self._store.grant_lease(LEASE_SECONDS))
         self._until = asked + LEASE_SECONDS
         # Whether this won is learned from the key, as anyone else learns it.
         put = Put(LEADER_KEY, self._mark(), ABSENT, self._lease)
-        await self._health.hear(self._store.put([put]))
+        await self._health.track(self._store.put([put]))
         await asyncio.sleep(CLAIM_SECONDS)
 
     def _mark(self) -> bytes:
--- a/libs/serving/fireflyhitch_serving/lifecycle.py
+++ b/libs/serving/fireflyhitch_serving/lifecycle.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.callers import FrontState, Reply
-from fireflyhitch_serving.messages import CallerMessage
+from fireflyhitch_serving.callers import ListenerState, Reply
+from fireflyhitch_serving.messages import CallerRequest
 
 # The balancer asks once a second and leaves after two refusals: until then callers
 # still get this daemon for their new connections.
@@ -27,20 +27,20 @@
 
     :param serviceable: whether it knows enough to serve, and why not.
     :param grace: seconds from the order to stop until the process is killed.
-    :param last_moment: monotonic seconds at which a stopping process ends, once the
+    :param shutdown_deadline: monotonic seconds at which a stopping process ends, once the
         balancer had time to leave. It goes on sending callers where it has too few
         other daemons, and what is taken then must end before the process does.
     """
 
-    front: FrontState
+    front: ListenerState
     clock: Clock
     serviceable: Callable[[], str | None]
     grace: float
     stopping: bool = False
     was_ready: bool = False
-    last_moment: float | None = None
+    shutdown_deadline: float | None = None
 
-    async def answer_readiness(self, message: CallerMessage, reply: Reply) -> None:
+    async def answer_readiness(self, message: CallerRequest, reply: Reply) -> None:
         """Answer the balancer."""
         reason = 'stopping' if self.stopping else self.serviceable()
         ready = reason is None
@@ -61,7 +61,7 @@
         logger.bind(busy=self.front.busy).info('stopping')
         await asyncio.sleep(BALANCER_SECONDS)
         self.front.closing = True
-        self.last_moment = until
+        self.shutdown_deadline = until
         quiet_since = self.clock.monotonic()
         while self.clock.monotonic() < until:
             self.front.close_idle()
--- a/libs/serving/fireflyhitch_serving/messages.py
+++ b/libs/serving/fireflyhitch_serving/messages.py
@@ -27,7 +27,7 @@
 
 
 @immutable
-class CallerMessage:
+class CallerRequest:
     """A whole request as a caller sent it.
 
     :param arrived: monotonic seconds at which its head was read.
@@ -49,7 +49,7 @@
 
 
 @immutable
-class RequestFacts:
+class RequestInfo:
     """What decisions need to know of a request, whatever its edge.
 
     :param host: without a port.
@@ -68,7 +68,7 @@
     last_event: int | None
     model: str | None
     prompt_tokens: int | None
-    most_answer_tokens: int | None
+    max_answer_tokens: int | None
     parts: tuple[PromptPart, ...]
     hinted_tokens: int | None
 
@@ -77,11 +77,11 @@
         """Return prompt and answer tokens together, if the request says them."""
         if self.prompt_tokens is None:
             return None
-        return self.prompt_tokens + (self.most_answer_tokens or 0)
+        return self.prompt_tokens + (self.max_answer_tokens or 0)
 
 
 @immutable
-class ServerLoadNote:
+class ReportedLoad:
     """A server's account of its load in an answer."""
 
     running: int
@@ -90,7 +90,7 @@
 
 
 @immutable
-class AnswerFacts:
+class ResponseInfo:
     """What a server's answer says besides its body.
 
     :param request_id: of the request that it answers; ``None`` if unsaid.
@@ -105,7 +105,7 @@
     not_run: bool
     signed: bool
     encoded: bool
-    load: ServerLoadNote | None
+    load: ReportedLoad | None
     limit: float | None = None
 
 
--- a/libs/serving/fireflyhitch_serving/metrics_page.py
+++ b/libs/serving/fireflyhitch_serving/metrics_endpoint.py
@@ -14,7 +14,7 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_model.states import Outcome
 from fireflyhitch_serving.callers import Reply
-from fireflyhitch_serving.messages import CallerMessage
+from fireflyhitch_serving.messages import CallerRequest
 
 if TYPE_CHECKING:
     from fireflyhitch_telemetry.metrics import Metrics
@@ -40,7 +40,7 @@
     seconds: float
 
 
-class MetricsPage:
+class MetricsEndpoint:
     """Takes records, and serves what they add up to."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self._dropped += len(self._waiting) == MOST_WAITING
         self._waiting.append(record)
 
-    async def serve(self, message: CallerMessage, reply: Reply) -> None:
+    async def serve(self, message: CallerRequest, reply: Reply) -> None:
         """Answer a request for the page, whatever its path."""
         if self._metrics is None:
             self._metrics = self._load()
--- a/libs/serving/fireflyhitch_serving/moves.py
+++ b/libs/serving/fireflyhitch_serving/moves.py
@@ -17,19 +17,19 @@
 from fireflyhitch_model.ids import ABSENT, DeploymentId, Revision
 from fireflyhitch_model.records import immutable
 from fireflyhitch_platform.keyvalue import Written
-from fireflyhitch_rollout.brief import (
-    Answers,
+from fireflyhitch_rollout.short_moves import (
     MoveEnd,
     MoveEvidence,
+    RouteResults,
     find_end,
     find_fault,
     find_share,
 )
-from fireflyhitch_serving.leases import OWN_PREFIX, LeaderLease
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LeaderLease
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.versions import VersionShare, VersionShares
 
-MOVES_PREFIX = f'{OWN_PREFIX}moves/'
+MOVES_PREFIX = f'{FIREFLYHITCH_PREFIX}moves/'
 # A verdict is in force everywhere within a second or two: evidence is told ten times a
 # second, and looked at this often.
 LOOK_SECONDS = 0.25
@@ -57,7 +57,7 @@
 
 
 @immutable
-class StatusForm:
+class StatusFormat:
     """How the platform wants a move's state to be written.
 
     :param key: of a service's state.
@@ -95,16 +95,16 @@
         return ended and order is not None and self.record.order == order.revision
 
 
-class MoveBook:
+class MoveTracker:
     """All moves, the answers of their versions, and the shares that follow."""
 
-    def __init__(self, shares: VersionShares, exposure_part: float) -> None:
+    def __init__(self, shares: VersionShares, exposure_fraction: float) -> None:
         """Make a book without moves.
 
-        :param exposure_part: of the requests, that an untried version may get.
+        :param exposure_fraction: of the requests, that an untried version may get.
         """
         self._shares = shares
-        self._exposure_part = exposure_part
+        self._exposure_part = exposure_fraction
         self._moves: dict[DeploymentId, _Move] = {}
         self._told: dict[str, Mapping[str, Counts]] = {}
         self._counts: dict[str, Counts] = {}
@@ -118,7 +118,7 @@
         """Return a service's move."""
         return self._moves.setdefault(service, _Move())
 
-    def take_order(self, order: MoveOrder) -> None:
+    def apply_order(self, order: MoveOrder) -> None:
         """Take in an order."""
         move = self.find(order.service)
         if move.order is None or order.revision > move.order.revision:
@@ -127,7 +127,7 @@
             logger.bind(service=order.service, target=order.target).info('move ordered')
         self.apply(order.service)
 
-    def take_record(
+    def apply_record(
         self, service: DeploymentId, value: bytes | None, revision: Revision
     ) -> None:
         """Take in a move's begin or end from the store."""
@@ -171,21 +171,21 @@
         """Return this daemon's counts, for its peers."""
         return self._counts
 
-    def take_evidence(self, process: str, counts: Mapping[str, Counts]) -> None:
+    def update_peer_evidence(self, process: str, counts: Mapping[str, Counts]) -> None:
         """Take in a peer's counts; none are kept of a process that has none."""
         if counts:
             self._told[process] = counts
         else:
             self._told.pop(process, None)
 
-    def count_tellers(self) -> int:
+    def count_reporters(self) -> int:
         """Return how many peers' counts are kept."""
         return len(self._told)
 
     def sum_evidence(self, order: MoveOrder) -> MoveEvidence:
         """Return what all daemons saw of a move."""
-        old: dict[str, Answers] = {}
-        new: dict[str, Answers] = {}
+        old: dict[str, RouteResults] = {}
+        new: dict[str, RouteResults] = {}
         prefix = f'{order.service}|{order.revision}|'
         told = [self._counts, *self._told.values()]
         for key, numbers in chain.from_iterable(counts.items() for counts in told):
@@ -193,7 +193,7 @@
                 continue
             _, _, version, route = key.split('|', 3)
             side = new if version == order.target else old
-            side[route] = side.get(route, Answers()).add(Answers(*numbers))
+            side[route] = side.get(route, RouteResults()).add(RouteResults(*numbers))
         return MoveEvidence(old, new)
 
     def apply(self, service: DeploymentId) -> None:
@@ -245,15 +245,15 @@
         return seconds > usual * SLOW_FACTOR
 
 
-class MoveLeader:
+class MoveCoordinator:
     """Begins and ends moves while this daemon leads."""
 
     def __init__(
         self,
-        book: MoveBook,
+        book: MoveTracker,
         lease: LeaderLease,
         store: AsyncStore,
-        form: StatusForm,
+        form: StatusFormat,
         wall: Callable[[], float],
     ) -> None:
         """Make a leader that has done nothing."""
@@ -269,7 +269,7 @@
             await asyncio.sleep(LOOK_SECONDS)
             for service in self._book.services():
                 self._book.apply(service)
-                if self._lease.lead() is None:
+                if self._lease.current_leadership() is None:
                     continue
                 try:
                     await self._lead(service)
@@ -292,7 +292,7 @@
         evidence = self._book.sum_evidence(order)
         end = find_end(evidence, self._wall() - record.began, order.seconds)
         if move.withdrawn == order.revision:
-            end = MoveEnd.TAKEN_BACK
+            end = MoveEnd.ROLLED_BACK
         if end is not None:
             await self._write(move, order, record.began, end)
 
--- a/libs/serving/fireflyhitch_serving/own_part.py
+++ b/libs/serving/fireflyhitch_serving/own_contribution.py
@@ -9,9 +9,9 @@
 from dataclasses import replace
 
 from fireflyhitch_model.ids import BackendServerId, CustomerId
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 from fireflyhitch_serving.summaries import DomainSummary
 
@@ -25,19 +25,19 @@
     def __init__(self, own: str) -> None:
         """Make a part of a daemon that has told nothing."""
         self._own = own
-        self._told: OrderedDict[int, PeerNews] = OrderedDict()
+        self._told: OrderedDict[int, PeerState] = OrderedDict()
         self._hub = ''
         # By customer: what was taken when the hub first heard of this daemon.
         self._base: dict[CustomerId, float] | None = None
         self._counted: dict[CustomerId, float] = {}
 
-    def note_told(self, news: PeerNews) -> None:
+    def note_told(self, news: PeerState) -> None:
         """Remember what is told now."""
         self._told[news.sequence] = news
         if len(self._told) > MOST_REMEMBERED:
             self._told.popitem(last=False)
 
-    def take_off(self, summary: DomainSummary) -> DomainSummary:
+    def subtract(self, summary: DomainSummary) -> DomainSummary:
         """Return a hub's sums of the other daemons alone."""
         own = self._find(summary)
         self._count(summary, own)
@@ -49,15 +49,15 @@
         )
 
     def _take_off_customers(
-        self, summary: DomainSummary, own: PeerNews | None
-    ) -> dict[CustomerId, CustomerNote]:
+        self, summary: DomainSummary, own: PeerState | None
+    ) -> dict[CustomerId, QuotaReport]:
         """Return what customers take and ask of the others.
 
         Like what it is taken off, ``taken`` grows as long as one process is the hub.
         """
         asked = {} if own is None else own.customers
         return {
-            customer: CustomerNote(
+            customer: QuotaReport(
                 note.taken - self._counted.get(customer, 0),
                 max(note.demand - _read_demand(asked.get(customer)), 0),
                 note.left,
@@ -65,11 +65,11 @@
             for customer, note in summary.customers.items()
         }
 
-    def _find(self, summary: DomainSummary) -> PeerNews | None:
+    def _find(self, summary: DomainSummary) -> PeerState | None:
         member = summary.members.get(self._own)
         return None if member is None else self._told.get(member.sequence)
 
-    def _count(self, summary: DomainSummary, own: PeerNews | None) -> None:
+    def _count(self, summary: DomainSummary, own: PeerState | None) -> None:
         """Note what the hub has counted of this daemon's units since it first did."""
         if summary.process != self._hub:
             self._hub = summary.process
@@ -85,7 +85,7 @@
 
 
 def _take_off_work(
-    summary: DomainSummary, own: PeerNews | None
+    summary: DomainSummary, own: PeerState | None
 ) -> Mapping[BackendServerId, InFlight]:
     if own is None:
         return summary.work
@@ -96,12 +96,12 @@
 
 
 def _take_off_answers(
-    summary: DomainSummary, own: PeerNews | None
+    summary: DomainSummary, own: PeerState | None
 ) -> Mapping[BackendServerId, AnswerCounts]:
     if own is None:
         return summary.answers
     return {
-        server: counts.take_off(own.answers.get(server, AnswerCounts()))
+        server: counts.subtract(own.answers.get(server, AnswerCounts()))
         for server, counts in summary.answers.items()
     }
 
@@ -113,5 +113,5 @@
     )
 
 
-def _read_demand(note: CustomerNote | None) -> float:
+def _read_demand(note: QuotaReport | None) -> float:
     return 0 if note is None else note.demand
--- a/libs/serving/fireflyhitch_serving/peer_channel.py
+++ b/libs/serving/fireflyhitch_serving/peer_channel.py
@@ -15,16 +15,16 @@
 
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_news import PeerNews, read_news, render_news
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_state import PeerState, read_news, render_news
 from fireflyhitch_serving.peers import (
     HUB_SECONDS,
     MOST_DATAGRAM_BYTES,
     MOST_FAR_PER_SECOND,
     SEND_SECONDS,
-    PeerBook,
+    PeerRegistry,
 )
-from fireflyhitch_serving.stalls import StallWatch
+from fireflyhitch_serving.stalls import StallDetector
 from fireflyhitch_serving.traffic import ControlTraffic
 
 # Where all tell each other, so that a daemon sends and gets a bounded number of messages.
@@ -38,7 +38,7 @@
 
 
 @immutable
-class NewsHandlers:
+class PeerHandlers:
     """Who makes this daemon's news, and takes in what comes.
 
     :param take: told news that are new.
@@ -46,8 +46,8 @@
     :param find_leader: returns the name of the daemon that leads.
     """
 
-    make_own: Callable[[], PeerNews]
-    take: Callable[[PeerNews], None]
+    make_own: Callable[[], PeerState]
+    take: Callable[[PeerState], None]
     take_other: Callable[[bytes], bool]
     find_leader: Callable[[], str | None]
 
@@ -57,11 +57,11 @@
 
     def __init__(
         self,
-        book: PeerBook,
-        hubs: Hubs,
-        handlers: NewsHandlers,
-        stalls: StallWatch,
-        draw: random.Random,
+        book: PeerRegistry,
+        hubs: HubTracker,
+        handlers: PeerHandlers,
+        stalls: StallDetector,
+        rng: random.Random,
         traffic: ControlTraffic,
     ) -> None:
         """Make a channel; ``run`` sends until cancelled."""
@@ -69,7 +69,7 @@
         self._hubs = hubs
         self._handlers = handlers
         self._stalls = stalls
-        self._draw = draw
+        self._rng = rng
         self._traffic = traffic
         self._transport: asyncio.DatagramTransport | None = None
         self._far_due = 0.0
@@ -82,7 +82,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Take a message in."""
         self._traffic.note_received(len(data))
-        if self._stalls.is_behind():
+        if self._stalls.is_discarding():
             return
         if self._handlers.take_other(data):
             return
@@ -108,7 +108,7 @@
                 near, far = self._book.part_by_domain()
                 seconds = max(SEND_SECONDS, len(near) / MOST_NEAR_PER_SECOND)
                 self.send([*near, *self._pick_far(far)])
-            await asyncio.sleep(seconds * self._draw.uniform(1 - SPREAD, 1 + SPREAD))
+            await asyncio.sleep(seconds * self._rng.uniform(1 - SPREAD, 1 + SPREAD))
 
     def _pick_told(self) -> list[Address]:
         """Return the hub and its successor, and now and again the leader."""
@@ -153,5 +153,5 @@
 
     def _send_once(self, data: bytes, address: Address) -> None:
         if self._transport is not None:
-            self._traffic.note_sent(len(data))
+            self._traffic.record_sent(len(data))
             self._transport.sendto(data, (address.host, address.port))
--- a/libs/serving/fireflyhitch_serving/peer_news.py
+++ b/libs/serving/fireflyhitch_serving/peer_state.py
@@ -16,10 +16,10 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashNote
-from fireflyhitch_routing.server_limits import LimitNote
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_routing.crashes import CrashReport
+from fireflyhitch_routing.server_limits import LimitReport
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
 UNREADABLE = (cbor2.CBORDecodeError, KeyError, TypeError, ValueError, AttributeError)
@@ -38,7 +38,7 @@
 
 
 @immutable
-class PeerNews:
+class PeerState:
     """A daemon's present state.
 
     :param daemon: its name, which a later process at the same place has too.
@@ -66,20 +66,20 @@
     sequence: int
     wall: float
     work: Mapping[BackendServerId, InFlight]
-    customers: Mapping[CustomerId, CustomerNote]
+    customers: Mapping[CustomerId, QuotaReport]
     usage: Mapping[int, Mapping[CustomerId, int]]
     fresh_parts: Mapping[BackendServerId, list[str]]
     evidence: Mapping[str, list[int]]
     newest: Mapping[str, Revision]
     answers: Mapping[BackendServerId, AnswerCounts] = field(default_factory=dict)
-    crashes: Mapping[ContentId, CrashNote] = field(default_factory=dict)
-    limits: Mapping[ProcessId, LimitNote] = field(default_factory=dict)
+    crashes: Mapping[ContentId, CrashReport] = field(default_factory=dict)
+    limits: Mapping[ProcessId, LimitReport] = field(default_factory=dict)
     hears_store: bool = True
     store_settled: bool = True
     stopping: bool = False
 
 
-def render_news(news: PeerNews) -> bytes:
+def render_news(news: PeerState) -> bytes:
     """Return a datagram."""
     return cbor2.dumps(
         {field.name: getattr(news, field.name) for field in fields(news)},
@@ -89,14 +89,14 @@
 
 def encode_note(encoder: cbor2.CBOREncoder, note: object) -> None:
     """Encode the values in messages that CBOR does not know; it knows tuples."""
-    if isinstance(note, CustomerNote):
+    if isinstance(note, QuotaReport):
         encoder.encode((note.taken, note.demand, note.left))
 
 
-def read_news(data: bytes) -> PeerNews | None:
+def read_news(data: bytes) -> PeerState | None:
     """Read a datagram; nothing for one that is none."""
     try:
-        return PeerNews(**decode_notes(cbor2.loads(data)))
+        return PeerState(**decode_notes(cbor2.loads(data)))
     except UNREADABLE:
         return None
 
@@ -104,7 +104,7 @@
 def decode_notes(read: dict[str, Any]) -> dict[str, Any]:
     """Return a message's fields with the values that ``encode_note`` wrote."""
     work = {key: InFlight(*counts) for key, counts in read['work'].items()}
-    customers = {key: CustomerNote(*units) for key, units in read['customers'].items()}
+    customers = {key: QuotaReport(*units) for key, units in read['customers'].items()}
     answers = {key: AnswerCounts(*told) for key, told in read['answers'].items()}
     crashes = {key: _read_crash(*told) for key, told in read['crashes'].items()}
     return {
@@ -113,13 +113,13 @@
         'customers': customers,
         'answers': answers,
         'crashes': crashes,
-        'limits': {key: LimitNote(*told) for key, told in read['limits'].items()},
+        'limits': {key: LimitReport(*told) for key, told in read['limits'].items()},
     }
 
 
-def _read_crash(ends: list[list[Any]], answered: float | None) -> CrashNote:
+def _read_crash(ends: list[list[Any]], answered: float | None) -> CrashReport:
     rows = [(process, float(age), float(ran)) for process, age, ran in ends]
-    return CrashNote(rows, answered)
+    return CrashReport(rows, answered)
 
 
 def render_rows(kind: str, rows: Sequence[object]) -> bytes:
--- a/libs/serving/fireflyhitch_serving/peers.py
+++ b/libs/serving/fireflyhitch_serving/peers.py
@@ -11,7 +11,7 @@
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peer_news import PeerNews
+from fireflyhitch_serving.peer_state import PeerState
 
 # A peer's view of a server is this old at most; engines take 0.2 s for a long prompt.
 SEND_SECONDS = 0.1
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class _Heard:
-    news: PeerNews
+    news: PeerState
     at: float
     wall_ahead: float
 
@@ -64,7 +64,7 @@
         return GroupMember(news.failure_domain, news.hears_store, news.stopping)
 
 
-class PeerBook:
+class PeerRegistry:
     """The last news of each daemon, and what follows from all of them."""
 
     def __init__(
@@ -83,7 +83,7 @@
         self._registered: dict[str, Address] = {}
         self._domains: dict[str, FailureDomainId] = {}
         self._links: dict[str, float] = {}
-        self.own_news: PeerNews | None = None
+        self.own_news: PeerState | None = None
         # By the hub, where there is one: its neighbours, and the time of day there.
         self.hub_members: Callable[[], Mapping[str, GroupMember]] = dict
         self.find_hub_wall: Callable[[], float | None] = _know_nothing
@@ -118,7 +118,7 @@
         if domain is not None:
             self._domains[daemon] = domain
 
-    def note_link(self, daemon: str, megabits: float) -> None:
+    def set_link_rate(self, daemon: str, megabits: float) -> None:
         """Take in what a daemon's link carries, in a second."""
         self._links[daemon] = megabits
 
@@ -146,7 +146,7 @@
         """Answer a daemon that was heard before the store's list was read again."""
         self._registered.setdefault(daemon, address)
 
-    def take(self, news: PeerNews) -> bool:
+    def take(self, news: PeerState) -> bool:
         """Take in a message; tell whether it is news."""
         known = self._heard.get(news.daemon)
         if known is not None and known.news.process == news.process:
@@ -175,7 +175,7 @@
                 groups.setdefault(self._domains[daemon], []).append(daemon)
         return groups
 
-    def heard_near(self) -> dict[str, PeerNews]:
+    def heard_near(self) -> dict[str, PeerState]:
         """Return the news of those of the own failure domain that are heard now."""
         return {
             daemon: news
@@ -191,9 +191,9 @@
         """Return those that share duties with this daemon and are heard now."""
         return self._find_members(self._silent_seconds())
 
-    def heard_lately(self) -> dict[str, GroupMember]:
+    def unsuspected_members(self) -> dict[str, GroupMember]:
         """Return those of them that have not missed some messages in a row."""
-        turn = HUB_SECONDS if self.uses_summaries() else self.turn_seconds()
+        turn = HUB_SECONDS if self.uses_summaries() else self.propagation_seconds()
         return self._find_members(max(SUSPECT_SECONDS, SUSPECT_TURNS * turn))
 
     def _find_members(self, seconds: float) -> dict[str, GroupMember]:
@@ -212,14 +212,14 @@
         }
         return {**self.hub_members(), **near}
 
-    def turn_seconds(self) -> float:
+    def propagation_seconds(self) -> float:
         """Return how long it takes until each daemon's state is known to all others."""
         if self.uses_summaries():
             return SUMMARY_TURN_SECONDS
         return max(SEND_SECONDS, len(self._registered) / MOST_FAR_PER_SECOND)
 
     def _silent_seconds(self) -> float:
-        return max(SILENT_SECONDS, SILENT_TURNS * self.turn_seconds())
+        return max(SILENT_SECONDS, SILENT_TURNS * self.propagation_seconds())
 
     def monotonic(self) -> float:
         """Return the book's clock."""
@@ -241,7 +241,7 @@
         """Return where a daemon is."""
         return self._registered.get(daemon)
 
-    def heard(self) -> dict[str, PeerNews]:
+    def heard(self) -> dict[str, PeerState]:
         """Return the news of those that are heard now."""
         return {daemon: heard.news for daemon, heard in self._heard_now().items()}
 
@@ -254,7 +254,7 @@
             if now - heard.at <= silent
         }
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that all listed daemons have gone silent in.
 
         A failure domain that is cut off shows here half a second after the cut, by
--- a/libs/serving/fireflyhitch_serving/placing.py
+++ b/libs/serving/fireflyhitch_serving/placement.py
@@ -45,7 +45,7 @@
 
 
 @immutable
-class PromptNeed:
+class PromptRequest:
     """What an engine has to read for a request.
 
     :param target: seconds in which its first token is due.
@@ -59,14 +59,14 @@
 
 
 @immutable
-class Place:
+class Locality:
     """Where the daemon is among the failure domains.
 
-    :param silent_domains: that are probably cut off from here.
+    :param unreachable_domains: that are probably cut off from here.
     """
 
     own_domain: FailureDomainId
-    silent_domains: frozenset[FailureDomainId] = frozenset()
+    unreachable_domains: frozenset[FailureDomainId] = frozenset()
 
 
 @immutable
@@ -87,9 +87,9 @@
 
 
 def place_prompt(
-    need: PromptNeed,
+    need: PromptRequest,
     records: Sequence[ServerRecord],
-    place: Place,
+    place: Locality,
     now: float,
     agreed: Sequence[BackendServerId] = (),
 ) -> Placement | None:
@@ -120,7 +120,7 @@
 
 
 def place_plain(
-    records: Sequence[ServerRecord], place: Place, now: float
+    records: Sequence[ServerRecord], place: Locality, now: float
 ) -> Placement | None:
     """Choose the server with the most free slots, one in the own domain first.
 
@@ -182,15 +182,15 @@
 def _count_busy(record: ServerRecord, now: float) -> int:
     busy = record.total(now).requests
     load = record.load
-    if load is not None and now - record.load_at < LOAD_SECONDS:
+    if load is not None and now - record.load_received_at < LOAD_SECONDS:
         busy = max(busy, record.requests + load.waiting)
     return busy
 
 
-def _weigh_place(record: ServerRecord, place: Place) -> float:
+def _weigh_place(record: ServerRecord, place: Locality) -> float:
     domain = record.server.failure_domain
     cost = 0.0 if domain == place.own_domain else ELSEWHERE_SECONDS
-    if domain in place.silent_domains:
+    if domain in place.unreachable_domains:
         cost += SILENT_SECONDS
     if record.server.cold_seconds > 0:
         cost += COLD_SECONDS
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -45,7 +45,7 @@
 
 
 @immutable
-class CustomerNote:
+class QuotaReport:
     """What a process tells of a customer.
 
     :param taken: units that it has taken since its start, less what came back.
@@ -107,16 +107,16 @@
     """What the platform tolerates above limits, as far as the daemons use it.
 
     :param units: over all daemons, on top of a customer's burst.
-    :param part: of a customer's rate, on top of it.
+    :param rate_fraction: of a customer's rate, on top of it.
     :param window: seconds over which limits are counted; 0 if that is not known.
     """
 
     units: float = 0
-    part: float = 0
+    rate_fraction: float = 0
     window: float = 0
 
 
-def find_slack_part(news_seconds: float) -> float:
+def find_slack_fraction(news_seconds: float) -> float:
     """Return the part of what is tolerated above limits that the daemons may use.
 
     Callers within a limit come in bursts, and each refusal makes an answer late. The
@@ -158,7 +158,9 @@
         self._part = 1.0
         self._news_seconds = 0.0
 
-    def share_with(self, daemons: int, heard: int, news_seconds: float = 0) -> None:
+    def update_daemon_counts(
+        self, daemons: int, heard: int, news_seconds: float = 0
+    ) -> None:
         """Take in how many daemons there are.
 
         :param daemons: this one included, heard or not.
@@ -168,18 +170,18 @@
         self._news_seconds = news_seconds
         self._part = min(1.0, max(heard, 1) / max(daemons, 1))
 
-    def notes(self, now: float) -> dict[CustomerId, CustomerNote]:
+    def build_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
         """Return what this daemon tells its peers."""
         for known in self._accounts.values():
             self._refill(known, now)
             known.drop_silent(now)
         return {
-            name: CustomerNote(account.taken, account.demand.read(now), account.left)
+            name: QuotaReport(account.taken, account.demand.read(now), account.left)
             for name, account in self._accounts.items()
             if account.taken
         }
 
-    def domain_notes(self, now: float) -> dict[CustomerId, CustomerNote]:
+    def build_domain_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
         """Return what this daemon tells other failure domains for its own.
 
         ``taken`` is what this process has taken and seen its neighbours take: like
@@ -190,7 +192,7 @@
         for known in self._accounts.values():
             self._refill(known, now)
         return {
-            name: CustomerNote(
+            name: QuotaReport(
                 account.taken + account.relayed,
                 account.sum_demand(now, near=True),
                 account.left,
@@ -213,11 +215,11 @@
             return math.inf
         return self._find_rate(account.quota)
 
-    def take_note(
+    def apply_report(
         self,
         process: str,
         customer: CustomerId,
-        note: CustomerNote,
+        note: QuotaReport,
         now: float,
         *,
         near: bool = False,
@@ -260,7 +262,7 @@
         for account in self._accounts.values():
             account.peers.pop(process, None)
 
-    def note_stall(self) -> None:
+    def reset_peer_baselines(self) -> None:
         """Take all processes as heard for the first time when they are heard next."""
         self._told.clear()
 
@@ -307,7 +309,7 @@
             'part': round(self._part, 2),
         }
 
-    def give_back(self, customer: Customer, units: float) -> None:
+    def refund(self, customer: Customer, units: float) -> None:
         """Give back what was taken for a request that did not run."""
         account = self._accounts.get(customer.name)
         if account is not None:
@@ -334,7 +336,7 @@
         account.at = now
 
     def _find_rate(self, quota: Quota) -> float:
-        rate = quota.rate * (1 + self.slack.part)
+        rate = quota.rate * (1 + self.slack.rate_fraction)
         if self.slack.window:
             rate += (
                 SUSTAINED_PART * (quota.burst + self.slack.units) / self.slack.window
