--- a/libs/serving/fireflyhitch_serving/registrations.py
+++ b/libs/serving/fireflyhitch_serving/registrations.py
@@ -15,12 +15,12 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_platform.keyvalue import Conflict
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.leases import OWN_PREFIX, LeaderLease
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LeaderLease
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.store_health import StoreHealth
 
-DAEMONS_PREFIX = f'{OWN_PREFIX}daemons/'
+DAEMONS_PREFIX = f'{FIREFLYHITCH_PREFIX}daemons/'
 LOOK_SECONDS = 0.2
 RETRY_SECONDS = 1.0
 # News of those that were listed before this daemon was have come by then.
@@ -65,13 +65,13 @@
     return Registration(Address.parse(address), FailureDomainId(domain), link_mbps)
 
 
-class RegistrationKeeper:
+class RegistrationManager:
     """Keeps this daemon listed, and takes in who else is."""
 
     def __init__(
         self,
         store: AsyncStore,
-        peers: PeerBook,
+        peers: PeerRegistry,
         daemon: str,
         registration: Registration,
         health: StoreHealth,
@@ -94,7 +94,7 @@
         """Tell whether what was read of the store shows this daemon."""
         return self._listed_since is not None
 
-    def knows_peers(self) -> bool:
+    def has_discovered_peers(self) -> bool:
         """Tell whether this daemon has had time to hear the others."""
         now = self._clock.monotonic()
         if now - self._started >= LONGEST_MEET_SECONDS:
@@ -122,7 +122,7 @@
             )
             return
         self._peers.register(daemon, told.address, told.failure_domain)
-        self._peers.note_link(daemon, told.link_mbps)
+        self._peers.set_link_rate(daemon, told.link_mbps)
         logger.bind(peer=daemon).info('daemon listed')
 
     def _take_own(self, value: bytes | None, revision: Revision) -> None:
@@ -139,13 +139,13 @@
             try:
                 await self._register()
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _register(self) -> None:
         key = f'{DAEMONS_PREFIX}{self._daemon}'
         put = Put(key, self._value, self._standing.revision)
-        result = await self._health.hear(self._store.put([put]))
+        result = await self._health.track(self._store.put([put]))
         if isinstance(result, Conflict):
             current = result.current
             self._standing = KeyStanding(
@@ -171,7 +171,7 @@
     def __init__(
         self,
         store: AsyncStore,
-        peers: PeerBook,
+        peers: PeerRegistry,
         lease: LeaderLease,
         health: StoreHealth,
         clock: Clock,
@@ -188,7 +188,7 @@
         """Look until cancelled."""
         while True:
             await asyncio.sleep(LOOK_SECONDS)
-            if self._lease.lead() is None:
+            if self._lease.current_leadership() is None:
                 self._last_heard.clear()
                 continue
             gone = self._find_gone()
@@ -197,7 +197,7 @@
             try:
                 await self._delete(gone)
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 await asyncio.sleep(RETRY_SECONDS)
 
     def _find_gone(self) -> list[str]:
@@ -225,7 +225,7 @@
 
     async def _delete(self, gone: list[str]) -> None:
         keys = [f'{DAEMONS_PREFIX}{daemon}' for daemon in gone[:MOST_DELETED]]
-        await self._health.hear(self._store.put([], deletes=keys))
+        await self._health.track(self._store.put([], deletes=keys))
         for daemon in gone[:MOST_DELETED]:
             # Whoever is not gone is back when it sees so; this counts anew till then.
             self._last_heard.pop(daemon)
--- a/libs/serving/fireflyhitch_serving/relays.py
+++ b/libs/serving/fireflyhitch_serving/relays.py
@@ -12,14 +12,14 @@
 from loguru import logger
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.candidates import rank_able
 from fireflyhitch_serving.changes import (
     ChangeMessage,
     ChangeSpan,
     part_span,
     render_changes,
 )
-from fireflyhitch_serving.peers import MOST_DATAGRAM_BYTES, PeerBook
+from fireflyhitch_serving.duty_ranking import rank_eligible
+from fireflyhitch_serving.peers import MOST_DATAGRAM_BYTES, PeerRegistry
 
 WATCHERS = 3
 # Others try in place of those that the store has turned away, more of them the more
@@ -47,26 +47,26 @@
 
     def __init__(
         self,
-        peers: PeerBook,
+        peers: PeerRegistry,
         own: str,
         process: str,
         clock: Clock,
         send: Callable[[bytes, list[str]], None],
-        knows_peers: Callable[[], bool],
+        has_discovered_peers: Callable[[], bool],
     ) -> None:
         """Make a relay with nothing to pass on.
 
         :param own: this daemon's name.
         :param process: names this process alone.
         :param send: a datagram to daemons by name.
-        :param knows_peers: whether this daemon has had time to hear the others.
+        :param has_discovered_peers: whether this daemon has had time to hear the others.
         """
         self._peers = peers
         self._own = own
         self._process = process
         self._clock = clock
         self._send = send
-        self._knows_peers = knows_peers
+        self._knows_peers = has_discovered_peers
         self._watchers: list[str] = []
         self._found_until = float('-inf')
         self._recent: deque[tuple[float, ChangeSpan]] = deque()
@@ -105,7 +105,7 @@
         group = self._peers.heard_group().values()
         turned_away = sum(not news.hears_store for news in group)
         most = min(WATCHERS + turned_away, MOST_WATCHERS)
-        return rank_able(self._peers, 'watch')[:most]
+        return rank_eligible(self._peers, 'watch')[:most]
 
     def pass_on(self, span: ChangeSpan) -> None:
         """Send changes to the daemons that do not watch."""
@@ -137,7 +137,7 @@
         if self._peers.uses_summaries() and self._peers.is_far(sender):
             self._send_parts(message.span, list(self._peers.heard_group()))
 
-    def help(self, relays: Collection[str]) -> None:
+    def assist_domains(self, relays: Collection[str]) -> None:
         """Tell daemons of other groups what theirs does not hear from the store.
 
         :param relays: one of each such group, which passes it on there.
@@ -151,7 +151,7 @@
         for _, span in self._recent if begun else ():
             self._send_parts(span, begun)
 
-    def note_group(self) -> None:
+    def update_group(self) -> None:
         """Take in who of the group has lost the store, and who hears it again."""
         without = set(self._find_without_store())
         lost = sorted(without - self._without_store)
--- a/libs/serving/fireflyhitch_serving/path.py
+++ b/libs/serving/fireflyhitch_serving/request_handler.py
@@ -10,18 +10,21 @@
 from fireflyhitch_model.ids import CustomerId
 from fireflyhitch_model.states import Outcome
 from fireflyhitch_serving.admission import Admission, RefusedError, refuse_for
+from fireflyhitch_serving.attempt_policy import Choices
 from fireflyhitch_serving.attempts import Attempt, AttemptEvents
 from fireflyhitch_serving.callers import Reply
-from fireflyhitch_serving.choices import Choices
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.edge import BadRequestError, Refusal
 from fireflyhitch_serving.errors import CallerGone
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import AnswerFacts, CallerMessage, RequestFacts
-from fireflyhitch_serving.metrics_page import RequestRecord
-from fireflyhitch_serving.parts import PathParts
-from fireflyhitch_serving.placing import Placement
-from fireflyhitch_serving.server_evidence import LATEST, compare_times
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo, ResponseInfo
+from fireflyhitch_serving.metrics_endpoint import RequestRecord
+from fireflyhitch_serving.placement import Placement
+from fireflyhitch_serving.server_statistics import (
+    MAX_RELATIVE_LATENCY,
+    compute_relative_latency,
+)
 from fireflyhitch_serving.servers import ServerRecord
 from fireflyhitch_serving.waiting import WaitingRequests
 
@@ -31,10 +34,10 @@
 NOBODY = CustomerId('')
 
 
-class RequestPath:
+class RequestHandler:
     """Serves requests; all on one event loop."""
 
-    def __init__(self, parts: PathParts) -> None:
+    def __init__(self, parts: RequestDependencies) -> None:
         """Make a path with nothing in flight."""
         self._parts = parts
         self._clock = parts.clock
@@ -43,10 +46,10 @@
         self._events = AttemptEvents(began=self._note_begin, answered=self._note_answer)
         self._waiting = WaitingRequests()
 
-    async def serve(self, message: CallerMessage, reply: Reply) -> None:
+    async def serve(self, message: CallerRequest, reply: Reply) -> None:
         """Serve one request to its final answer."""
         try:
-            facts = self._parts.edge.read_request(message)
+            facts = self._parts.edge.parse_request(message)
         except BadRequestError as error:
             refusal = Refusal(HTTPStatus.BAD_REQUEST, 'bad_request', str(error))
             self._refuse(refusal, None, reply)
@@ -123,7 +126,7 @@
         if exchange.waits:
             return
         waiting = self._waiting.count(exchange.service) + 1
-        wait = waiting / self._choices.find_own_rate(candidates)
+        wait = waiting / self._choices.find_local_rate(candidates)
         if self._clock.monotonic() + wait < exchange.deadline:
             return
         if exchange.runs:
@@ -146,16 +149,18 @@
             partial(self._choices.may_leave, exchange),
         )
         record.requests += 1
-        self._parts.limits.note_sent(record.process)
+        self._parts.limits.record_sent(record.process)
         record.prompt_tokens += placement.fresh_tokens
-        self._parts.workloads.note_read(exchange.service, placement.fresh_tokens)
+        self._parts.workloads.record_prompt_tokens(
+            exchange.service, placement.fresh_tokens
+        )
         exchange.reading = placement.fresh_tokens
-        record.note_parts(exchange.facts.parts, self._clock.monotonic())
+        record.add_cached_parts(exchange.facts.parts, self._clock.monotonic())
         self._parts.fresh_parts.add(record.server.server_id, exchange.facts.parts)
         ending = Ending.CANCELLED
         exchange.attempt_began = self._clock.monotonic()
         exchange.first_event_at = None
-        exchange.lateness = 1
+        exchange.relative_latency = 1
         try:
             failure = await attempt.run(
                 self._choices.find_patience(exchange, placement)
@@ -176,7 +181,7 @@
             exchange.sends += 1
             exchange.runs += ending is not Ending.REFUSED
         if sent and ending in {Ending.GOOD, Ending.FAILED, Ending.BROKEN}:
-            self._parts.count_answer(
+            self._parts.record_outcome(
                 record.server.service,
                 record.server.version,
                 exchange.route.name,
@@ -185,7 +190,7 @@
             )
         self._note_evidence(exchange, record, ending)
         self._note_crash(exchange, record, ending)
-        usual = self._parts.servers.find_usual_failure_rate(record.server.service)
+        usual = self._parts.servers.find_median_failure_rate(record.server.service)
         if record.health.record(ending, usual, now):
             logger.bind(
                 server=record.server.server_id,
@@ -201,9 +206,11 @@
         if ending in {Ending.CANCELLED, Ending.REFUSED}:
             return
         failed = ending is not Ending.GOOD
-        lateness = LATEST if failed else exchange.lateness
+        relative_latency = MAX_RELATIVE_LATENCY if failed else exchange.relative_latency
         now = self._clock.monotonic()
-        record.evidence.note_answer(now, failed=failed, lateness=lateness)
+        record.evidence.record_response(
+            now, failed=failed, relative_latency=relative_latency
+        )
 
     def _note_crash(
         self, exchange: Exchange, record: ServerRecord, ending: Ending
@@ -211,9 +218,11 @@
         """Have the server looked after if it broke off, or note that it did not end."""
         crashes = self._parts.crashes
         if ending is Ending.BROKEN:
-            crashes.ends.note_broken(record, exchange.content, exchange.attempt_began)
+            crashes.ends.record_broken_response(
+                record, exchange.content, exchange.attempt_began
+            )
         elif ending is Ending.GOOD:
-            crashes.book.note_answer(exchange.content, self._clock.monotonic())
+            crashes.book.record_response(exchange.content, self._clock.monotonic())
 
     def _give_up(self, exchange: Exchange, failure: AttemptFailure) -> None:
         reply = exchange.reply
@@ -255,7 +264,7 @@
     def _settle(self, exchange: Exchange) -> None:
         customer = exchange.customer
         if customer is not None and exchange.charged and not exchange.runs:
-            self._parts.quotas.give_back(customer, exchange.charged)
+            self._parts.quotas.refund(customer, exchange.charged)
 
     def _record(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
@@ -288,19 +297,21 @@
         if exchange.first_event_at is None:
             return
         seconds = exchange.first_event_at - exchange.attempt_began
-        pace = self._parts.workloads.pace_of(exchange.service)
+        pace = self._parts.workloads.prefill_model(exchange.service)
         tokens = placement.queued_tokens + placement.fresh_tokens
-        exchange.lateness = compare_times(seconds, pace.expect(tokens))
-        pace.note(tokens, seconds)
+        exchange.relative_latency = compute_relative_latency(
+            seconds, pace.predict(tokens)
+        )
+        pace.add_sample(tokens, seconds)
 
     def _note_answer(
-        self, exchange: Exchange, placement: Placement, facts: AnswerFacts
+        self, exchange: Exchange, placement: Placement, facts: ResponseInfo
     ) -> None:
         if facts.load is not None:
-            placement.record.note_load(facts.load, self._clock.monotonic())
+            placement.record.update_load(facts.load, self._clock.monotonic())
         # Without a signature it may be another server's, at an address used anew.
         if facts.signed or facts.limit is not None:
-            self._parts.limits.note_answer(
+            self._parts.limits.record_response(
                 placement.record.process,
                 placement.record.server.server_id,
                 facts.limit,
@@ -323,7 +334,7 @@
         )
 
     def _refuse(
-        self, refusal: Refusal, facts: RequestFacts | None, reply: Reply
+        self, refusal: Refusal, facts: RequestInfo | None, reply: Reply
     ) -> None:
         request_id = facts.request_id if facts else None
         logger.bind(
--- a/libs/serving/fireflyhitch_serving/budgets.py
+++ b/libs/serving/fireflyhitch_serving/retry_budget.py
@@ -17,7 +17,7 @@
 
 
 @immutable
-class RepeatBounds:
+class RetryBounds:
     """The platform's bound.
 
     :param ratio: of the requests in a window.
@@ -36,10 +36,10 @@
     repeats: deque[float] = field(default_factory=deque)
 
 
-class RepeatBudget:
+class RetryBudget:
     """One daemon's repeats by service."""
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: RetryBounds) -> None:
         """Make a budget with nothing spent."""
         self.bounds = bounds
         self._services: dict[DeploymentId, _Counts] = {}
--- a/libs/serving/fireflyhitch_serving/servers.py
+++ b/libs/serving/fireflyhitch_serving/servers.py
@@ -20,10 +20,10 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address, ConnectionPool
 from fireflyhitch_serving.health import ServerHealth
-from fireflyhitch_serving.messages import PromptPart, ServerLoadNote
-from fireflyhitch_serving.server_evidence import (
+from fireflyhitch_serving.messages import PromptPart, ReportedLoad
+from fireflyhitch_serving.server_statistics import (
     AnswerCounts,
-    ServerEvidence,
+    ServerStatistics,
     find_failure_rate,
     find_lateness,
     find_slowness,
@@ -101,10 +101,10 @@
     health: ServerHealth
     requests: int = 0
     prompt_tokens: int = 0
-    load: ServerLoadNote | None = None
-    load_at: float = 0
+    load: ReportedLoad | None = None
+    load_received_at: float = 0
     peers: dict[str, _PeerNote] = field(default_factory=dict)
-    evidence: ServerEvidence = field(default_factory=ServerEvidence)
+    evidence: ServerStatistics = field(default_factory=ServerStatistics)
     slowness: float = 1
     failing: bool = False
     parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
@@ -129,17 +129,17 @@
                 tokens += note.work.prompt_tokens
         return InFlight(requests, tokens)
 
-    def note_peer(self, peer: str, work: InFlight, now: float) -> None:
+    def update_peer(self, peer: str, work: InFlight, now: float) -> None:
         """Take in what a peer has in flight there; nothing is kept of one that has none."""
         if any(work):
             self.peers[peer] = _PeerNote(work, now)
         else:
             self.peers.pop(peer, None)
 
-    def note_load(self, load: ServerLoadNote, now: float) -> None:
+    def update_load(self, load: ReportedLoad, now: float) -> None:
         """Take in the server's own account."""
         self.load = load
-        self.load_at = now
+        self.load_received_at = now
 
     def mark(self, *, failing: bool, by: AnswerCounts) -> None:
         """Note whether it fails much more than others do."""
@@ -153,16 +153,16 @@
             failing=failing,
         ).info('server judged')
 
-    def note_parts(self, parts: Iterable[PromptPart], now: float) -> None:
+    def add_cached_parts(self, parts: Iterable[PromptPart], now: float) -> None:
         """Note that a prompt's parts are, or will soon be, in its cache."""
-        self.note_part_ids((part.part_id for part in parts), now)
+        self.add_cached_part_ids((part.part_id for part in parts), now)
 
-    def note_part_ids(self, part_ids: Iterable[str], now: float) -> None:
+    def add_cached_part_ids(self, part_ids: Iterable[str], now: float) -> None:
         """Note parts by their ids."""
         for part_id in part_ids:
-            self.note_part(part_id, now)
+            self.add_cached_part(part_id, now)
 
-    def note_part(self, part_id: str, now: float) -> None:
+    def add_cached_part(self, part_id: str, now: float) -> None:
         """Note one part as cached."""
         self.parts[part_id] = now
         self.parts.move_to_end(part_id)
@@ -170,7 +170,7 @@
             self.parts.popitem(last=False)
 
 
-class ServerBook:
+class ServerRegistry:
     """All servers; changed by the platform's list, read by choices."""
 
     def __init__(self) -> None:
@@ -187,16 +187,16 @@
         """Return a server's record."""
         return self._records.get(server_id)
 
-    def of_service(self, service: DeploymentId) -> list[ServerRecord]:
+    def find_by_service(self, service: DeploymentId) -> list[ServerRecord]:
         """Return the servers of a service, those that are leaving included."""
         return self._by_service.get(service, [])
 
-    def judge(self, service: DeploymentId, now: float) -> None:
+    def evaluate(self, service: DeploymentId, now: float) -> None:
         """Work out which servers of a service are slow or failing, now and again."""
         if now - self._judged_at.get(service, float('-inf')) < JUDGED_SECONDS:
             return
         self._judged_at[service] = now
-        records = self.of_service(service)
+        records = self.find_by_service(service)
         if not records:
             return
         self._usual_rates[service] = median_high(
@@ -209,11 +209,11 @@
             record.slowness = find_slowness(find_lateness(found), usual_lateness)
             record.mark(failing=is_failing(found, usual_rate), by=found)
 
-    def find_usual_failure_rate(self, service: DeploymentId) -> float:
+    def find_median_failure_rate(self, service: DeploymentId) -> float:
         """Return the median rate of a service's servers, as judged last."""
         return self._usual_rates.get(service, 0)
 
-    def find_agreed(
+    def find_affinity_servers(
         self, service: DeploymentId, part_id: str, among: Container[BackendServerId]
     ) -> list[BackendServerId]:
         """Return the servers that all daemons would choose among for a prompt's part.
@@ -223,7 +223,9 @@
         key = (service, part_id)
         ranked = self._ranked.get(key)
         if ranked is None:
-            listed = (record.server.server_id for record in self.of_service(service))
+            listed = (
+                record.server.server_id for record in self.find_by_service(service)
+            )
             ranked = rank_by_hash(part_id, listed)[:MOST_RANKED]
             self._ranked[key] = ranked
         return [server for server in ranked if server in among][:AGREED_SERVERS]
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -17,31 +17,35 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.budgets import RepeatBudget
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.moves import MoveBook
-from fireflyhitch_serving.own_part import OwnPart
-from fireflyhitch_serving.parts import FreshParts
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.peers import PeerBook
-from fireflyhitch_serving.quotas import Quotas, QuotaSlack, find_slack_part
-from fireflyhitch_serving.server_evidence import LEAST_TOLD, AnswerCounts, Answers
-from fireflyhitch_serving.servers import InFlight, ServerBook
+from fireflyhitch_serving.dependencies import RecentPromptParts
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.moves import MoveTracker
+from fireflyhitch_serving.own_contribution import OwnPart
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.peers import PeerRegistry
+from fireflyhitch_serving.quotas import Quotas, QuotaSlack, find_slack_fraction
+from fireflyhitch_serving.retry_budget import RetryBudget
+from fireflyhitch_serving.server_statistics import (
+    MIN_REPORTED_ANSWERS,
+    AnswerCounts,
+    AnswersByServer,
+)
+from fireflyhitch_serving.servers import InFlight, ServerRegistry
 from fireflyhitch_serving.store_health import StoreHealth
 from fireflyhitch_serving.summaries import (
     DomainSummary,
-    SummaryBook,
+    SummaryTable,
     read_summaries,
 )
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 
 HELPING_DOMAINS = 2
 
 
 @immutable
-class SharedParts:
+class SharedComponents:
     """What daemons tell each other of.
 
     :param stopping: whether this daemon is about to go.
@@ -49,17 +53,17 @@
     """
 
     clock: Clock
-    peers: PeerBook
-    hubs: Hubs
-    summaries: SummaryBook
-    servers: ServerBook
+    peers: PeerRegistry
+    hubs: HubTracker
+    summaries: SummaryTable
+    servers: ServerRegistry
     quotas: Quotas
-    usage: UsageBook
-    budget: RepeatBudget
-    moves: MoveBook
-    crashes: CrashBook
+    usage: UsageTracker
+    budget: RetryBudget
+    moves: MoveTracker
+    crashes: CrashTracker
     limits: ServerLimits
-    fresh_parts: FreshParts
+    fresh_parts: RecentPromptParts
     health: StoreHealth
     stopping: Callable[[], bool]
     newest: Callable[[], Mapping[str, Revision]]
@@ -68,7 +72,7 @@
 class SharedState:
     """Makes this daemon's news, and joins those of the others."""
 
-    def __init__(self, daemon: str, process: str, parts: SharedParts) -> None:
+    def __init__(self, daemon: str, process: str, parts: SharedComponents) -> None:
         """Make a state that was told to nobody."""
         self._daemon = daemon
         self._process = process
@@ -83,18 +87,18 @@
         parts.peers.find_hub_wall = self._find_hub_wall
         parts.health.others_settled = self.is_store_settled_elsewhere
 
-    def tolerate(self, tolerated: QuotaSlack) -> None:
+    def set_quota_slack(self, tolerated: QuotaSlack) -> None:
         """Take in what the platform tolerates above customers' limits."""
         self._tolerated = tolerated
         self._apply_slack()
 
-    def make_news(self) -> PeerNews:
+    def build_peer_state(self) -> PeerState:
         """Return this daemon's present state."""
         parts = self._parts
         self._note_daemons()
         now = parts.clock.monotonic()
         self._sequence += 1
-        news = PeerNews(
+        news = PeerState(
             daemon=self._daemon,
             process=self._process,
             failure_domain=parts.peers.own_domain,
@@ -105,8 +109,8 @@
                 for server_id, record in parts.servers.all().items()
                 if record.requests
             },
-            customers=parts.quotas.notes(now),
-            usage=parts.usage.own_counts(parts.peers.wall()),
+            customers=parts.quotas.build_reports(now),
+            usage=parts.usage.local_counts(parts.peers.wall()),
             fresh_parts=parts.fresh_parts.take(),
             evidence=parts.moves.evidence(),
             hears_store=parts.health.answers,
@@ -120,11 +124,11 @@
         self._own_part.note_told(news)
         return news
 
-    def take_news(self, news: PeerNews) -> None:
+    def apply_peer_state(self, news: PeerState) -> None:
         """Take in a daemon's state."""
         parts = self._parts
-        parts.usage.take_in(news.process, news.usage)
-        parts.moves.take_evidence(news.process, news.evidence)
+        parts.usage.merge_counts(news.process, news.usage)
+        parts.moves.update_peer_evidence(news.process, news.evidence)
         now = parts.clock.monotonic()
         parts.crashes.take(news.crashes, now)
         parts.limits.take(news.limits, now)
@@ -135,9 +139,9 @@
         self._take_work(news.daemon, news.work, news.fresh_parts)
         self._take_answers(news.daemon, news.answers)
         for customer, note in news.customers.items():
-            parts.quotas.take_note(news.process, customer, note, now, near=near)
+            parts.quotas.apply_report(news.process, customer, note, now, near=near)
 
-    def take_summaries(self, data: bytes) -> bool:
+    def apply_summaries(self, data: bytes) -> bool:
         """Take in a datagram with summaries; tell whether it was one."""
         summaries = read_summaries(data)
         if summaries is None:
@@ -152,13 +156,13 @@
                 self._take_summary(summary)
         return True
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here."""
         if self._parts.peers.uses_summaries():
-            return self._parts.summaries.find_silent_domains()
-        return self._parts.peers.find_silent_domains()
+            return self._parts.summaries.find_unresponsive_domains()
+        return self._parts.peers.find_unresponsive_domains()
 
-    def hears_all(self) -> bool:
+    def has_heard_from_all(self) -> bool:
         """Tell whether every daemon there is has been heard itself just now."""
         peers = self._parts.peers
         return len(peers.heard()) >= peers.count_daemons() - 1
@@ -214,7 +218,7 @@
             return
         if known is not None and known.process != summary.process:
             parts.quotas.forget_process(known.source)
-        self._take_summary(self._own_part.take_off(summary))
+        self._take_summary(self._own_part.subtract(summary))
 
     def _take_summary(self, summary: DomainSummary) -> None:
         """Take in what the daemons of a domain have, but for this one."""
@@ -223,10 +227,10 @@
         self._take_answers(summary.domain, summary.answers)
         now = parts.clock.monotonic()
         for customer, note in summary.customers.items():
-            parts.quotas.take_note(summary.source, customer, note, now)
+            parts.quotas.apply_report(summary.source, customer, note, now)
         for process, evidence in summary.evidence.items():
             if process != self._process:
-                parts.moves.take_evidence(process, evidence)
+                parts.moves.update_peer_evidence(process, evidence)
 
     def _note_way(self) -> None:
         """Note whether the neighbours' work is known from themselves or from the hub.
@@ -262,48 +266,48 @@
         for server_id in (*ended, *work):
             record = servers.find(server_id)
             if record is not None:
-                record.note_peer(teller, work.get(server_id, InFlight()), now)
+                record.update_peer(teller, work.get(server_id, InFlight()), now)
         for where, parts in fresh_parts.items():
             reader = servers.find(where)
             if reader is not None:
-                reader.note_part_ids(parts, now)
+                reader.add_cached_part_ids(parts, now)
 
     def _read_answers(self) -> dict[BackendServerId, AnswerCounts]:
         now = self._parts.clock.monotonic()
         seen = {
-            server_id: record.evidence.read_own(now)
+            server_id: record.evidence.read_local(now)
             for server_id, record in self._parts.servers.all().items()
-            if record.evidence.has_own
+            if record.evidence.has_local_answers
         }
         return {
             server_id: counts
             for server_id, counts in seen.items()
-            if counts.answers >= LEAST_TOLD
+            if counts.answers >= MIN_REPORTED_ANSWERS
         }
 
-    def _take_answers(self, teller: str, answers: Answers) -> None:
+    def _take_answers(self, teller: str, answers: AnswersByServer) -> None:
         now = self._parts.clock.monotonic()
         for server_id, counts in answers.items():
             record = self._parts.servers.find(server_id)
             if record is not None:
-                record.evidence.note_peer(teller, counts, now)
+                record.evidence.update_peer(teller, counts, now)
 
     def _note_daemons(self) -> None:
         self._note_way()
         peers = self._parts.peers
         daemons = peers.count_daemons()
         self._parts.budget.daemons = daemons
-        self._parts.quotas.share_with(
-            daemons, self._count_heard(), peers.turn_seconds()
+        self._parts.quotas.update_daemon_counts(
+            daemons, self._count_heard(), peers.propagation_seconds()
         )
         self._apply_slack()
 
     def _apply_slack(self) -> None:
-        used = find_slack_part(self._parts.peers.turn_seconds())
+        used = find_slack_fraction(self._parts.peers.propagation_seconds())
         self._parts.quotas.slack = QuotaSlack(
             self._tolerated.units * used,
             # The other half covers bursts that begin in one window and end in the next.
-            self._tolerated.part * used / 2,
+            self._tolerated.rate_fraction * used / 2,
             self._tolerated.window,
         )
 
--- a/libs/serving/fireflyhitch_serving/stalls.py
+++ b/libs/serving/fireflyhitch_serving/stalls.py
@@ -16,19 +16,19 @@
 DROP_SECONDS = 0.25
 
 
-class StallWatch:
+class StallDetector:
     """Is told of each turn of a loop, and tells whether some are missing."""
 
     def __init__(
-        self, boot_clock: Callable[[], float], note_stall: Callable[[], None]
+        self, boot_clock: Callable[[], float], on_stall: Callable[[], None]
     ) -> None:
         """Make a watch for a loop that runs.
 
         :param boot_clock: seconds that also pass while the instance is suspended.
-        :param note_stall: told after each stall, before anything else is taken in.
+        :param on_stall: told after each stall, before anything else is taken in.
         """
         self._clock = boot_clock
-        self._note_stall = note_stall
+        self._note_stall = on_stall
         self._ticked = boot_clock()
         self._drops_until = float('-inf')
 
@@ -37,7 +37,7 @@
         self._look()
         self._ticked = self._clock()
 
-    def is_behind(self) -> bool:
+    def is_discarding(self) -> bool:
         """Tell whether a message that is read now may have waited for long."""
         self._look()
         return self._clock() < self._drops_until
--- a/libs/serving/fireflyhitch_serving/store_health.py
+++ b/libs/serving/fireflyhitch_serving/store_health.py
@@ -42,13 +42,13 @@
         """Have someone told each time that the store is back after an outage."""
         self._on_return.append(tell)
 
-    def note_failure(self, error: PlatformError) -> None:
+    def record_failure(self, error: PlatformError) -> None:
         """Note a call without an answer, or one that was refused."""
         if self._failing_since is None:
             self._failing_since = self._clock.monotonic()
             logger.bind(error=str(error), step=error.step.value).warning('store lost')
 
-    def note_answer(self) -> None:
+    def record_response(self) -> None:
         """Note a call that was answered."""
         since = self._failing_since
         self._failing_since = None
@@ -64,10 +64,10 @@
             for tell in self._on_return:
                 tell()
 
-    async def hear(self, call: Awaitable[Answer]) -> Answer:
+    async def track(self, call: Awaitable[Answer]) -> Answer:
         """Make a call, and note that the store has answered."""
         answer = await call
-        self.note_answer()
+        self.record_response()
         return answer
 
     @property
--- a/libs/serving/fireflyhitch_serving/store_probe.py
+++ b/libs/serving/fireflyhitch_serving/store_probe.py
@@ -12,8 +12,8 @@
 
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.states import Outcome, Step
-from fireflyhitch_serving.beliefs import StoreView
 from fireflyhitch_serving.store_health import StoreHealth
+from fireflyhitch_serving.store_view import StoreView
 
 # A watcher that has lost the store is replaced within the shortest drain time: this and
 # the time limit, and some tenths for its news and the other's first list.
@@ -33,19 +33,19 @@
         views: Sequence[StoreView],
         health: StoreHealth,
         watches: Callable[[], bool],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Make a probe that has asked nothing."""
         self._views = views
         self._health = health
         self._watches = watches
-        self._draw = draw
+        self._rng = rng
 
     async def run(self) -> None:
         """Read until cancelled."""
         for view in cycle(self._views):
             wait = PROBE_SECONDS if self._watches() else AWAY_SECONDS
-            await asyncio.sleep(wait * self._draw.uniform(1 - SPREAD, 1))
+            await asyncio.sleep(wait * self._rng.uniform(1 - SPREAD, 1))
             if self._watches() or not self._health.answers:
                 await self._read(view)
 
@@ -54,9 +54,9 @@
             async with asyncio.timeout(PROBE_LIMIT_SECONDS):
                 await view.probe()
         except PlatformError as error:
-            self._health.note_failure(error)
+            self._health.record_failure(error)
         except TimeoutError:
-            self._health.note_failure(
+            self._health.record_failure(
                 PlatformError(
                     f'no answer in {PROBE_LIMIT_SECONDS} s',
                     step=Step.STORE_READ,
--- a/libs/serving/fireflyhitch_serving/beliefs.py
+++ b/libs/serving/fireflyhitch_serving/store_view.py
@@ -16,7 +16,7 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_platform.keyvalue import Listing, WatchCompacted
 from fireflyhitch_serving.changes import Change, ChangeSpan
-from fireflyhitch_serving.key_beliefs import KeyBeliefs, TellChange
+from fireflyhitch_serving.key_revisions import KeyBeliefs, TellChange
 from fireflyhitch_serving.progress import ViewProgress
 from fireflyhitch_serving.relays import ChangeRelay
 from fireflyhitch_serving.store import AsyncStore, WatchResult
@@ -51,7 +51,7 @@
 
 
 @immutable
-class BeliefEvents:
+class ViewCallbacks:
     """Whom the view tells; each returns at once.
 
     :param changed: a key's new value; ``None`` when it is gone.
@@ -65,7 +65,7 @@
 
 
 @immutable
-class PeerWord:
+class PeerReports:
     """What other daemons say of the store.
 
     :param find_newest: the newest change below a prefix that any of them knows.
@@ -88,10 +88,10 @@
         store: AsyncStore,
         health: StoreHealth,
         prefix: str,
-        events: BeliefEvents,
-        draw: random.Random,
+        events: ViewCallbacks,
+        rng: random.Random,
         progress: ViewProgress,
-        peers: PeerWord,
+        peers: PeerReports,
         relay: ChangeRelay | None = None,
     ) -> None:
         """Make a view that knows nothing.
@@ -109,7 +109,7 @@
         self._store = store
         self._health = health
         self._events = events
-        self._draw = draw
+        self._rng = rng
         self._waiting: asyncio.Task[WatchResult] | None = None
         health.tell_return(self._interrupt)
 
@@ -130,11 +130,11 @@
                 ).info('listing anew')
                 continue
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 if self.current:
                     wait = FIRST_RETRY_SECONDS
                 self.current = False
-            await asyncio.sleep(wait * self._draw.uniform(LEAST_WAIT, 1))
+            await asyncio.sleep(wait * self._rng.uniform(LEAST_WAIT, 1))
             wait = min(wait * 2, LONGEST_RETRY_SECONDS)
             await self._wait_for_store()
 
@@ -203,7 +203,7 @@
         logger.bind(prefix=self.prefix, told=told, known=self._progress.complete).info(
             'catching up'
         )
-        await asyncio.sleep(self._draw.uniform(0, CATCH_UP_SPREAD_SECONDS))
+        await asyncio.sleep(self._rng.uniform(0, CATCH_UP_SPREAD_SECONDS))
         await self.probe()
         if self._progress.complete < told:
             await self._list(passes_on=False)
@@ -244,7 +244,7 @@
             result = await self._wait(revision, seconds)
             if result is None:
                 return
-            self._health.note_answer()
+            self._health.record_response()
             revision = result.revision
             if result.events:
                 self._take_events(result, since)
@@ -301,7 +301,7 @@
         if self._waiting is not None:
             self._waiting.cancel()
 
-    def take_span(self, span: ChangeSpan, source: str) -> None:
+    def apply_span(self, span: ChangeSpan, source: str) -> None:
         """Take in what a peer passed on.
 
         :param source: by what way it came, for the lines that tell of it.
@@ -325,7 +325,7 @@
             self._keys.drop_missing()
 
     def _note_current(self) -> None:
-        self._health.note_answer()
+        self._health.record_response()
         if not self.current:
             self.current = True
             logger.bind(prefix=self.prefix, keys=self._keys.count).info('listed')
--- a/libs/serving/fireflyhitch_serving/summaries.py
+++ b/libs/serving/fireflyhitch_serving/summaries.py
@@ -24,17 +24,17 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashNote
-from fireflyhitch_routing.server_limits import LimitNote
-from fireflyhitch_serving.peer_news import (
+from fireflyhitch_routing.crashes import CrashReport
+from fireflyhitch_routing.server_limits import LimitReport
+from fireflyhitch_serving.peer_state import (
     Member,
-    PeerNews,
+    PeerState,
     decode_notes,
     read_rows,
     render_rows,
 )
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
 SUMMARIES = 'summaries'
@@ -70,15 +70,15 @@
     sequence: int
     members: Mapping[str, Member]
     work: Mapping[BackendServerId, InFlight]
-    customers: Mapping[CustomerId, CustomerNote]
+    customers: Mapping[CustomerId, QuotaReport]
     fresh_parts: Mapping[BackendServerId, list[str]]
     evidence: Mapping[str, Mapping[str, list[int]]]
     newest: Mapping[str, Revision]
     store_settled: bool
     wall: float = 0
     answers: Mapping[BackendServerId, AnswerCounts] = field(default_factory=dict)
-    crashes: Mapping[ContentId, CrashNote] = field(default_factory=dict)
-    limits: Mapping[ProcessId, LimitNote] = field(default_factory=dict)
+    crashes: Mapping[ContentId, CrashReport] = field(default_factory=dict)
+    limits: Mapping[ProcessId, LimitReport] = field(default_factory=dict)
 
     @property
     def source(self) -> str:
@@ -105,7 +105,7 @@
     return DomainSummary(**{**decode_notes(row), 'members': members})
 
 
-def add_work(news: Sequence[PeerNews]) -> dict[BackendServerId, InFlight]:
+def add_work(news: Sequence[PeerState]) -> dict[BackendServerId, InFlight]:
     """Return the work that daemons have in flight together, by server."""
     total: dict[BackendServerId, InFlight] = {}
     for told in news:
@@ -118,7 +118,7 @@
     return total
 
 
-def join_parts(news: Sequence[PeerNews]) -> dict[BackendServerId, list[str]]:
+def join_parts(news: Sequence[PeerState]) -> dict[BackendServerId, list[str]]:
     """Return the prompt parts that servers began to read, each once."""
     joined: dict[BackendServerId, dict[str, None]] = {}
     for told in news:
@@ -142,7 +142,7 @@
     at: float
 
 
-class SummaryBook:
+class SummaryTable:
     """The last summary of each other failure domain."""
 
     def __init__(self, clock: Clock, forget: Callable[[str], None]) -> None:
@@ -184,7 +184,7 @@
             if now - heard.at <= SILENT_SECONDS
         }
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here.
 
         If none is heard it may be the own domain's relay that has ended; only while
--- a/libs/serving/fireflyhitch_serving/summary_relay.py
+++ b/libs/serving/fireflyhitch_serving/summary_relay.py
@@ -8,16 +8,16 @@
 
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_news import Member, PeerNews
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_state import Member, PeerState
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.quotas import Quotas
-from fireflyhitch_serving.server_evidence import add_answers
+from fireflyhitch_serving.server_statistics import sum_answers
 from fireflyhitch_serving.summaries import (
     DomainSummary,
-    SummaryBook,
+    SummaryTable,
     add_work,
     join_newest,
     join_parts,
@@ -35,11 +35,11 @@
 
 
 @immutable
-class RelayedBooks:
+class RelayedTrackers:
     """What a hub tells by its own knowledge, rather than by its neighbours' news."""
 
     quotas: Quotas
-    crashes: CrashBook
+    crashes: CrashTracker
     limits: ServerLimits
 
 
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        peers: PeerBook,
-        hubs: Hubs,
-        book: SummaryBook,
-        told: RelayedBooks,
+        peers: PeerRegistry,
+        hubs: HubTracker,
+        book: SummaryTable,
+        told: RelayedTrackers,
         now: Callable[[], float],
         send: Send,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Make a relay that has sent nothing.
 
@@ -67,7 +67,7 @@
         self._told = told
         self._now = now
         self._send = send
-        self._draw = draw
+        self._rng = rng
         self._was_hub = False
         self._sequence = 0
         self._joined: dict[str, int] = {}
@@ -81,7 +81,7 @@
             if relays:
                 self.tell()
             await asyncio.sleep(
-                TURN_SECONDS * self._draw.uniform(1 - SPREAD, 1 + SPREAD)
+                TURN_SECONDS * self._rng.uniform(1 - SPREAD, 1 + SPREAD)
             )
 
     def _note_role(self, *, relays: bool) -> None:
@@ -145,18 +145,18 @@
                 for told in news
             },
             work=add_work(news),
-            customers=self._told.quotas.domain_notes(self._now()),
+            customers=self._told.quotas.build_domain_reports(self._now()),
             fresh_parts=join_parts(self._pick_unjoined(news)),
             evidence={told.process: told.evidence for told in news if told.evidence},
             newest=join_newest(told.newest for told in news),
             store_settled=any(told.store_settled for told in news),
             wall=self._peers.wall(),
-            answers=add_answers(told.answers for told in news),
+            answers=sum_answers(told.answers for told in news),
             crashes=self._told.crashes.tell(self._now(), heard=True),
             limits=self._told.limits.tell(self._now(), heard=True),
         )
 
-    def _pick_unjoined(self, news: list[PeerNews]) -> list[PeerNews]:
+    def _pick_unjoined(self, news: list[PeerState]) -> list[PeerState]:
         """Return the news whose prompt parts no summary had yet."""
         fresh = [
             told for told in news if self._joined.get(told.process) != told.sequence
--- a/libs/serving/fireflyhitch_serving/traffic.py
+++ b/libs/serving/fireflyhitch_serving/traffic.py
@@ -24,11 +24,11 @@
     received: int = 0
     received_bytes: int = 0
 
-    def note_call(self, kind: str) -> None:
+    def count_call(self, kind: str) -> None:
         """Count a call that is about to be made."""
         self.calls[kind] += 1
 
-    def note_sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Count a datagram of so many bytes."""
         self.sent += 1
         self.sent_bytes += size
--- a/libs/serving/fireflyhitch_serving/usage.py
+++ b/libs/serving/fireflyhitch_serving/usage.py
@@ -16,7 +16,7 @@
 WindowCounts = dict[int, dict[CustomerId, int]]
 
 
-class UsageBook:
+class UsageTracker:
     """The counts of this daemon and of all that it heard of."""
 
     def __init__(self, own: str, window_seconds: float) -> None:
@@ -38,7 +38,7 @@
         counts = self._tellers[self._own].setdefault(window, {})
         counts[customer] = counts.get(customer, 0) + 1
 
-    def own_counts(self, wall_seconds: float) -> WindowCounts:
+    def local_counts(self, wall_seconds: float) -> WindowCounts:
         """Return this daemon's counts of the last windows."""
         oldest = self.find_window(wall_seconds) - KEPT_WINDOWS
         return _since(self._tellers[self._own], oldest)
@@ -53,7 +53,7 @@
                 told[teller] = kept
         return told
 
-    def take_in(
+    def merge_counts(
         self, teller: str, counts: Mapping[int, Mapping[CustomerId, int]]
     ) -> None:
         """Take in what a process has counted; older news of it change nothing."""
@@ -71,7 +71,7 @@
                 total[customer] = total.get(customer, 0) + number
         return total
 
-    def count_tellers(self, window: int) -> int:
+    def count_reporters(self, window: int) -> int:
         """Return how many processes have told counts of a window."""
         return sum(window in counts for counts in self._tellers.values())
 
--- a/libs/serving/fireflyhitch_serving/usage_reports.py
+++ b/libs/serving/fireflyhitch_serving/usage_reports.py
@@ -17,7 +17,7 @@
 from fireflyhitch_serving.duty_calls import CallResult, DutyCalls
 from fireflyhitch_serving.leases import LeaderLease, Leadership
 from fireflyhitch_serving.store import AsyncStore, Put
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 
 # Not below the watched prefix: only a new leader reads it.
 USAGE_PREFIX = 'fireflyhitch-usage/'
@@ -42,7 +42,7 @@
 
 
 @immutable
-class UsageTerms:
+class UsageSchedule:
     """When usage is due.
 
     :param window_seconds: length of a window.
@@ -58,14 +58,14 @@
 
     def __init__(
         self,
-        book: UsageBook,
+        book: UsageTracker,
         lease: LeaderLease,
         store: AsyncStore,
         calls: DutyCalls,
         wall: Callable[[], float],
         all_heard: Callable[[], bool],
         turn_seconds: Callable[[], float],
-        terms: UsageTerms,
+        terms: UsageSchedule,
     ) -> None:
         """Make a reporter that has reported nothing.
 
@@ -94,7 +94,7 @@
         while True:
             await asyncio.sleep(LOOK_SECONDS)
             self._forget_old()
-            leadership = self._lease.lead()
+            leadership = self._lease.current_leadership()
             if leadership is None:
                 continue
             try:
@@ -131,7 +131,7 @@
             self._saved = item.revision
             for process, windows in json.loads(item.value).items():
                 counts = {int(window): found for window, found in windows.items()}
-                self._book.take_in(process, counts)
+                self._book.merge_counts(process, counts)
         fixed = await self._store.list(USAGE_PREFIX)
         for item in fixed.items:
             window = int(item.key.removeprefix(USAGE_PREFIX))
@@ -168,14 +168,14 @@
         counts = self._fixed.get(window)
         if counts is None:
             counts = await self._fix(window)
-        leadership = self._lease.lead()
+        leadership = self._lease.current_leadership()
         if counts is None or leadership is None:
             return
         result = await self._calls.report_usage(leadership, window, counts)
         logger.bind(
             window=window,
             requests=sum(counts.values()),
-            processes=self._book.count_tellers(window),
+            processes=self._book.count_reporters(window),
             all_heard=self._all_heard(),
             fencing=leadership.fencing,
             result=result.value,
--- a/libs/serving/fireflyhitch_serving/versions.py
+++ b/libs/serving/fireflyhitch_serving/versions.py
@@ -33,7 +33,7 @@
         return self._moves.get(service)
 
     def pick(
-        self, service: DeploymentId, listed: frozenset[str], draw: random.Random
+        self, service: DeploymentId, listed: frozenset[str], rng: random.Random
     ) -> frozenset[str]:
         """Return which of the listed versions one attempt may go to.
 
@@ -42,6 +42,6 @@
         move = self._moves.get(service)
         if move is None:
             return listed
-        if move.target in listed and draw.random() < move.share:
+        if move.target in listed and rng.random() < move.share:
             return frozenset((move.target,))
         return listed - {move.target}
--- a/libs/serving/fireflyhitch_serving/workloads.py
+++ b/libs/serving/fireflyhitch_serving/workloads.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class ReadingPace:
+class PrefillModel:
     """First events' times as a line over the tokens read before them.
 
     The sums are those of a least squares fit in which older answers fade.
@@ -40,14 +40,14 @@
     squares: float = 0
     products: float = 0
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def add_sample(self, tokens: int, seconds: float) -> None:
         """Take in an answer.
 
         :param tokens: that its server had yet to read when it was sent, its own
             prompt included.
         :param seconds: from then to its first event.
         """
-        latest = LATEST_FACTOR * self.expect(tokens)
+        latest = LATEST_FACTOR * self.predict(tokens)
         taken = min(seconds, latest)
         self.answers = self.answers * _KEPT + 1
         self.tokens = self.tokens * _KEPT + tokens
@@ -55,7 +55,7 @@
         self.squares = self.squares * _KEPT + tokens * tokens
         self.products = self.products * _KEPT + tokens * taken
 
-    def expect(self, tokens: int) -> float:
+    def predict(self, tokens: int) -> float:
         """Return the seconds to a first event behind so many tokens."""
         slope, first = self._fit()
         return max(first, 0) + slope * tokens
@@ -87,21 +87,21 @@
 
     def __init__(self) -> None:
         """Make workloads of which nothing is known."""
-        self._paces: defaultdict[DeploymentId, ReadingPace] = defaultdict(ReadingPace)
+        self._paces: defaultdict[DeploymentId, PrefillModel] = defaultdict(PrefillModel)
         self._read: defaultdict[DeploymentId, float] = defaultdict(float)
         self._units = 0.0
 
-    def note_units(self, units: float) -> None:
+    def record_units(self, units: float) -> None:
         """Take in units of a request that was admitted, of any service."""
         self._units = self._units * _KEPT + units
         for service in self._read:
             self._read[service] *= _KEPT
 
-    def note_read(self, service: DeploymentId, tokens: int) -> None:
+    def record_prompt_tokens(self, service: DeploymentId, tokens: int) -> None:
         """Take in prompt tokens that an engine of a service has to read."""
         self._read[service] += tokens
 
-    def pace_of(self, service: DeploymentId) -> ReadingPace:
+    def prefill_model(self, service: DeploymentId) -> PrefillModel:
         """Return how fast a service's engines read."""
         return self._paces[service]
 
--- a/libs/serving/tests/daemons_scene.py
+++ b/libs/serving/tests/daemons_scene.py
@@ -19,39 +19,39 @@
     ProcessId,
     Revision,
 )
-from fireflyhitch_routing.crashes import ServerEnd
+from fireflyhitch_routing.crashes import ServerCrash
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.beliefs import BeliefEvents, PeerWord, StoreView
-from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
-from fireflyhitch_serving.candidates import LeadTurns
-from fireflyhitch_serving.changes import read_changes
+from fireflyhitch_serving.changes import decode_changes
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.holds import HOLDS_PREFIX, HoldKeeper
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.leases import LEADER_KEY, OWN_PREFIX, LeaderLease
-from fireflyhitch_serving.moves import MoveBook
-from fireflyhitch_serving.parts import FreshParts, make_crash_parts
-from fireflyhitch_serving.peer_channel import NewsHandlers, PeerChannel
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.dependencies import RecentPromptParts, make_crash_tracking
+from fireflyhitch_serving.duty_ranking import LeadershipOrder
+from fireflyhitch_serving.holds import HOLDS_PREFIX, HoldManager
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LEADER_KEY, LeaderLease
+from fireflyhitch_serving.moves import MoveTracker
+from fireflyhitch_serving.peer_channel import PeerChannel, PeerHandlers
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.progress import ViewProgress
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
 from fireflyhitch_serving.registrations import (
     DAEMONS_PREFIX,
     Registration,
-    RegistrationKeeper,
+    RegistrationManager,
     RegistrationSweeper,
 )
 from fireflyhitch_serving.relays import ChangeRelay
-from fireflyhitch_serving.servers import ServerBook, ServerEntry
-from fireflyhitch_serving.shared_state import SharedParts, SharedState
-from fireflyhitch_serving.stalls import StallWatch
+from fireflyhitch_serving.retry_budget import RetryBounds, RetryBudget
+from fireflyhitch_serving.servers import ServerEntry, ServerRegistry
+from fireflyhitch_serving.shared_state import SharedComponents, SharedState
+from fireflyhitch_serving.stalls import StallDetector
 from fireflyhitch_serving.store_health import StoreHealth
 from fireflyhitch_serving.store_probe import StoreProbe
-from fireflyhitch_serving.summaries import SummaryBook
-from fireflyhitch_serving.summary_relay import RelayedBooks, SummaryRelay
+from fireflyhitch_serving.store_view import PeerReports, StoreView, ViewCallbacks
+from fireflyhitch_serving.summaries import SummaryTable
+from fireflyhitch_serving.summary_relay import RelayedTrackers, SummaryRelay
 from fireflyhitch_serving.traffic import ControlTraffic
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.versions import VersionShares
 
 SERVERS = 'servers/'
@@ -76,12 +76,14 @@
 
     def __init__(self) -> None:
         self.channels: dict[Address, PeerChannel] = {}
-        self.loses: Callable[[str, str, bytes], bool] = lambda sender, to, data: False
+        self.should_drop: Callable[[str, str, bytes], bool] = lambda sender, to, data: (
+            False
+        )
         self.names: dict[Address, str] = {}
 
     def carry(self, sender: Address, to: Address, data: bytes) -> None:
         """Deliver a datagram unless it is lost."""
-        if self.loses(self.names[sender], self.names.get(to, ''), data):
+        if self.should_drop(self.names[sender], self.names.get(to, ''), data):
             return
         asyncio.get_running_loop().call_later(
             LINK_SECONDS, self._deliver, sender, to, data
@@ -93,9 +95,9 @@
             channel.datagram_received(data, (sender.host, sender.port))
 
 
-def make_servers() -> ServerBook:
+def make_servers() -> ServerRegistry:
     """Return a book of one server that has a request of its own daemon's in flight."""
-    book = ServerBook()
+    book = ServerRegistry()
     book.put(
         ServerEntry(
             BackendServerId('busy'),
@@ -121,43 +123,45 @@
         address: Address,
         net: Net,
         store: VirtualStore,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self.name = name
         self.address = address
         self.believes: dict[str, bytes | None] = {}
-        self._draw = draw
+        self._rng = rng
         self._clock = LoopClock()
         self._process = f'{name}/{address.port}'
         self._domain = FailureDomainId(name.partition('-')[0])
         self._store = StoreClient(store, name)
         self._health = StoreHealth(self._clock)
-        self._peers = PeerBook(name, self._domain, self._clock, self._clock.monotonic)
-        self.hubs = Hubs(self._peers, self._clock)
+        self._peers = PeerRegistry(
+            name, self._domain, self._clock, self._clock.monotonic
+        )
+        self.hubs = HubTracker(self._peers, self._clock)
         self._servers = make_servers()
         self.limits = ServerLimits(name, self._peers.list_all, self._peers.wall)
-        self.crashes = make_crash_parts(self._clock, self._servers)
-        self._summaries = SummaryBook(self._clock, lambda source: None)
+        self.crashes = make_crash_tracking(self._clock, self._servers)
+        self._summaries = SummaryTable(self._clock, lambda source: None)
         self._shared = SharedState(name, self._process, self._make_parts())
         self._channel = self._make_channel()
         self._channel.connection_made(_Transport(net, address))  # type: ignore[arg-type]
         net.names[address] = name
         net.channels[address] = self._channel
         registration = Registration(address, self._domain, 10)
-        self._registrations = RegistrationKeeper(
+        self._registrations = RegistrationManager(
             self._store, self._peers, name, registration, self._health, self._clock
         )
         self._lease = LeaderLease(
             self._store,
             self._clock.monotonic,
             self._process,
-            draw,
+            rng,
             self._health,
-            LeadTurns(
-                self._peers, self._summaries, self._registrations.knows_peers
+            LeadershipOrder(
+                self._peers, self._summaries, self._registrations.has_discovered_peers
             ).find,
         )
-        self._holds = HoldKeeper(
+        self._holds = HoldManager(
             self.crashes.quarantine,
             self._store,
             self._lease,
@@ -171,14 +175,14 @@
             self._process,
             self._clock,
             self._channel.send_to,
-            self._registrations.knows_peers,
+            self._registrations.has_discovered_peers,
         )
         self.view = self._make_view(
-            SERVERS, BeliefEvents(self._take_change, lambda: None)
+            SERVERS, ViewCallbacks(self._take_change, lambda: None)
         )
         self._own_view = self._make_view(
-            OWN_PREFIX,
-            BeliefEvents(
+            FIREFLYHITCH_PREFIX,
+            ViewCallbacks(
                 self._take_own,
                 self._note_listed,
                 lambda: not self._registrations.is_listed,
@@ -196,33 +200,33 @@
     def holds(self, content: ContentId) -> bool:
         """Tell whether it holds a request back."""
         now = self._clock.monotonic()
-        return self.crashes.quarantine.find_wait(content, now) is not None
+        return self.crashes.quarantine.find_remaining_hold(content, now) is not None
 
-    def note_end(self, content: ContentId, process: int) -> None:
+    def record_crash(self, content: ContentId, process: int) -> None:
         """Have a server end now under a request that it was sent just before."""
         now = self._clock.monotonic()
-        end = ServerEnd(now, now - 0.05)
-        self.crashes.book.note_end(content, ProcessId(process), end, now)
+        end = ServerCrash(now, now - 0.05)
+        self.crashes.book.record_crash(content, ProcessId(process), end, now)
 
     def kill(self) -> None:
         """End without a word."""
         for task in self._tasks:
             task.cancel()
 
-    def _make_parts(self) -> SharedParts:
-        return SharedParts(
+    def _make_parts(self) -> SharedComponents:
+        return SharedComponents(
             clock=self._clock,
             peers=self._peers,
             hubs=self.hubs,
             summaries=self._summaries,
             servers=self._servers,
             quotas=Quotas(QuotaSlack()),
-            usage=UsageBook(self._process, USAGE_WINDOW_SECONDS),
-            budget=RepeatBudget(RepeatBounds()),
-            moves=MoveBook(VersionShares(), 0.1),
+            usage=UsageTracker(self._process, USAGE_WINDOW_SECONDS),
+            budget=RetryBudget(RetryBounds()),
+            moves=MoveTracker(VersionShares(), 0.1),
             crashes=self.crashes.book,
             limits=self.limits,
-            fresh_parts=FreshParts(),
+            fresh_parts=RecentPromptParts(),
             health=self._health,
             stopping=bool,
             newest=lambda: {view.prefix: view.newest for view in self._views},
@@ -232,26 +236,28 @@
         return PeerChannel(
             self._peers,
             self.hubs,
-            NewsHandlers(
-                self._shared.make_news,
+            PeerHandlers(
+                self._shared.build_peer_state,
                 self._take_news,
                 self._take_other,
                 lambda: self._lease.find_leader(),
             ),
-            StallWatch(self._clock.monotonic, lambda: None),
-            self._draw,
+            StallDetector(self._clock.monotonic, lambda: None),
+            self._rng,
             ControlTraffic(),
         )
 
-    def _make_view(self, prefix: str, events: BeliefEvents) -> StoreView:
+    def _make_view(self, prefix: str, events: ViewCallbacks) -> StoreView:
         return StoreView(
             self._store,
             self._health,
             prefix,
             events,
-            self._draw,
+            self._rng,
             ViewProgress(self._clock),
-            PeerWord(self._shared.find_newest, self._shared.is_store_settled_elsewhere),
+            PeerReports(
+                self._shared.find_newest, self._shared.is_store_settled_elsewhere
+            ),
             self.relay,
         )
 
@@ -260,12 +266,12 @@
             self._peers,
             self.hubs,
             self._summaries,
-            RelayedBooks(Quotas(QuotaSlack()), self.crashes.book, self.limits),
+            RelayedTrackers(Quotas(QuotaSlack()), self.crashes.book, self.limits),
             self._clock.monotonic,
             self._channel.send_to,
-            self._draw,
+            self._rng,
         )
-        probe = StoreProbe(self._views, self._health, self.relay.watches, self._draw)
+        probe = StoreProbe(self._views, self._health, self.relay.watches, self._rng)
         sweeper = RegistrationSweeper(
             self._store, self._peers, self._lease, self._health, self._clock
         )
@@ -284,7 +290,7 @@
 
     def _note_listed(self) -> None:
         self._registrations.note_listed()
-        self._lease.take_listed()
+        self._lease.mark_keys_listed()
 
     def _take_own(self, key: str, value: bytes | None, revision: Revision) -> None:
         if key.startswith(DAEMONS_PREFIX):
@@ -293,23 +299,23 @@
         elif key.startswith(HOLDS_PREFIX):
             self._holds.take(key.removeprefix(HOLDS_PREFIX), value)
         elif key == LEADER_KEY:
-            self._lease.take_leader(value, revision)
+            self._lease.apply_leader(value, revision)
 
-    def _take_news(self, news: PeerNews) -> None:
-        self._shared.take_news(news)
-        self.relay.note_group()
+    def _take_news(self, news: PeerState) -> None:
+        self._shared.apply_peer_state(news)
+        self.relay.update_group()
 
     def _take_other(self, data: bytes) -> bool:
-        message = read_changes(data)
+        message = decode_changes(data)
         if message is None:
-            taken = self._shared.take_summaries(data)
+            taken = self._shared.apply_summaries(data)
             if taken:
-                self.relay.note_group()
-                self.relay.help(self._shared.find_relays_without_store())
+                self.relay.update_group()
+                self.relay.assist_domains(self._shared.find_relays_without_store())
             return taken
         self.relay.forward(message)
         for view in self._views:
-            view.take_span(message.span, f'peer {message.sender}')
+            view.apply_span(message.span, f'peer {message.sender}')
         return True
 
     def _take_change(self, key: str, value: bytes | None, revision: Revision) -> None:
@@ -326,7 +332,7 @@
         self.store = VirtualStore()
         self.net = Net()
         self.daemons: dict[str, Daemon] = {}
-        self.draw = random.Random(seed)  # noqa: S311
+        self.rng = random.Random(seed)  # noqa: S311
         self._starts = 0
         self._counts = counts
 
@@ -345,7 +351,7 @@
         """Start a daemon."""
         self._starts += 1
         address = Address('127.0.0.1', self._starts)
-        self.daemons[name] = Daemon(name, address, self.net, self.store, self.draw)
+        self.daemons[name] = Daemon(name, address, self.net, self.store, self.rng)
 
     def kill(self, name: str) -> None:
         """End a daemon without a word."""
@@ -385,7 +391,7 @@
         """Have a server begin to leave."""
         self.store.put(f'{SERVERS}{server}', LEAVING)
 
-    def find_unaware(self, server: str) -> list[str]:
+    def find_outdated(self, server: str) -> list[str]:
         """Return the daemons that would still send to a leaving server."""
         return [
             name
@@ -396,4 +402,4 @@
 
 def is_change(data: bytes) -> bool:
     """Tell whether a datagram carries changes."""
-    return read_changes(data) is not None
+    return decode_changes(data) is not None
--- a/libs/serving/tests/scene.py
+++ b/libs/serving/tests/scene.py
@@ -15,8 +15,7 @@
     RequestId,
 )
 from fireflyhitch_routing.server_limits import ServerLimits, parse_rate
-from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
-from fireflyhitch_serving.callers import CallerConnection, FrontState
+from fireflyhitch_serving.callers import CallerConnection, ListenerState
 from fireflyhitch_serving.catalog import (
     CallerLimits,
     Catalog,
@@ -29,26 +28,31 @@
 )
 from fireflyhitch_serving.connections import (
     Address,
-    AnswerHead,
+    ResponseHead,
     ServerConnection,
     connect,
 )
-from fireflyhitch_serving.edge import Refusal, RenderedAnswer, Sending
+from fireflyhitch_serving.dependencies import (
+    RecentPromptParts,
+    RequestDependencies,
+    make_crash_tracking,
+)
+from fireflyhitch_serving.edge import AttemptContext, Refusal, RenderedResponse
 from fireflyhitch_serving.errors import ServerError
 from fireflyhitch_serving.messages import (
-    AnswerFacts,
-    CallerMessage,
-    RequestFacts,
+    CallerRequest,
+    RequestInfo,
+    ResponseInfo,
     drop_connection_headers,
     find_header,
     render_request,
 )
-from fireflyhitch_serving.metrics_page import MetricsPage
-from fireflyhitch_serving.parts import FreshParts, PathParts, make_crash_parts
-from fireflyhitch_serving.path import RequestPath
+from fireflyhitch_serving.metrics_endpoint import MetricsEndpoint
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
-from fireflyhitch_serving.servers import ServerBook, ServerEntry
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.request_handler import RequestHandler
+from fireflyhitch_serving.retry_budget import RetryBounds, RetryBudget
+from fireflyhitch_serving.servers import ServerEntry, ServerRegistry
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.versions import VersionShares
 from fireflyhitch_serving.workloads import Workloads
 from fireflyhitch_standins.scripted_server import Script, ScriptedServer
@@ -63,10 +67,10 @@
 class PlainEdge:
     """The smallest edge: ids, keys and events in headers of its own."""
 
-    def read_request(self, message: CallerMessage) -> RequestFacts:
+    def parse_request(self, message: CallerRequest) -> RequestInfo:
         """Read a request's facts."""
         headers = {name.lower(): value.decode() for name, value in message.headers}
-        return RequestFacts(
+        return RequestInfo(
             request_id=RequestId(headers[b'x-id']),
             host=headers[b'host'],
             path=message.target.decode(),
@@ -75,12 +79,12 @@
             last_event=None,
             model=None,
             prompt_tokens=None,
-            most_answer_tokens=None,
+            max_answer_tokens=None,
             parts=(),
             hinted_tokens=None,
         )
 
-    def render_request(self, message: CallerMessage, sending: Sending) -> bytes:
+    def render_request(self, message: CallerRequest, sending: AttemptContext) -> bytes:
         """Return the request as it goes to a server."""
         headers = drop_connection_headers(message.headers)
         headers.append((b'X-Server', sending.server_id.encode()))
@@ -89,10 +93,10 @@
             headers.append((b'X-Last', b'%d' % sending.last_event))
         return render_request(message.method, message.target, headers, message.body)
 
-    def read_answer(self, head: AnswerHead) -> AnswerFacts:
+    def parse_response_head(self, head: ResponseHead) -> ResponseInfo:
         """Read the facts in a server's answer."""
         request_id = find_header(head.headers, b'x-id')
-        return AnswerFacts(
+        return ResponseInfo(
             request_id=request_id.decode() if request_id else None,
             not_run=find_header(head.headers, b'x-not-run') is not None,
             signed=find_header(head.headers, b'x-signed') is not None,
@@ -103,16 +107,16 @@
 
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
-    ) -> RenderedAnswer:
+    ) -> RenderedResponse:
         """Return a refusal that says what is known."""
         headers = [(b'X-Outcome', refusal.outcome.value.encode())]
         if refusal.retry_after is not None:
             seconds = refusal.retry_after.total_seconds()
             headers.append((b'Retry-After', f'{seconds:.3f}'.encode()))
-        return RenderedAnswer(refusal.status, headers, refusal.code.encode())
+        return RenderedResponse(refusal.status, headers, refusal.code.encode())
 
 
-def _read_header(head: AnswerHead, name: bytes) -> str | None:
+def _read_header(head: ResponseHead, name: bytes) -> str | None:
     value = find_header(head.headers, name)
     return None if value is None else value.decode()
 
@@ -151,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class ReceivedResponse:
     """What a caller got.
 
     :param whole: whether the answer ended as answers do.
@@ -163,25 +167,25 @@
     whole: bool
 
 
-class Scene:
+class RequestHarness:
     """One daemon's path with its servers."""
 
     def __init__(self, catalog: Catalog | None = None) -> None:
         self.catalog: Catalog | None = catalog or make_catalog()
-        self.book = ServerBook()
+        self.book = ServerRegistry()
         self.quotas = Quotas(QuotaSlack())
-        self.budget = RepeatBudget(RepeatBounds(ratio=0.2, slack=20))
-        self.usage = UsageBook('here', 5)
+        self.budget = RetryBudget(RetryBounds(ratio=0.2, slack=20))
+        self.usage = UsageTracker('here', 5)
         self.versions = VersionShares()
         self.counted: list[tuple[str, bool]] = []
         self.servers: list[ScriptedServer] = []
         self.clock = SystemClock()
-        self.metrics = MetricsPage()
+        self.metrics = MetricsEndpoint()
         self.limits = ServerLimits('here', lambda: ['here'], time.time)
-        self.crashes = make_crash_parts(self.clock, self.book)
-        self.last_moment: float | None = None
-        path = RequestPath(
-            PathParts(
+        self.crashes = make_crash_tracking(self.clock, self.book)
+        self.shutdown_deadline: float | None = None
+        path = RequestHandler(
+            RequestDependencies(
                 clock=self.clock,
                 wall=lambda: 12.0,
                 edge=PlainEdge(),
@@ -192,21 +196,21 @@
                 usage=self.usage,
                 workloads=Workloads(),
                 versions=self.versions,
-                count_answer=self._count,
-                fresh_parts=FreshParts(),
-                silent_domains=frozenset,
+                record_outcome=self._count,
+                fresh_parts=RecentPromptParts(),
+                unreachable_domains=frozenset,
                 record=self.metrics.add,
-                last_moment=lambda: self.last_moment,
+                shutdown_deadline=lambda: self.shutdown_deadline,
                 own_domain=HERE,
-                draw=random.Random(1),  # noqa: S311
+                rng=random.Random(1),  # noqa: S311
                 crashes=self.crashes,
                 limits=self.limits,
             )
         )
-        self.front = FrontState(path.serve, self._limits, self.clock)
+        self.front = ListenerState(path.serve, self._limits, self.clock)
         self._listener: asyncio.Server | None = None
 
-    async def __aenter__(self) -> 'Scene':
+    async def __aenter__(self) -> 'RequestHarness':
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: CallerConnection(self.front), '127.0.0.1', 0
@@ -236,7 +240,7 @@
 
     async def ask(
         self, path: str = '/read/1', method: str = 'GET', body: bytes = b'', **more: str
-    ) -> Received:
+    ) -> ReceivedResponse:
         """Send a request on a new connection and return what came back."""
         headers = [
             (b'Host', b'shop.example'),
@@ -266,7 +270,7 @@
         self.counted.append((version, failed))
 
 
-async def exchange(address: Address, request: bytes) -> Received:
+async def exchange(address: Address, request: bytes) -> ReceivedResponse:
     """Send bytes on a new connection and read an answer."""
     connection = await connect(address, 5)
     try:
@@ -276,7 +280,7 @@
         headers = {
             name.decode().lower(): value.decode() for name, value in head.headers
         }
-        return Received(head.status, headers, body, whole)
+        return ReceivedResponse(head.status, headers, body, whole)
     finally:
         connection.close()
 
@@ -292,10 +296,10 @@
     return b''.join(parts), True
 
 
-Play = Callable[[Scene], Awaitable[None]]
+Play = Callable[[RequestHarness], Awaitable[None]]
 
 
-def play(scene: Scene, script: Play) -> None:
+def run_scenario(scene: RequestHarness, script: Play) -> None:
     """Play a script on a scene, on an event loop of its own."""
 
     async def run() -> None:
--- a/libs/serving/tests/test_scale.py
+++ b/libs/serving/tests/test_autoscaler.py
@@ -8,17 +8,17 @@
 
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import BackendServerId, FailureDomainId, FencingNumber
-from fireflyhitch_serving.catalog import EngineTraits, ScaleBounds, Service
+from fireflyhitch_serving.autoscaler import Autoscaler
+from fireflyhitch_serving.catalog import EngineCapacity, ScaleBounds, Service
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.duty_calls import CallResult, ServerOrder
 from fireflyhitch_serving.leases import Leadership
-from fireflyhitch_serving.scale_orders import ScaleKeeper
-from fireflyhitch_serving.servers import ServerBook, ServerEntry
+from fireflyhitch_serving.servers import ServerEntry, ServerRegistry
 from fireflyhitch_serving.workloads import Workloads
 
 DOMAINS = {FailureDomainId(name): 1.0 for name in ('a', 'b', 'c', 'd')}
 SCALED = Service(
-    SERVICE, 100, EngineTraits(12, 400_000), ScaleBounds(1, 56, 4, 0.18, DOMAINS)
+    SERVICE, 100, EngineCapacity(12, 400_000), ScaleBounds(1, 56, 4, 0.18, DOMAINS)
 )
 
 
@@ -29,7 +29,7 @@
         self.orders: list[ServerOrder] = []
         self.leads = True
 
-    def lead(self) -> Leadership | None:
+    def current_leadership(self) -> Leadership | None:
         """Lead, unless another daemon does."""
         return Leadership(FencingNumber(7), 3) if self.leads else None
 
@@ -45,11 +45,11 @@
     """A leader before the first request, at a service whose servers are listed."""
 
     def __init__(self, demand: float = 0) -> None:
-        self.book = ServerBook()
+        self.book = ServerRegistry()
         self.leader = Leader()
         self.clock = ManualClock()
         catalog = replace(make_catalog(), services={SERVICE: SCALED})
-        self.keeper = ScaleKeeper(
+        self.keeper = Autoscaler(
             lambda: catalog,
             self.book,
             lambda: demand,
@@ -114,7 +114,7 @@
 
 def order_at_start(on_demand: int, monkeypatch) -> int:  # type: ignore[no-untyped-def]
     """Return the reclaimable servers that are ordered before any request came."""
-    monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+    monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
     start = Start()
     start.list_servers(range(on_demand))
     asyncio.run(start.pass_seconds(4))
@@ -135,7 +135,7 @@
         # 56 servers run when the daemons start, and write their entries over the next
         # three seconds. Orders by the first two of them had all others given back, and
         # the first callers found eight.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         start = Start()
 
         async def script() -> None:
@@ -159,7 +159,7 @@
         # Prompts of a few tokens with answers of many: engines read nothing, and their
         # batches are full. Orders by reading alone would leave callers waiting for a
         # place; 120 requests in batches of 12, half full, need 20 servers.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         start = Start(demand=1)
         start.list_servers(range(4))
         for record in start.book.all().values():
@@ -201,7 +201,7 @@
 
     def test_servers_that_are_starting_are_not_ordered_again(self, monkeypatch) -> None:
         """Guards against a paid call each few seconds for what is on its way."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         orders = Orders(CallResult.DONE)
         asyncio.run(orders.start.pass_seconds(9))
         assert len(orders.given) == 2
@@ -209,14 +209,14 @@
 
     def test_what_is_not_to_be_had_is_asked_for_sooner(self, monkeypatch) -> None:
         """Guards against seconds without servers that may be had again by now."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         orders = Orders(CallResult.UNAVAILABLE)
         asyncio.run(orders.start.pass_seconds(9))
         assert len(orders.given) >= 3
 
     def test_what_was_taken_away_is_ordered_at_once(self, monkeypatch) -> None:
         """Guards against reclaimed servers that are missed until an order is old."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         orders = Orders(CallResult.DONE)
 
         async def script() -> None:
@@ -235,7 +235,7 @@
     def test_a_new_leader_keeps_what_the_former_one_ordered(self, monkeypatch) -> None:
         # The leader is killed under load. The next has seen less of the day's load, and
         # gave back half of the servers; none were to be had when callers came again.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         taking_over = Start(demand=100_000)
         taking_over.list_servers(range(56))
         for record in taking_over.book.all().values():
@@ -250,7 +250,7 @@
 
     def test_it_orders_by_the_load_that_it_saw_before_it_led(self, monkeypatch) -> None:
         """Guards against servers given back right after a burst, as the leader ended."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.LOOK_SECONDS', 0)
         start = Start(demand=1)
         start.list_servers(range(4))
         start.leader.leads = False
--- a/libs/serving/tests/test_server_ends.py
+++ b/libs/serving/tests/test_crash_detection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from scene import Scene, play
+from scene import RequestHarness, run_scenario
 
 from fireflyhitch_model.ids import BackendServerId
 from fireflyhitch_routing.quarantine import Hold
@@ -28,32 +28,32 @@
     writer.close()
 
 
-def count_ends(scene: Scene) -> int:
+def count_ends(scene: RequestHarness) -> int:
     """Return how many servers have ended under the one request."""
-    return sum(len(suspect.ends) for suspect in scene.crashes.book.all().values())
+    return sum(len(suspect.crashes) for suspect in scene.crashes.book.all().values())
 
 
 class TestServerEnds:
     def test_a_server_that_listens_no_more_has_ended_under_its_request(self) -> None:
-        async def script(scene: Scene) -> None:
+        async def script(scene: RequestHarness) -> None:
             await scene.add('i-1', end_server(scene.servers))
             assert (await scene.ask()).status == 502
             await asyncio.sleep(LOOK_SECONDS)
             assert count_ends(scene) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_a_server_that_cuts_an_answer_off_and_lives_on_has_not(self) -> None:
-        async def script(scene: Scene) -> None:
+        async def script(scene: RequestHarness) -> None:
             await scene.add('i-1', cut_answer_off)
             assert (await scene.ask()).status == 502
             await asyncio.sleep(LOOK_SECONDS)
             assert not count_ends(scene)
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_a_server_that_was_leaving_ends_by_order(self) -> None:
-        async def script(scene: Scene) -> None:
+        async def script(scene: RequestHarness) -> None:
             async def leave(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
                 scene.book.remove(BackendServerId('i-1'))
                 scene.servers[-1].stop()
@@ -64,20 +64,20 @@
             await asyncio.sleep(LOOK_SECONDS)
             assert not count_ends(scene)
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_a_held_request_is_refused_at_once_and_reaches_no_server(self) -> None:
-        async def script(scene: Scene) -> None:
+        async def script(scene: RequestHarness) -> None:
             server = await scene.add('i-1', end_server(scene.servers))
             await scene.ask()
             await asyncio.sleep(LOOK_SECONDS)
             content = list(scene.crashes.book.all())[0]
             hold = Hold(scene.clock.monotonic() + 30, frozenset())
-            scene.crashes.quarantine.take_hold(content, hold)
+            scene.crashes.quarantine.add_hold(content, hold)
             got = await scene.ask(request_id='r2')
             assert got.status == 503
             assert got.headers['x-outcome'] == 'not-run'
             assert 29 < float(got.headers['retry-after']) <= 30
             assert len(server.seen) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 from daemons_scene import Daemons
-from virtual_time import play
+from virtual_time import run_virtual
 
 from fireflyhitch_model.ids import ContentId
 
@@ -29,14 +29,14 @@
 
 async def lose_messages(scene: Daemons) -> None:
     """Lose one message in ten from now on."""
-    draw = scene.draw
-    scene.net.loses = lambda sender, to, data: draw.random() < 0.1
+    rng = scene.rng
+    scene.net.should_drop = lambda sender, to, data: rng.random() < 0.1
 
 
 async def cut_one_off(scene: Daemons) -> None:
     """Cut the last daemon off from all others; the store still answers it."""
     last = list(scene.daemons)[-1]
-    scene.net.loses = lambda sender, to, data: last in {sender, to}
+    scene.net.should_drop = lambda sender, to, data: last in {sender, to}
     await asyncio.sleep(CONTACT_SECONDS_OF_MANY)
 
 
@@ -57,7 +57,7 @@
     names = list(scene.daemons)
     for number, name in enumerate((names[0], names[-2], names[1])):
         for content in contents:
-            scene.daemons[name].note_end(content, number)
+            scene.daemons[name].record_crash(content, number)
         await asyncio.sleep(TRY_SECONDS)
 
 
@@ -78,7 +78,7 @@
         await asyncio.sleep(find_bound(scene) - TRY_SECONDS)
         unknowing.extend(find_unknowing(scene, CRASHING))
 
-    play(script())
+    run_virtual(script())
     return unknowing
 
 
@@ -113,7 +113,7 @@
             await asyncio.sleep(CONTACT_SECONDS)
             assert not find_unknowing(scene, CRASHING)
 
-        play(script())
+        run_virtual(script())
 
     def test_what_one_daemon_has_answered_is_held_by_none(self) -> None:
         # Three servers end by another's doing under a request that is well elsewhere.
@@ -122,11 +122,11 @@
             await scene.start_all()
             answerer = list(scene.daemons.values())[-1]
             now = asyncio.get_running_loop().time()
-            answerer.crashes.book.note_answer(HARMLESS, now)
+            answerer.crashes.book.record_response(HARMLESS, now)
             await end_three_servers(scene, CRASHING, HARMLESS)
             for _ in range(50):
                 assert len(find_unknowing(scene, HARMLESS)) == len(scene.daemons)
                 await asyncio.sleep(0.1)
             assert not find_unknowing(scene, CRASHING)
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_hubs.py
+++ b/libs/serving/tests/test_hubs.py
@@ -6,7 +6,7 @@
 
 import pytest
 from daemons_scene import Daemons
-from virtual_time import play
+from virtual_time import run_virtual
 
 # A daemon's messages a second: to two hubs, and to the leader.
 MOST_SENT = 14
@@ -32,8 +32,8 @@
 
 async def lose_messages(scene: Daemons) -> None:
     """Lose one message in ten from now on."""
-    draw = scene.draw
-    scene.net.loses = lambda sender, to, data: draw.random() < 0.1
+    rng = scene.rng
+    scene.net.should_drop = lambda sender, to, data: rng.random() < 0.1
 
 
 async def start_the_hub_again(scene: Daemons) -> None:
@@ -72,7 +72,7 @@
             counted.update(scene.count_work())
             running.append(len(scene.daemons))
 
-        play(script())
+        run_virtual(script())
         assert set(counted) == set(running)
 
     def test_there_is_one_hub_a_failure_domain(self) -> None:
@@ -86,7 +86,7 @@
                 hubs.extend(scene.find_hubs(domain) for domain in ('gent', 'aalst'))
                 await asyncio.sleep(0.1)
 
-        play(script())
+        run_virtual(script())
         assert {len(found) for found in hubs} == {1}
 
 
@@ -106,9 +106,9 @@
                 sent[sender] += 1
                 return False
 
-            scene.net.loses = count
+            scene.net.should_drop = count
             await asyncio.sleep(SECONDS)
 
-        play(script())
+        run_virtual(script())
         others = [count for name, count in sent.items() if name not in hubs]
         assert max(others) <= MOST_SENT * SECONDS
--- a/libs/serving/tests/test_leases.py
+++ b/libs/serving/tests/test_leases.py
@@ -4,7 +4,7 @@
 import random
 
 from virtual_store import StoreClient, VirtualStore
-from virtual_time import LoopClock, play
+from virtual_time import LoopClock, run_virtual
 
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.states import Step
@@ -28,15 +28,15 @@
                 health,
                 int,
             )
-            lease.take_listed()
+            lease.mark_keys_listed()
             keeping = asyncio.create_task(lease.run())
             await asyncio.sleep(0.3)
             assert health.answers
-            store.silent_to.add('gent-1')
-            health.note_failure(PlatformError('no answer', step=Step.STORE_WATCH))
+            store.unresponsive_to.add('gent-1')
+            health.record_failure(PlatformError('no answer', step=Step.STORE_WATCH))
             for _ in range(30):
                 await asyncio.sleep(0.1)
                 assert not health.answers
             keeping.cancel()
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -5,7 +5,7 @@
 
 import pytest
 from daemons_scene import Daemons, is_change
-from virtual_time import play
+from virtual_time import run_virtual
 
 # The shortest drain time that deployments have.
 DRAIN_SECONDS = 2.0
@@ -22,7 +22,7 @@
     """Lose all that tells a daemon of the change, and end those who passed it on."""
     watchers = scene.find_watchers('gent')
     missed = next(name for name in scene.daemons if name not in watchers)
-    scene.net.loses = lambda sender, to, data: to == missed and is_change(data)
+    scene.net.should_drop = lambda sender, to, data: to == missed and is_change(data)
     scene.leave(SERVER)
     await asyncio.sleep(0.1)
     for name in watchers:
@@ -31,13 +31,13 @@
 
 async def cut_watchers_off_from_the_store(scene: Daemons) -> None:
     """Have the store answer none of a failure domain's watchers."""
-    scene.store.silent_to.update(scene.find_watchers('gent'))
+    scene.store.unresponsive_to.update(scene.find_watchers('gent'))
     scene.leave(SERVER)
 
 
 async def keep_watches_without_answers(scene: Daemons) -> None:
     """Have the waiting watches of a failure domain never get their answer."""
-    scene.store.deaf.update(scene.find_watchers('gent'))
+    scene.store.stalled_watchers.update(scene.find_watchers('gent'))
     scene.leave(SERVER)
 
 
@@ -50,12 +50,12 @@
 
 async def start_unheard(scene: Daemons) -> None:
     """Start a daemon that its neighbours do not hear until after the change."""
-    scene.net.loses = lambda sender, to, data: sender == 'gent-9'
+    scene.net.should_drop = lambda sender, to, data: sender == 'gent-9'
     scene.start('gent-9')
     await asyncio.sleep(0.05)
     scene.leave(SERVER)
     await asyncio.sleep(0.5)
-    scene.net.loses = lambda sender, to, data: False
+    scene.net.should_drop = lambda sender, to, data: False
 
 
 class TestLateKnowledge:
@@ -73,7 +73,7 @@
         """Guards against requests to leaving servers by daemons that missed the word."""
         for near, far, seeds in SIZES:
             for seed in range(seeds):
-                assert not find_unaware(fault, near, far, seed), (near, far, seed)
+                assert not find_outdated(fault, near, far, seed), (near, far, seed)
 
     @pytest.mark.parametrize(
         ('names', 'sizes'),
@@ -94,17 +94,17 @@
         async def script() -> None:
             scene = Daemons(0, **dict(zip(names, sizes, strict=True)))
             await scene.start_all()
-            scene.store.silent_to.update(scene.find_daemons(silent))
+            scene.store.unresponsive_to.update(scene.find_daemons(silent))
             await asyncio.sleep(3)
             scene.leave(SERVER)
             await asyncio.sleep(DRAIN_SECONDS)
-            unaware.extend(scene.find_unaware(SERVER))
+            unaware.extend(scene.find_outdated(SERVER))
 
-        play(script())
+        run_virtual(script())
         assert not unaware
 
 
-def find_unaware(fault: Fault, near: int, far: int, seed: int) -> list[str]:
+def find_outdated(fault: Fault, near: int, far: int, seed: int) -> list[str]:
     """Play a fault; return who sends to a server after its drain time.
 
     Daemons that the store does not answer are left out.
@@ -118,10 +118,10 @@
         scene.store.stale_seconds = BEHIND_SECONDS
         await fault(scene)
         await asyncio.sleep(DRAIN_SECONDS)
-        silent = scene.store.silent_to
+        silent = scene.store.unresponsive_to
         unaware.extend(
-            name for name in scene.find_unaware(SERVER) if name not in silent
+            name for name in scene.find_outdated(SERVER) if name not in silent
         )
 
-    play(script())
+    run_virtual(script())
     return unaware
--- a/libs/serving/tests/test_lifecycle.py
+++ b/libs/serving/tests/test_lifecycle.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from fireflyhitch_model.clock import SystemClock
-from fireflyhitch_serving.callers import FrontState
+from fireflyhitch_serving.callers import ListenerState
 from fireflyhitch_serving.catalog import CallerLimits
 from fireflyhitch_serving.lifecycle import Lifecycle
 
@@ -18,15 +18,15 @@
         # only what ends before the process does.
         monkeypatch.setattr(f'{Lifecycle.__module__}.BALANCER_SECONDS', 0.05)
         clock = SystemClock()
-        front = FrontState(serve_nothing, CallerLimits, clock)
+        front = ListenerState(serve_nothing, CallerLimits, clock)
         lifecycle = Lifecycle(front, clock, lambda: None, grace=1.2)
 
         async def script() -> tuple[float | None, float | None]:
             stopping = asyncio.create_task(lifecycle.stop())
             await asyncio.sleep(0.01)
-            before = lifecycle.last_moment
+            before = lifecycle.shutdown_deadline
             await stopping
-            return before, lifecycle.last_moment
+            return before, lifecycle.shutdown_deadline
 
         started = clock.monotonic()
         before, after = asyncio.run(script())
--- a/libs/serving/tests/test_named_limits.py
+++ b/libs/serving/tests/test_named_limits.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from scene import Scene, play
+from scene import RequestHarness, run_scenario
 from scripted_servers import close_connection
 
 from fireflyhitch_model.ids import BackendServerId
@@ -33,13 +33,13 @@
     """Return whether a limit stands after answers with these heads."""
     named: list[bool] = []
 
-    async def script(scene: Scene) -> None:
+    async def script(scene: RequestHarness) -> None:
         await scene.add('i-1', Answers(*heads).answer)
         for number, _ in enumerate(heads):
             await scene.ask(request_id=f'r{number}')
-        named.append(scene.limits.are_named)
+        named.append(scene.limits.has_limits)
 
-    play(Scene(), script)
+    run_scenario(RequestHarness(), script)
     return named[0]
 
 
@@ -47,19 +47,19 @@
     """Guards against a promise that a request has not run, though a server had it."""
 
     def test_one_that_a_server_had_is_not_refused_as_not_run(self) -> None:
-        async def script(scene: Scene) -> None:
+        async def script(scene: RequestHarness) -> None:
             await scene.add('a', close_connection())
             await scene.add('b', Answers().answer)
             limited = scene.book.all()[BackendServerId('b')]
             now = scene.clock.monotonic()
             server_id = limited.server.server_id
-            scene.limits.note_answer(limited.process, server_id, 0.0, now, now)
+            scene.limits.record_response(limited.process, server_id, 0.0, now, now)
             while scene.limits.may_send(limited.process):
-                scene.limits.note_sent(limited.process)
+                scene.limits.record_sent(limited.process)
             got = await scene.ask()
             assert (got.status, got.headers['x-outcome']) == (502, 'unknown')
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestNamedLimits:
--- a/libs/serving/tests/test_placing.py
+++ b/libs/serving/tests/test_placement.py
@@ -8,26 +8,26 @@
 from fireflyhitch_serving.connections import Address, ConnectionPool
 from fireflyhitch_serving.health import ServerHealth
 from fireflyhitch_serving.messages import PromptPart
-from fireflyhitch_serving.placing import (
+from fireflyhitch_serving.placement import (
     MOST_WEIGHED,
-    Place,
+    Locality,
     Placement,
-    PromptNeed,
+    PromptRequest,
     place_plain,
     place_prompt,
     thin_out,
 )
 from fireflyhitch_serving.servers import (
     InFlight,
-    ServerBook,
     ServerEntry,
     ServerRecord,
+    ServerRegistry,
 )
 
 HERE = FailureDomainId('gent')
 THERE = FailureDomainId('brugge')
 READ_PER_SECOND = 56_600.0
-Choose = Callable[[PromptNeed, Sequence[ServerRecord], float], ServerRecord]
+Choose = Callable[[PromptRequest, Sequence[ServerRecord], float], ServerRecord]
 
 
 def make_server(
@@ -55,7 +55,7 @@
         self._ends: list[tuple[float, int, int]] = []
         self.read_again = 0
 
-    def send(self, need: PromptNeed, record: ServerRecord, now: float) -> float:
+    def send(self, need: PromptRequest, record: ServerRecord, now: float) -> float:
         """Give an engine a prompt; return the seconds to its first token."""
         place = self.records.index(record)
         cached = 0
@@ -70,13 +70,13 @@
         begin = max(now, self._free_at[place])
         end = begin + fresh / READ_PER_SECOND
         self._free_at[place] = end
-        record.note_parts(need.parts, now)
+        record.add_cached_parts(need.parts, now)
         record.requests += 1
         record.prompt_tokens += fresh
         heapq.heappush(self._ends, (end, place, fresh))
         return end - now
 
-    def end_until(self, now: float) -> None:
+    def complete_until(self, now: float) -> None:
         """Note the prompts that were read by then."""
         while self._ends and self._ends[0][0] <= now:
             _, place, fresh = heapq.heappop(self._ends)
@@ -84,31 +84,31 @@
             self.records[place].prompt_tokens -= fresh
 
 
-def find_agreed(
-    need: PromptNeed, records: Sequence[ServerRecord]
+def find_affinity_servers(
+    need: PromptRequest, records: Sequence[ServerRecord]
 ) -> list[BackendServerId]:
     """Return the servers that a prompt's parts belong to, as the daemon's book does."""
     if len(need.parts) < 2:
         return []
-    book = ServerBook()
+    book = ServerRegistry()
     for record in records:
         book.put(record.server)
     service = records[0].server.service
-    return book.find_agreed(service, need.parts[-2].part_id, book.all())
+    return book.find_affinity_servers(service, need.parts[-2].part_id, book.all())
 
 
 def by_time(
-    need: PromptNeed, records: Sequence[ServerRecord], now: float
+    need: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose as the daemon does."""
-    agreed = find_agreed(need, records)
-    placement = place_prompt(need, records, Place(HERE), now, agreed)
+    agreed = find_affinity_servers(need, records)
+    placement = place_prompt(need, records, Locality(HERE), now, agreed)
     assert placement is not None
     return placement.record
 
 
 def by_requests(
-    need: PromptNeed, records: Sequence[ServerRecord], now: float
+    need: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose the server with the fewest requests, as a plain balancer does."""
     return min(records, key=lambda record: record.requests)
@@ -120,21 +120,19 @@
     :returns: the part of first tokens within 0.6 s, and tokens of shared parts that
         were read again although some engine had them.
     """
-    draw = random.Random(7)  # noqa: S311
+    rng = random.Random(7)  # noqa: S311
     engines = Engines(5)
     now = 0.0
     within = 0
     asked = 0
     while now < 40:
-        now += draw.expovariate(a_second)
-        engines.end_until(now)
-        long = draw.random() < 0.3
-        shared = PromptPart(f'p{draw.randrange(40)}', 5000 if long else 300)
-        own = PromptPart(
-            f'own{asked}', draw.choice((500, 2000, 12000 if long else 900))
-        )
+        now += rng.expovariate(a_second)
+        engines.complete_until(now)
+        long = rng.random() < 0.3
+        shared = PromptPart(f'p{rng.randrange(40)}', 5000 if long else 300)
+        own = PromptPart(f'own{asked}', rng.choice((500, 2000, 12000 if long else 900)))
         tokens = shared.tokens + own.tokens
-        need = PromptNeed(tokens, (shared, own), 0.6, 1 / READ_PER_SECOND)
+        need = PromptRequest(tokens, (shared, own), 0.6, 1 / READ_PER_SECOND)
         record = choose(need, engines.records, now)
         asked += 1
         within += engines.send(need, record, now) <= 0.6
@@ -162,20 +160,20 @@
     def test_a_request_waits_here_rather_than_at_a_full_server(self) -> None:
         record = make_server('a', slots=2)
         record.requests = 2
-        assert place_plain([record], Place(HERE), 0) is None
+        assert place_plain([record], Locality(HERE), 0) is None
 
     def test_what_peers_have_in_flight_counts(self) -> None:
         near = make_server('a', slots=6)
         far = make_server('b', THERE, slots=6)
-        near.note_peer('d2', InFlight(5, 0), 0)
-        assert _name(place_plain([near, far], Place(HERE), 0.1)) == 'b'
-        assert _name(place_plain([near, far], Place(HERE), 60)) == 'a'
+        near.update_peer('d2', InFlight(5, 0), 0)
+        assert _name(place_plain([near, far], Locality(HERE), 0.1)) == 'b'
+        assert _name(place_plain([near, far], Locality(HERE), 60)) == 'a'
 
     def test_a_domain_that_went_silent_comes_last(self) -> None:
         near = make_server('a', slots=6)
         near.requests = 4
         far = make_server('b', THERE, slots=6)
-        place = Place(HERE, frozenset((THERE,)))
+        place = Locality(HERE, frozenset((THERE,)))
         assert _name(place_plain([near, far], place, 0)) == 'a'
         near.requests = 6
         assert _name(place_plain([near, far], place, 0)) == 'b'
@@ -192,8 +190,8 @@
     def test_some_dozens_are_weighed_and_those_agreed_on_are_among_them(self) -> None:
         records = [make_server(f's{number}', HERE, 12) for number in range(1000)]
         parts = (PromptPart('shared', 2000), PromptPart('own', 100))
-        need = PromptNeed(2100, parts, 1.0, 1 / 60_000)
-        agreed = find_agreed(need, records)
+        need = PromptRequest(2100, parts, 1.0, 1 / 60_000)
+        agreed = find_affinity_servers(need, records)
         weighed = thin_out(records, parts, agreed)
         assert len(weighed) <= MOST_WEIGHED + len(agreed)
         names = {record.server.server_id for record in weighed}
--- a/libs/serving/tests/test_placing_late_news.py
+++ b/libs/serving/tests/test_placement_stale_state.py
@@ -4,12 +4,12 @@
 import random
 from collections.abc import Callable
 
-from asked_moments import pass_moments
-from test_placing import by_time, make_server
+from simulated_arrivals import simulate_arrivals
+from test_placement import by_time, make_server
 
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_serving.messages import PromptPart
-from fireflyhitch_serving.placing import PromptNeed
+from fireflyhitch_serving.placement import PromptRequest
 from fireflyhitch_serving.servers import InFlight, ServerRecord
 
 HERE = FailureDomainId('gent')
@@ -21,11 +21,11 @@
 SECONDS_PER_TOKEN = 1 / 60_000
 TARGET_SECONDS = 1.0
 TOPICS = 160
-Choose = Callable[[PromptNeed, list[ServerRecord], float], ServerRecord]
+Choose = Callable[[PromptRequest, list[ServerRecord], float], ServerRecord]
 
 
 def by_least_wait(
-    need: PromptNeed, records: list[ServerRecord], now: float
+    need: PromptRequest, records: list[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose the engine with the least expected wait of all."""
 
@@ -52,7 +52,9 @@
         self._ends: list[tuple[float, int, int, int]] = []
         self._untold: list[tuple[int, str]] = []
 
-    def send(self, daemon: int, need: PromptNeed, choose: Choose, now: float) -> float:
+    def send(
+        self, daemon: int, need: PromptRequest, choose: Choose, now: float
+    ) -> float:
         """Have a daemon place a prompt; return the seconds to its first token."""
         view = self.views[daemon]
         record = choose(need, view, now)
@@ -66,53 +68,53 @@
         self._cached[engine].add(shared.part_id)
         end = max(now, self._free_at[engine]) + fresh * SECONDS_PER_TOKEN
         self._free_at[engine] = end
-        record.note_parts(need.parts, now)
+        record.add_cached_parts(need.parts, now)
         record.prompt_tokens += fresh
         self._waiting[engine] += fresh
         self._untold.append((engine, shared.part_id))
         heapq.heappush(self._ends, (end, engine, daemon, fresh))
         return end - now
 
-    def end_until(self, now: float) -> None:
+    def complete_until(self, now: float) -> None:
         """Note the prompts that were read by then."""
         while self._ends and self._ends[0][0] <= now:
             _, engine, daemon, fresh = heapq.heappop(self._ends)
             self.views[daemon][engine].prompt_tokens -= fresh
             self._waiting[engine] -= fresh
 
-    def tell_all(self, now: float) -> None:
+    def exchange_state(self, now: float) -> None:
         """Let each daemon hear what the others have in flight now."""
         for view in self.views:
             for record, waiting in zip(view, self._waiting, strict=True):
                 others = InFlight(0, waiting - record.prompt_tokens)
-                record.note_peer('others', others, now)
+                record.update_peer('others', others, now)
             for engine, part in self._untold:
-                view[engine].note_part(part, now)
+                view[engine].add_cached_part(part, now)
         self._untold = []
 
 
 def play(choose: Choose) -> tuple[float, int]:
     """Return the part of first tokens in time, and shared tokens read again."""
-    draw = random.Random(11)  # noqa: S311
+    rng = random.Random(11)  # noqa: S311
     fleet = Fleet()
     asked = 0
     in_time = 0
-    moments = pass_moments(
+    moments = simulate_arrivals(
         fleet,
-        draw,
-        a_second=PROMPTS_PER_SECOND,
-        news_seconds=NEWS_SECONDS,
+        rng,
+        arrivals_per_second=PROMPTS_PER_SECOND,
+        exchange_seconds=NEWS_SECONDS,
         seconds=PLAYED_SECONDS,
     )
     for now in moments:
-        long = draw.random() < 0.3
-        topic = draw.randrange(TOPICS)
+        long = rng.random() < 0.3
+        topic = rng.randrange(TOPICS)
         shared = PromptPart(f'p{long}{topic}', 13_000 if long else 2_000)
-        own = PromptPart(f'o{asked}', draw.randrange(500, 12_000 if long else 3_000))
-        need = PromptNeed(
+        own = PromptPart(f'o{asked}', rng.randrange(500, 12_000 if long else 3_000))
+        need = PromptRequest(
             shared.tokens + own.tokens, (shared, own), TARGET_SECONDS, SECONDS_PER_TOKEN
         )
-        seconds = fleet.send(draw.randrange(DAEMONS), need, choose, now)
+        seconds = fleet.send(rng.randrange(DAEMONS), need, choose, now)
         asked += 1
         in_time += seconds <= TARGET_SECONDS * 0.5
     return in_time / asked, fleet.read_again
--- a/libs/serving/tests/test_progress.py
+++ b/libs/serving/tests/test_progress.py
@@ -5,14 +5,14 @@
 from datetime import timedelta
 
 from virtual_store import StoreClient, VirtualStore
-from virtual_time import LoopClock, play
+from virtual_time import LoopClock, run_virtual
 
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import ABSENT, Revision
-from fireflyhitch_serving.beliefs import BeliefEvents, PeerWord, StoreView
 from fireflyhitch_serving.changes import Change, ChangeSpan
 from fireflyhitch_serving.progress import ARRIVAL_SECONDS, ViewProgress
 from fireflyhitch_serving.store_health import StoreHealth
+from fireflyhitch_serving.store_view import PeerReports, StoreView, ViewCallbacks
 
 LATER = timedelta(seconds=ARRIVAL_SECONDS + 0.01)
 
@@ -91,10 +91,10 @@
         StoreClient(store, 'gent-1'),
         StoreHealth(LoopClock()),
         prefix,
-        BeliefEvents(lambda key, value, revision: None, lambda: None),
+        ViewCallbacks(lambda key, value, revision: None, lambda: None),
         random.Random(1),  # noqa: S311
         ViewProgress(LoopClock()),
-        PeerWord(lambda _: told),
+        PeerReports(lambda _: told),
         relay,  # type: ignore[arg-type]
     )
 
@@ -104,7 +104,7 @@
         """Guards against an old configuration in force, as a watch's answer was lost."""
 
         async def script() -> None:
-            store = VirtualStore(deaf={'gent-1'})
+            store = VirtualStore(stalled_watchers={'gent-1'})
             store.put('op/config', b'4')
             view = make_view(store, told=Revision(2), prefix='op/')
             following = asyncio.create_task(view.run())
@@ -114,7 +114,7 @@
             following.cancel()
             assert view.newest == changed
 
-        play(script())
+        run_virtual(script())
 
 
 class TestRemovedKeys:
@@ -133,7 +133,7 @@
             following.cancel()
             assert view.newest == known
 
-        play(script())
+        run_virtual(script())
 
 
 class TestNewWatcher:
@@ -160,7 +160,7 @@
             ]
             assert relay.passed == [ChangeSpan('servers/', changes, Revision(2), gone)]
 
-        play(script())
+        run_virtual(script())
 
     def test_what_another_watcher_told_first_is_passed_on_too(self) -> None:
         """Guards against daemons without the store that only this one tells."""
@@ -176,9 +176,9 @@
             leaving = store.put('servers/i-1', b'draining')
             change = Change('servers/i-1', b'draining', leaving)
             span = ChangeSpan('servers/', [change], listed, leaving)
-            view.take_span(span, 'peer gent-2/a1')
+            view.apply_span(span, 'peer gent-2/a1')
             await asyncio.sleep(0.1)
             following.cancel()
             assert relay.passed == [span]
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_quotas.py
+++ b/libs/serving/tests/test_quotas.py
@@ -9,10 +9,10 @@
 from fireflyhitch_serving.demand import DemandMeter
 from fireflyhitch_serving.quotas import (
     MOST_PROCESSES,
-    CustomerNote,
+    QuotaReport,
     Quotas,
     QuotaSlack,
-    find_slack_part,
+    find_slack_fraction,
 )
 
 BAKERY = CustomerId('bakery')
@@ -42,18 +42,18 @@
             for _ in range(daemons)
         ]
         for book in self.books:
-            book.share_with(daemons, daemons, news)
+            book.update_daemon_counts(daemons, daemons, news)
         self.taken: list[tuple[float, float]] = []
         self.refused = 0
 
     def tell(self, now: float) -> None:
         """Have each daemon hear all others."""
-        notes = [book.notes(now) for book in self.books]
+        build_reports = [book.build_reports(now) for book in self.books]
         for place, book in enumerate(self.books):
-            for other, told in enumerate(notes):
+            for other, told in enumerate(build_reports):
                 if other != place:
                     for customer, note in told.items():
-                        book.take_note(str(other), customer, note, now)
+                        book.apply_report(str(other), customer, note, now)
 
     def ask(self, daemon: int, units: float, now: float) -> None:
         """Ask a daemon for units."""
@@ -107,7 +107,7 @@
     def test_daemons_that_do_not_hear_each_other_keep_it_as_well(self) -> None:
         fleet = Fleet(4)
         for book in fleet.books:
-            book.share_with(daemons=4, heard=1)
+            book.update_daemon_counts(daemons=4, heard=1)
         now = 0.0
         for step in range(800):
             now += 0.02
@@ -123,7 +123,7 @@
         # units in 8 s with the part of the slack that few daemons use, and 13,800 are
         # tolerated (rate and burst by a tenth more, and the slack).
         slack = 2800
-        used = find_slack_part(0.7)
+        used = find_slack_fraction(0.7)
         fleet = Fleet(75, QuotaSlack(used * slack, used * 0.05, 8), news=0.7)
         draw = random.Random(5)  # noqa: S311
         for step in range(6000):
@@ -173,14 +173,14 @@
         old = Quotas(QuotaSlack())
         old.take(CUSTOMER, BURST, 0)
         new = Quotas(QuotaSlack())
-        for customer, note in old.notes(0).items():
-            new.take_note('old', customer, note, 0)
+        for customer, note in old.build_reports(0).items():
+            new.apply_report('old', customer, note, 0)
         assert new.take(CUSTOMER, 100, 0) is not None
 
     def test_what_came_back_may_be_taken_again(self) -> None:
         book = Quotas(QuotaSlack())
         book.take(CUSTOMER, BURST, 0)
-        book.give_back(CUSTOMER, 500)
+        book.refund(CUSTOMER, 500)
         assert book.take(CUSTOMER, 400, 0) is None
 
     def test_a_refusal_says_when_the_units_are_there(self) -> None:
@@ -228,8 +228,8 @@
         there = Quotas(QuotaSlack())
         for second in range(60):
             there.take(CUSTOMER, RATE / 2, second)
-            for customer, note in there.notes(second).items():
-                here.take_note('there', customer, note, second)
+            for customer, note in there.build_reports(second).items():
+                here.apply_report('there', customer, note, second)
         assert here.take(CUSTOMER, RATE, 60) is None
 
     def test_an_account_from_before_the_first_configuration_fills_too(self) -> None:
@@ -243,8 +243,8 @@
             if second == 2:
                 known.append(CUSTOMER.quota)
             there.take(CUSTOMER, RATE / 2, second)
-            for customer, note in there.notes(second).items():
-                here.take_note('there', customer, note, second)
+            for customer, note in there.build_reports(second).items():
+                here.apply_report('there', customer, note, second)
         assert here.take(CUSTOMER, RATE, 60) is None
 
 
@@ -262,7 +262,7 @@
             fleet.ask(1, 45, second)
             is_cut = 10 <= step < 70
             for book in fleet.books:
-                book.share_with(2, 1 if is_cut else 2)
+                book.update_daemon_counts(2, 1 if is_cut else 2)
             if not is_cut:
                 fleet.tell(second)
         assert fleet.refused == 0
@@ -276,14 +276,14 @@
         # new name; what each had taken was remembered for ever.
         book = Quotas(QuotaSlack())
         for number in range(MOST_PROCESSES + 500):
-            book.take_note(f'p{number}', BAKERY, CustomerNote(1, 0, 5), 0)
+            book.apply_report(f'p{number}', BAKERY, QuotaReport(1, 0, 5), 0)
         assert book.count_processes() <= MOST_PROCESSES
 
     def test_their_demand_is_forgotten_too(self) -> None:
         book = Quotas(QuotaSlack())
         for number in range(500):
-            book.take_note(f'p{number}', BAKERY, CustomerNote(1, 7, 5), number)
-            book.notes(number)
+            book.apply_report(f'p{number}', BAKERY, QuotaReport(1, 7, 5), number)
+            book.build_reports(number)
         # Of a peer each second, those of the last two count.
         assert book.sum_demand(499) <= 2 * 7
         assert book.count_peers(BAKERY) <= 3
--- a/libs/serving/tests/test_registrations.py
+++ b/libs/serving/tests/test_registrations.py
@@ -5,17 +5,17 @@
 import pytest
 from daemons_scene import Daemons
 from virtual_store import StoreClient, VirtualStore
-from virtual_time import LoopClock, play
+from virtual_time import LoopClock, run_virtual
 
 from fireflyhitch_model.ids import ABSENT, FailureDomainId, Revision
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.registrations import (
     DAEMONS_PREFIX,
     GONE_SECONDS,
     MOST_GONE_SECONDS,
     Registration,
-    RegistrationKeeper,
+    RegistrationManager,
     read_registration,
 )
 from fireflyhitch_serving.store_health import StoreHealth
@@ -39,12 +39,12 @@
             read_registration(value)
 
 
-def make_keeper(store: VirtualStore) -> RegistrationKeeper:
+def make_keeper(store: VirtualStore) -> RegistrationManager:
     """Return the keeper of a daemon that has just started."""
     clock = LoopClock()
-    return RegistrationKeeper(
+    return RegistrationManager(
         StoreClient(store, 'front-1'),
-        PeerBook('front-1', OWN.failure_domain, clock, clock.monotonic),
+        PeerRegistry('front-1', OWN.failure_domain, clock, clock.monotonic),
         'front-1',
         OWN,
         StoreHealth(clock),
@@ -52,7 +52,7 @@
     )
 
 
-async def keep(keeper: RegistrationKeeper, seconds: float) -> None:
+async def keep(keeper: RegistrationManager, seconds: float) -> None:
     """Let a keeper run for some seconds."""
     running = asyncio.create_task(keeper.run())
     await asyncio.sleep(seconds)
@@ -71,10 +71,10 @@
             keeper.note_listed()
             await keep(keeper, 3)
             assert keeper.is_listed
-            assert keeper.knows_peers()
+            assert keeper.has_discovered_peers()
             assert not store.calls
 
-        play(script())
+        run_virtual(script())
 
     @pytest.mark.parametrize('known', [ABSENT, Revision(1)])
     def test_what_stood_there_before_is_replaced(self, known: Revision) -> None:
@@ -91,7 +91,7 @@
             listed = store.read(DAEMONS_PREFIX, 3).items
             assert [item.value for item in listed] == [OWN.render()]
 
-        play(script())
+        run_virtual(script())
 
     def test_one_that_was_deleted_is_written_again(self) -> None:
         """Guards against a daemon that was frozen for long and that nobody finds."""
@@ -106,7 +106,7 @@
             await keep(keeper, 1)
             assert store.read(DAEMONS_PREFIX, 2).items
 
-        play(script())
+        run_virtual(script())
 
 
 class TestSweeper:
@@ -123,7 +123,7 @@
             await asyncio.sleep(GONE_SECONDS + 3)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
 
     def test_most_daemons_that_have_ended_for_good_are_deleted_later(self) -> None:
         """Guards against limits parted for good with daemons that are not there."""
@@ -136,7 +136,7 @@
             await asyncio.sleep(MOST_GONE_SECONDS + 6)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
 
     def test_a_leader_that_hears_hardly_anybody_deletes_nobody(self) -> None:
         """Guards against a cut-off leader whose side takes the others' limits."""
@@ -144,8 +144,8 @@
         async def script() -> None:
             scene = Daemons(1, gent=5, aalst=5)
             await scene.start_all()
-            scene.net.loses = lambda sender, to, data: True
+            scene.net.should_drop = lambda sender, to, data: True
             await asyncio.sleep(GONE_SECONDS + 5)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_relays.py
+++ b/libs/serving/tests/test_relays.py
@@ -9,13 +9,13 @@
     Change,
     ChangeMessage,
     ChangeSpan,
+    decode_changes,
     part_span,
-    read_changes,
     render_changes,
 )
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.relays import ChangeRelay
 
 HERE = FailureDomainId('gent')
@@ -27,9 +27,9 @@
 
 def tell(
     daemon: str, domain: FailureDomainId, *, hears_store: bool, sequence: int = 1
-) -> PeerNews:
+) -> PeerState:
     """Return a daemon's news."""
-    return PeerNews(
+    return PeerState(
         daemon=daemon,
         process=f'{daemon}/a1',
         failure_domain=domain,
@@ -48,10 +48,10 @@
 class Watcher:
     """A daemon that watches, with peers that it hears."""
 
-    def __init__(self, *peers: PeerNews) -> None:
+    def __init__(self, *peers: PeerState) -> None:
         self.told: dict[str, list[Change]] = {}
         self.clock = ManualClock()
-        self.book = PeerBook('gent-1', HERE, self.clock, float)
+        self.book = PeerRegistry('gent-1', HERE, self.clock, float)
         for number, news in enumerate(peers):
             self.book.register(news.daemon, Address('127.0.0.1', 1 + number))
             self.book.take(news)
@@ -69,7 +69,7 @@
         asyncio.run(run())
 
     def _send(self, data: bytes, daemons: list[str]) -> None:
-        message = read_changes(data)
+        message = decode_changes(data)
         assert message is not None
         for daemon in daemons:
             self.told.setdefault(daemon, []).extend(message.span.changes)
@@ -93,7 +93,7 @@
         assert not watcher.told
         without = tell('aalst-1', THERE, hears_store=False, sequence=2)
         watcher.book.take(without)
-        watcher.play(watcher.relay.note_group)
+        watcher.play(watcher.relay.update_group)
         assert watcher.told == {'aalst-1': [LEAVING]}
 
     def test_those_who_hear_it_watch_themselves(self) -> None:
@@ -108,7 +108,7 @@
         message = ChangeMessage(
             PEER, ChangeSpan('servers/', changes, Revision(5), Revision(9))
         )
-        assert read_changes(render_changes(message)) == message
+        assert decode_changes(render_changes(message)) == message
 
     def test_parts_of_a_span_do_not_pass_for_the_whole(self) -> None:
         """Guards against a lost part of many changes that nobody misses."""
@@ -132,7 +132,9 @@
         watcher = Watcher()
         names = [f'gent-{number}' for number in range(1, 16)]
         for name in names:
-            watcher.book.note_link(name, 200 if name in {'gent-4', 'gent-9'} else 10)
+            watcher.book.set_link_rate(
+                name, 200 if name in {'gent-4', 'gent-9'} else 10
+            )
         for duty in ('relay', 'watch', 'help'):
             ranked = watcher.book.rank(duty, names)
             assert set(ranked[:2]) == {'gent-4', 'gent-9'}
--- a/libs/serving/tests/test_stalls.py
+++ b/libs/serving/tests/test_stalls.py
@@ -5,11 +5,11 @@
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import CustomerId
 from fireflyhitch_serving.catalog import Customer, Quota
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_channel import NewsHandlers, PeerChannel
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_channel import PeerChannel, PeerHandlers
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
-from fireflyhitch_serving.stalls import DROP_SECONDS, StallWatch
+from fireflyhitch_serving.stalls import DROP_SECONDS, StallDetector
 from fireflyhitch_serving.traffic import ControlTraffic
 
 QUOTA = Quota(1000, 2000, in_tokens=True, plain_tokens=200)
@@ -23,21 +23,21 @@
         self.now = 0.0
         self.here = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
         self.there = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
-        self.watch = StallWatch(lambda: self.now, self.here.note_stall)
+        self.watch = StallDetector(lambda: self.now, self.here.reset_peer_baselines)
         self.waiting: list[object] = []
 
     def use_there(self) -> None:
         """Have the customer use its rate at the peer, which tells so."""
         self.there.take(BAKERY, 100, self.now)
-        self.waiting.append(self.there.notes(self.now))
+        self.waiting.append(self.there.build_reports(self.now))
         self.now += 0.1
 
     def read_waiting(self) -> None:
         """Read the messages that came, as the channel does."""
-        for notes in self.waiting:
-            if not self.watch.is_behind():
-                for customer, note in notes.items():  # type: ignore[attr-defined]
-                    self.here.take_note('there', customer, note, self.now)
+        for build_reports in self.waiting:
+            if not self.watch.is_discarding():
+                for customer, note in build_reports.items():  # type: ignore[attr-defined]
+                    self.here.apply_report('there', customer, note, self.now)
         self.waiting.clear()
 
 
@@ -64,15 +64,15 @@
     def test_a_busy_loop_drops_nothing(self) -> None:
         scene = Frozen()
         scene.now = 0.8
-        assert not scene.watch.is_behind()
+        assert not scene.watch.is_discarding()
 
     def test_messages_are_taken_again_soon_after(self) -> None:
         scene = Frozen()
         scene.now = 5.0
-        assert scene.watch.is_behind()
+        assert scene.watch.is_discarding()
         scene.watch.tick()
         scene.now = 5.0 + DROP_SECONDS
-        assert not scene.watch.is_behind()
+        assert not scene.watch.is_discarding()
 
 
 class TestChannel:
@@ -80,17 +80,17 @@
         # The first message that is read after a freeze comes before the loop's turn.
         seconds = [0.0]
         taken: list[object] = []
-        book = PeerBook('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
+        book = PeerRegistry('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
         channel = PeerChannel(
             book,
-            Hubs(book, ManualClock()),
-            NewsHandlers(
+            HubTracker(book, ManualClock()),
+            PeerHandlers(
                 None,  # type: ignore[arg-type]
                 taken.append,
                 lambda data: bool(taken.append(data)),
                 lambda: None,
             ),
-            StallWatch(lambda: seconds[0], list),
+            StallDetector(lambda: seconds[0], list),
             random.Random(1),  # noqa: S311
             ControlTraffic(),
         )
--- a/libs/serving/tests/test_state.py
+++ b/libs/serving/tests/test_state.py
@@ -5,10 +5,10 @@
 import pytest
 
 from fireflyhitch_model.ids import CustomerId, DeploymentId
-from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
-from fireflyhitch_serving.events import EventCutter, EventOrderError
+from fireflyhitch_serving.events import EventOrderError, EventSplitter
 from fireflyhitch_serving.health import EXCESS, Ending, ServerHealth
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.retry_budget import RetryBounds, RetryBudget
+from fireflyhitch_serving.usage import UsageTracker
 
 SERVICE = DeploymentId('bookings')
 BAKERY = CustomerId('bakery')
@@ -19,15 +19,15 @@
     def test_the_sum_over_all_daemons_holds_in_an_outage(self, daemons: int) -> None:
         # Every request fails and would be repeated. The daemons do not talk, and each
         # gets a random part of the traffic.
-        draw = random.Random(5)  # noqa: S311
-        bounds = RepeatBounds(ratio=0.2, slack=54, window=10)
-        budgets = [RepeatBudget(bounds) for _ in range(daemons)]
+        rng = random.Random(5)  # noqa: S311
+        bounds = RetryBounds(ratio=0.2, slack=54, window=10)
+        budgets = [RetryBudget(bounds) for _ in range(daemons)]
         repeats: list[float] = []
         requests = 0
         now = 0.0
         while now < 10:
             now += 0.01
-            budget = draw.choice(budgets)
+            budget = rng.choice(budgets)
             budget.daemons = daemons
             budget.record_request(SERVICE, now)
             requests += 1
@@ -36,7 +36,7 @@
         assert len(repeats) <= bounds.ratio * requests + bounds.slack
 
     def test_old_repeats_are_forgotten(self) -> None:
-        budget = RepeatBudget(RepeatBounds(ratio=0, slack=4, window=10))
+        budget = RetryBudget(RetryBounds(ratio=0, slack=4, window=10))
         taken = [budget.take(SERVICE, 0) for _ in range(5)]
         assert not taken[-1]
         assert budget.take(SERVICE, 11)
@@ -44,17 +44,17 @@
 
 class TestUsage:
     def test_news_that_come_twice_or_late_count_once(self) -> None:
-        book = UsageBook('here', 5)
+        book = UsageTracker('here', 5)
         book.count(BAKERY, 12)
-        book.take_in('there', {2: {BAKERY: 5}})
-        book.take_in('there', {2: {BAKERY: 3}})
-        book.take_in('there', {2: {BAKERY: 5}})
+        book.merge_counts('there', {2: {BAKERY: 5}})
+        book.merge_counts('there', {2: {BAKERY: 3}})
+        book.merge_counts('there', {2: {BAKERY: 5}})
         assert book.sum_window(2) == {BAKERY: 6}
 
     def test_a_process_that_starts_again_adds_to_what_it_told_before(self) -> None:
-        book = UsageBook('here', 5)
-        book.take_in('d2/1', {2: {BAKERY: 5}})
-        book.take_in('d2/2', {2: {BAKERY: 1}})
+        book = UsageTracker('here', 5)
+        book.merge_counts('d2/1', {2: {BAKERY: 5}})
+        book.merge_counts('d2/2', {2: {BAKERY: 1}})
         assert book.sum_window(2) == {BAKERY: 6}
 
 
@@ -69,11 +69,11 @@
     def test_failures_that_all_servers_have_eject_none(self) -> None:
         # A service fails 14 requests in 100 by itself. Ejecting for that would leave
         # out one good server after the other.
-        draw = random.Random(6)  # noqa: S311
+        rng = random.Random(6)  # noqa: S311
         health = ServerHealth()
         ejected = 0
         for now in range(2000):
-            failed = draw.random() < 0.14
+            failed = rng.random() < 0.14
             ending = Ending.FAILED if failed else Ending.GOOD
             ejected += health.record(ending, 0.14, float(now))
         assert ejected <= 5
@@ -93,17 +93,17 @@
     def test_events_cut_anywhere_come_out_whole(self) -> None:
         data = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(1, 30))
         for size in (1, 2, 7, 100):
-            cutter = EventCutter()
+            cutter = EventSplitter()
             out = [
-                cutter.cut(data[start : start + size])
+                cutter.feed(data[start : start + size])
                 for start in range(0, len(data), size)
             ]
             assert b''.join(out) == data
             assert all(not part or part.endswith(b'\n\n') for part in out)
-            assert not cutter.torn
+            assert not cutter.has_partial_event
 
     def test_a_missing_event_is_an_error_and_a_repeated_one_is_left_out(self) -> None:
-        cutter = EventCutter(last_id=4)
-        assert cutter.cut(b'id: 4\n\nid: 5\n\n') == b'id: 5\n\n'
+        cutter = EventSplitter(last_id=4)
+        assert cutter.feed(b'id: 4\n\nid: 5\n\n') == b'id: 5\n\n'
         with pytest.raises(EventOrderError):
-            cutter.cut(b'id: 7\n\n')
+            cutter.feed(b'id: 7\n\n')
--- a/libs/serving/tests/test_store_calls.py
+++ b/libs/serving/tests/test_store_calls.py
@@ -5,7 +5,7 @@
 
 import pytest
 from daemons_scene import Daemons
-from virtual_time import play
+from virtual_time import run_virtual
 
 SECONDS = 10
 # Watchers of two failure domains, or of all daemons where these are few.
@@ -25,12 +25,12 @@
         await scene.start_all()
         await asyncio.sleep(3)
         if away:
-            scene.store.silent_to.update(scene.daemons)
+            scene.store.unresponsive_to.update(scene.daemons)
         before = scene.store.calls.copy()
         await asyncio.sleep(SECONDS)
         counted.update(scene.store.calls - before)
 
-    play(script())
+    run_virtual(script())
     return counted
 
 
--- a/libs/serving/tests/test_beliefs.py
+++ b/libs/serving/tests/test_store_view.py
@@ -12,10 +12,10 @@
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.states import Step
 from fireflyhitch_platform.keyvalue import KeyValue, Listing, WatchCompacted
-from fireflyhitch_serving.beliefs import BeliefEvents, PeerWord, StoreView
 from fireflyhitch_serving.changes import Change, ChangeSpan
 from fireflyhitch_serving.progress import ViewProgress
 from fireflyhitch_serving.store_health import RECENT_SECONDS, StoreHealth
+from fireflyhitch_serving.store_view import PeerReports, StoreView, ViewCallbacks
 
 SERVER = 'servers/i-1'
 
@@ -28,7 +28,7 @@
         self.clock = ManualClock()
         health = StoreHealth(self.clock)
         health.others_settled = lambda: others_settled
-        events = BeliefEvents(
+        events = ViewCallbacks(
             lambda key, value, revision: self.changes.append((key, value)),
             lambda: None,
         )
@@ -39,12 +39,12 @@
             events,
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
         )
         self.view.take_change(Change(SERVER, b'{}', Revision(5)), 'watch')
-        health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
+        health.record_failure(PlatformError('cut', step=Step.STORE_WATCH))
         self.clock.advance(timedelta(seconds=10))
-        health.note_answer()
+        health.record_response()
         self.clock.advance(timedelta(seconds=0.7))
 
     def remove(self) -> None:
@@ -117,10 +117,10 @@
             ForgetfulStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
-            BeliefEvents(lambda key, value, revision: None, lambda: None),
+            ViewCallbacks(lambda key, value, revision: None, lambda: None),
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
             relay,  # type: ignore[arg-type]
         )
         with suppress(asyncio.CancelledError):
@@ -142,15 +142,15 @@
             ForgetfulStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
-            BeliefEvents(
+            ViewCallbacks(
                 lambda key, *rest: logger.info('server changed'), lambda: None
             ),
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
         )
         change = Change('servers/i-2', b'{}', Revision(1))
-        view.take_span(ChangeSpan('servers/', [change]), 'peer gent-2/a1')
+        view.apply_span(ChangeSpan('servers/', [change]), 'peer gent-2/a1')
         with suppress(asyncio.CancelledError):
             asyncio.run(view.run())
         logger.remove(number)
@@ -169,12 +169,12 @@
         clock = ManualClock()
         health = StoreHealth(clock)
         assert not health.vouches()
-        health.note_answer()
+        health.record_response()
         assert not health.vouches()
         clock.advance(timedelta(seconds=1))
         assert not health.vouches()
         clock.advance(timedelta(seconds=2))
-        health.note_answer()
+        health.record_response()
         assert health.vouches()
 
     def test_a_daemon_that_asks_the_store_for_nothing_vouches_for_nothing(
@@ -183,9 +183,9 @@
         """Guards against a break that nobody saw, as nobody asked the store."""
         clock = ManualClock()
         health = StoreHealth(clock)
-        health.note_answer()
+        health.record_response()
         clock.advance(timedelta(seconds=3))
-        health.note_answer()
+        health.record_response()
         assert health.vouches()
         clock.advance(timedelta(seconds=RECENT_SECONDS + 0.1))
         assert not health.vouches()
@@ -194,14 +194,14 @@
     def test_a_daemon_that_has_lost_the_store_vouches_for_nothing(self) -> None:
         clock = ManualClock()
         health = StoreHealth(clock)
-        health.note_answer()
+        health.record_response()
         clock.advance(timedelta(seconds=60))
-        health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
+        health.record_failure(PlatformError('cut', step=Step.STORE_WATCH))
         assert not health.vouches()
         clock.advance(timedelta(seconds=4))
-        health.note_answer()
+        health.record_response()
         clock.advance(timedelta(seconds=2))
-        health.note_answer()
+        health.record_response()
         assert not health.vouches()
         clock.advance(timedelta(seconds=1))
         assert health.vouches()
--- a/libs/serving/tests/test_summaries.py
+++ b/libs/serving/tests/test_summaries.py
@@ -11,29 +11,29 @@
     DeploymentId,
     FailureDomainId,
 )
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
 from fireflyhitch_serving.catalog import Customer, Quota
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.hubs import FIRST_SECONDS, TOLD, Hubs
-from fireflyhitch_serving.moves import MoveBook
-from fireflyhitch_serving.parts import FreshParts
-from fireflyhitch_serving.peer_news import Member, PeerNews
-from fireflyhitch_serving.peers import MOST_DIRECT, PeerBook
+from fireflyhitch_serving.dependencies import RecentPromptParts
+from fireflyhitch_serving.hubs import FIRST_SECONDS, TOLD, HubTracker
+from fireflyhitch_serving.moves import MoveTracker
+from fireflyhitch_serving.peer_state import Member, PeerState
+from fireflyhitch_serving.peers import MOST_DIRECT, PeerRegistry
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
-from fireflyhitch_serving.servers import InFlight, ServerBook, ServerEntry
-from fireflyhitch_serving.shared_state import SharedParts, SharedState
+from fireflyhitch_serving.retry_budget import RetryBounds, RetryBudget
+from fireflyhitch_serving.servers import InFlight, ServerEntry, ServerRegistry
+from fireflyhitch_serving.shared_state import SharedComponents, SharedState
 from fireflyhitch_serving.store_health import StoreHealth
 from fireflyhitch_serving.summaries import (
     SUSPECT_SECONDS,
     DomainSummary,
-    SummaryBook,
+    SummaryTable,
     read_summaries,
     render_summaries,
 )
-from fireflyhitch_serving.summary_relay import RelayedBooks, SummaryRelay
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.summary_relay import RelayedTrackers, SummaryRelay
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.versions import VersionShares
 
 BAKERY = CustomerId('bakery')
@@ -76,11 +76,11 @@
 
     def __post_init__(self) -> None:
         """Make the books; it has one request in flight at the server."""
-        self.peers = PeerBook(self.name, self.domain, self.clock, float)
+        self.peers = PeerRegistry(self.name, self.domain, self.clock, float)
         self.quotas = Quotas(QuotaSlack(), find_quota=find_quota)
-        self.book = SummaryBook(self.clock, self.quotas.forget_process)
-        self.hubs = Hubs(self.peers, self.clock)
-        self.servers = ServerBook()
+        self.book = SummaryTable(self.clock, self.quotas.forget_process)
+        self.hubs = HubTracker(self.peers, self.clock)
+        self.servers = ServerRegistry()
         self.servers.put(
             ServerEntry(
                 SERVER,
@@ -95,51 +95,51 @@
         record = self.servers.all()[SERVER]
         record.requests = 1
         record.prompt_tokens = 50
-        self.crashes = CrashBook()
+        self.crashes = CrashTracker()
         self.limits = ServerLimits(self.name, self.peers.list_all, self.peers.wall)
         self.shared = SharedState(self.name, f'{self.name}/1', self._make_parts())
         self.relay = SummaryRelay(
             self.peers,
             self.hubs,
             self.book,
-            RelayedBooks(self.quotas, self.crashes, self.limits),
+            RelayedTrackers(self.quotas, self.crashes, self.limits),
             self.clock.monotonic,
-            self.note_sent,
+            self.record_sent,
             random.Random(1),  # noqa: S311
         )
 
-    def _make_parts(self) -> SharedParts:
-        return SharedParts(
+    def _make_parts(self) -> SharedComponents:
+        return SharedComponents(
             clock=self.clock,
             peers=self.peers,
             hubs=self.hubs,
             summaries=self.book,
             servers=self.servers,
             quotas=self.quotas,
-            usage=UsageBook(f'{self.name}/1', 5),
-            budget=RepeatBudget(RepeatBounds()),
-            moves=MoveBook(VersionShares(), 0.1),
+            usage=UsageTracker(f'{self.name}/1', 5),
+            budget=RetryBudget(RetryBounds()),
+            moves=MoveTracker(VersionShares(), 0.1),
             crashes=self.crashes,
             limits=self.limits,
-            fresh_parts=FreshParts(),
+            fresh_parts=RecentPromptParts(),
             health=StoreHealth(self.clock),
             stopping=bool,
             newest=dict,
         )
 
-    def note_sent(self, data: bytes, names: list[str]) -> None:
+    def record_sent(self, data: bytes, names: list[str]) -> None:
         """Keep what it sends until it is delivered."""
         self.sent.append((data, names))
 
-    def make_news(self) -> PeerNews:
+    def build_peer_state(self) -> PeerState:
         """Return its state."""
-        self.peers.own_news = self.shared.make_news()
+        self.peers.own_news = self.shared.build_peer_state()
         return self.peers.own_news
 
-    def take_news(self, news: PeerNews) -> None:
+    def apply_peer_state(self, news: PeerState) -> None:
         """Take in a neighbour's state."""
         if self.peers.take(news):
-            self.shared.take_news(news)
+            self.shared.apply_peer_state(news)
 
     def count_work(self) -> InFlight:
         """Return what it knows of all daemons' work at the server."""
@@ -167,10 +167,10 @@
         """Have all tell the hubs, and the hubs tell each other and all, once."""
         living = [d for name, d in self.daemons.items() if name not in without]
         for daemon in living:
-            news = daemon.make_news()
+            news = daemon.build_peer_state()
             for told in daemon.hubs.find_told():
                 if told not in without:
-                    self.daemons[told].take_news(news)
+                    self.daemons[told].apply_peer_state(news)
         for _ in range(2):
             # What comes from another hub is passed on with the next turn.
             for hub in living:
@@ -186,7 +186,7 @@
             for data, names in sent:
                 for name in names:
                     if name not in without:
-                        self.daemons[name].shared.take_summaries(data)
+                        self.daemons[name].shared.apply_summaries(data)
 
 
 class TestSums:
@@ -232,7 +232,9 @@
             for _ in range(2):
                 fleet.turn()
         for daemon in fleet.daemons.values():
-            note = daemon.quotas.domain_notes(daemon.clock.monotonic()).get(BAKERY)
+            note = daemon.quotas.build_domain_reports(daemon.clock.monotonic()).get(
+                BAKERY
+            )
             left = note.left if note else 0
             # 1,200 of 2,000 units were taken, and 0.6 s have filled it by 600.
             assert left <= 2000 - 1200 + 600
@@ -264,17 +266,17 @@
         # No summary comes any more, and none of the own relay either: it has ended.
         # Taking all other domains for cut off would load the own servers alone.
         clock = ManualClock()
-        book = SummaryBook(clock, lambda source: None)
+        book = SummaryTable(clock, lambda source: None)
         for domain in ('b', 'c'):
             book.take(make_summary(domain, f'{domain}0', 1))
         book.note_relayed()
         clock.advance(timedelta(seconds=SUSPECT_SECONDS + 0.5))
-        assert not book.find_silent_domains()
+        assert not book.find_unresponsive_domains()
         book.note_relayed()
-        assert book.find_silent_domains() == {'b', 'c'}
+        assert book.find_unresponsive_domains() == {'b', 'c'}
 
     def test_an_old_or_repeated_summary_changes_nothing(self) -> None:
-        book = SummaryBook(ManualClock(), lambda source: None)
+        book = SummaryTable(ManualClock(), lambda source: None)
         assert book.take(make_summary('b', 'b0', 5))
         assert not book.take(make_summary('b', 'b0', 5))
         assert not book.take(make_summary('b', 'b0', 4))
--- a/libs/serving/tests/test_traffic.py
+++ b/libs/serving/tests/test_traffic.py
@@ -13,8 +13,8 @@
         sink = logger.add(lambda line: told.append(line.record['extra']))
         traffic = ControlTraffic()
         for _ in range(2):
-            traffic.note_call('renewal')
-        traffic.note_sent(100)
+            traffic.count_call('renewal')
+        traffic.record_sent(100)
         traffic.note_received(40)
         traffic.report()
         traffic.report()
--- a/libs/serving/tests/test_reports.py
+++ b/libs/serving/tests/test_usage_reports.py
@@ -9,12 +9,12 @@
 from fireflyhitch_platform.keyvalue import KeyValue, Listing, Written
 from fireflyhitch_serving.duty_calls import CallResult
 from fireflyhitch_serving.leases import Leadership
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.usage_reports import (
     SAVED_KEY,
     SAVED_PREFIX,
     UsageReporter,
-    UsageTerms,
+    UsageSchedule,
 )
 
 BAKERY = CustomerId('bakery')
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.reported: dict[int, dict[CustomerId, int]] = {}
 
-    def lead(self) -> Leadership:
+    def current_leadership(self) -> Leadership:
         """Lead."""
         return Leadership(FencingNumber(7), 3)
 
@@ -48,7 +48,7 @@
 
 def make_reporter(
     alone: LeaderAlone,
-    book: UsageBook,
+    book: UsageTracker,
     wall: Callable[[], float],
     turn_seconds: float = 0.1,
 ) -> UsageReporter:
@@ -61,7 +61,7 @@
         wall,
         lambda: True,
         lambda: turn_seconds,
-        UsageTerms(5, 10),
+        UsageSchedule(5, 10),
     )
 
 
@@ -71,17 +71,17 @@
         # come 2.5 s after the window's end; a report before that would lack them.
         monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
         alone = LeaderAlone()
-        book = UsageBook('here', 5)
+        book = UsageTracker('here', 5)
         clock = [10.0]
         reporter = make_reporter(alone, book, lambda: clock[0], 1.9)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
-            book.take_in('far', {1: {BAKERY: 30}})
+            book.merge_counts('far', {1: {BAKERY: 30}})
             for now, told in ((11.9, 34), (12.5, 40), (15.5, 40)):
                 clock[0] = now
                 await asyncio.sleep(0.01)
-                book.take_in('far', {1: {BAKERY: told}})
+                book.merge_counts('far', {1: {BAKERY: told}})
             running.cancel()
 
         asyncio.run(script())
@@ -113,7 +113,7 @@
         # counted, and the first report of a window is the only one that counts.
         monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
         alone = UnreadableOnce()
-        reporter = make_reporter(alone, UsageBook('here', 5), lambda: 13.0)
+        reporter = make_reporter(alone, UsageTracker('here', 5), lambda: 13.0)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
@@ -131,7 +131,7 @@
 class NoLeader(LeaderAlone):
     """A daemon that does not lead."""
 
-    def lead(self) -> None:  # type: ignore[override]
+    def current_leadership(self) -> None:  # type: ignore[override]
         """Do not lead."""
 
 
@@ -143,7 +143,7 @@
         # that ever told counts, until the process ended.
         monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
         alone = NoLeader()
-        book = UsageBook('here', 5)
+        book = UsageTracker('here', 5)
         clock = [10.0]
         reporter = make_reporter(alone, book, lambda: clock[0])
 
@@ -152,7 +152,7 @@
             for number in range(20):
                 clock[0] = 10.0 + 5 * number
                 window = book.find_window(clock[0])
-                book.take_in(f'process-{number}', {window: {BAKERY: 1}})
+                book.merge_counts(f'process-{number}', {window: {BAKERY: 1}})
                 await asyncio.sleep(0.005)
             running.cancel()
 
--- a/libs/serving/tests/test_workloads.py
+++ b/libs/serving/tests/test_workloads.py
@@ -3,7 +3,7 @@
 import random
 
 from fireflyhitch_model.ids import DeploymentId
-from fireflyhitch_serving.workloads import ReadingPace, Workloads
+from fireflyhitch_serving.workloads import PrefillModel, Workloads
 
 SERVICE = DeploymentId('assistant')
 OTHER = DeploymentId('drafts')
@@ -20,14 +20,16 @@
     answers: int = 400,
 ) -> None:
     """Let engines answer requests of all sizes, as fast as they read."""
-    draw = random.Random(5)  # noqa: S311
+    rng = random.Random(5)  # noqa: S311
     for _ in range(answers):
-        units = draw.randrange(500, 40_000)
+        units = rng.randrange(500, 40_000)
         tokens = int(units * read_part)
-        workloads.note_units(units)
-        workloads.note_read(SERVICE, tokens)
+        workloads.record_units(units)
+        workloads.record_prompt_tokens(SERVICE, tokens)
         seconds = FIRST_SECONDS + tokens * seconds_per_token
-        workloads.pace_of(SERVICE).note(tokens, seconds * draw.uniform(0.9, 1.1))
+        workloads.prefill_model(SERVICE).add_sample(
+            tokens, seconds * rng.uniform(0.9, 1.1)
+        )
 
 
 class TestPace:
@@ -35,26 +37,26 @@
         for seconds_per_token in (FAST, SLOW):
             workloads = Workloads()
             answer(workloads, seconds_per_token, read_part=1)
-            learned = workloads.pace_of(SERVICE).seconds_per_token
+            learned = workloads.prefill_model(SERVICE).seconds_per_token
             assert abs(learned / seconds_per_token - 1) < 0.15
 
     def test_answers_that_a_fault_held_up_count_little(self) -> None:
         workloads = Workloads()
         answer(workloads, FAST, read_part=1)
         for _ in range(4):
-            workloads.pace_of(SERVICE).note(20_000, 8)
-        assert workloads.pace_of(SERVICE).seconds_per_token < 1.3 * FAST
+            workloads.prefill_model(SERVICE).add_sample(20_000, 8)
+        assert workloads.prefill_model(SERVICE).seconds_per_token < 1.3 * FAST
 
     def test_engines_that_turn_slow_are_known_as_slow(self) -> None:
         workloads = Workloads()
         answer(workloads, FAST, read_part=1)
         answer(workloads, SLOW, read_part=1, answers=1500)
-        assert workloads.pace_of(SERVICE).seconds_per_token > 0.8 * SLOW
+        assert workloads.prefill_model(SERVICE).seconds_per_token > 0.8 * SLOW
 
     def test_equal_prompts_leave_it_within_bounds(self) -> None:
-        pace = ReadingPace()
+        pace = PrefillModel()
         for _ in range(1000):
-            pace.note(1000, 0.1)
+            pace.add_sample(1000, 0.1)
         assert 0 < pace.seconds_per_token < 1 / 5_000
 
 
@@ -80,7 +82,7 @@
         workloads = Workloads()
         answer(workloads, FAST, read_part=1)
         for _ in range(400):
-            workloads.note_units(10_000)
-            workloads.note_read(OTHER, 10_000)
+            workloads.record_units(10_000)
+            workloads.record_prompt_tokens(OTHER, 10_000)
         first = workloads.find_busy_seconds(SERVICE, 100_000)
         assert workloads.find_busy_seconds(OTHER, 100_000) > first
--- a/libs/serving/tests/virtual_store.py
+++ b/libs/serving/tests/virtual_store.py
@@ -27,14 +27,14 @@
 class VirtualStore:
     """Keys, their history, and whom the store answers.
 
-    :param silent_to: daemons whose calls get no answer.
-    :param deaf: daemons whose waiting watches never get their answer.
+    :param unresponsive_to: daemons whose calls get no answer.
+    :param stalled_watchers: daemons whose waiting watches never get their answer.
     :param stale_seconds: how old reads are that may be old.
     :param calls: by daemon, those without an answer included.
     """
 
-    silent_to: set[str] = field(default_factory=set)
-    deaf: set[str] = field(default_factory=set)
+    unresponsive_to: set[str] = field(default_factory=set)
+    stalled_watchers: set[str] = field(default_factory=set)
     stale_seconds: float = 0.5
     history: list[tuple[float, WatchEvent]] = field(default_factory=list)
     leases: int = 0
@@ -104,10 +104,10 @@
         await self._reach()
         ends = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends:
-            if self._daemon in self._store.silent_to:
+            if self._daemon in self._store.unresponsive_to:
                 await self._reach()
             events = self._store.find_events(prefix, after)
-            if events and self._daemon not in self._store.deaf:
+            if events and self._daemon not in self._store.stalled_watchers:
                 return WatchResult(events, self._store.revision)
             left = ends - asyncio.get_running_loop().time()
             try:
@@ -152,7 +152,7 @@
     async def _reach(self) -> None:
         self._store.calls[self._daemon] += 1
         await asyncio.sleep(ANSWER_SECONDS)
-        if self._daemon not in self._store.silent_to:
+        if self._daemon not in self._store.unresponsive_to:
             return
         await asyncio.sleep(CALL_SECONDS)
         raise PlatformError('no answer', step=Step.STORE_READ, outcome=Outcome.UNKNOWN)
--- a/libs/serving/tests/virtual_time.py
+++ b/libs/serving/tests/virtual_time.py
@@ -51,7 +51,7 @@
         raise NotImplementedError
 
 
-def play(script: Coroutine[Any, Any, None]) -> None:
+def run_virtual(script: Coroutine[Any, Any, None]) -> None:
     """Run a script to its end in virtual time, and end what it started."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(script)
--- a/tests/users_platform/site_of_daemons.py
+++ b/tests/users_platform/site_of_daemons.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from scene import Received, exchange
+from scene import ReceivedResponse, exchange
 
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_standins.scripted_server import ScriptedServer, SeenRequest
@@ -138,7 +138,7 @@
 
     async def ask(
         self, daemon: str, path: str = '/read/1', method: str = 'GET', **more: Any
-    ) -> Received:
+    ) -> ReceivedResponse:
         """Send a request to a daemon, once it listens."""
         request = render_call(
             path,
--- a/tests/users_platform/test_crashing_requests.py
+++ b/tests/users_platform/test_crashing_requests.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from scene import Received
+from scene import ReceivedResponse
 from site_of_daemons import Site, answer_signed, make_configuration, play
 
 from fireflyhitch_standins.scripted_server import ScriptedServer, SeenRequest
@@ -65,7 +65,7 @@
         self.site = site
         self.servers = CrashingServers(site)
         self.daemons = DAEMONS
-        self.harmless: list[Received] = []
+        self.harmless: list[ReceivedResponse] = []
 
     async def start(self) -> None:
         """Start six servers and all daemons."""
@@ -88,7 +88,7 @@
         self.daemons = SUCCESSORS
         await self.start_daemons()
 
-    async def ask_crashing(self, times: int) -> list[Received]:
+    async def ask_crashing(self, times: int) -> list[ReceivedResponse]:
         """Have a caller try at each daemon in turn; servers that end start again."""
         got = []
         for turn in range(times):
--- a/tests/users_platform/test_moves.py
+++ b/tests/users_platform/test_moves.py
@@ -1,20 +1,20 @@
 """Tests of a move's evidence and shares at one daemon."""
 
 from fireflyhitch_model.ids import DeploymentId, Revision
-from fireflyhitch_rollout.brief import MoveEnd
-from fireflyhitch_serving.moves import MoveBook, MoveOrder
+from fireflyhitch_rollout.short_moves import MoveEnd
+from fireflyhitch_serving.moves import MoveOrder, MoveTracker
 from fireflyhitch_serving.versions import VersionShares
 
 PLANNING = DeploymentId('planning')
 ORDER = MoveOrder(PLANNING, 'v2', 60, Revision(9))
 
 
-def make_running() -> tuple[MoveBook, VersionShares]:
+def make_running() -> tuple[MoveTracker, VersionShares]:
     """Return a book with a move that has begun beside a good old version."""
     shares = VersionShares()
-    book = MoveBook(shares, 0.1)
-    book.take_order(ORDER)
-    book.take_record(
+    book = MoveTracker(shares, 0.1)
+    book.apply_order(ORDER)
+    book.apply_record(
         PLANNING, b'{"order": 9, "began": 99.0, "end": null}', Revision(10)
     )
     for _ in range(40):
@@ -38,7 +38,7 @@
 
     def test_what_peers_saw_counts_as_well(self) -> None:
         book, shares = make_running()
-        book.take_evidence('peer', {'planning|9|v2|r': [5, 5, 0]})
+        book.update_peer_evidence('peer', {'planning|9|v2|r': [5, 5, 0]})
         book.apply(PLANNING)
         move = shares.find(PLANNING)
         assert move is not None
@@ -46,7 +46,7 @@
 
     def test_evidence_of_an_earlier_order_does_not_count(self) -> None:
         book, shares = make_running()
-        book.take_evidence('peer', {'planning|3|v2|r': [5, 5, 0]})
+        book.update_peer_evidence('peer', {'planning|3|v2|r': [5, 5, 0]})
         book.apply(PLANNING)
         move = shares.find(PLANNING)
         assert move is not None
@@ -56,17 +56,17 @@
 class TestShares:
     def test_nothing_is_given_before_the_move_is_recorded(self) -> None:
         shares = VersionShares()
-        book = MoveBook(shares, 0.1)
-        book.take_order(ORDER)
+        book = MoveTracker(shares, 0.1)
+        book.apply_order(ORDER)
         move = shares.find(PLANNING)
         assert move is not None
         assert move.share == 0
 
     def test_a_completed_move_gives_all_and_one_taken_back_nothing(self) -> None:
-        for end, share in ((MoveEnd.COMPLETED, 1), (MoveEnd.TAKEN_BACK, 0)):
+        for end, share in ((MoveEnd.COMPLETED, 1), (MoveEnd.ROLLED_BACK, 0)):
             book, shares = make_running()
             record = f'{{"order": 9, "began": 99.0, "end": "{end.value}"}}'
-            book.take_record(PLANNING, record.encode(), Revision(11))
+            book.apply_record(PLANNING, record.encode(), Revision(11))
             move = shares.find(PLANNING)
             assert move is not None
             assert move.share == share
@@ -79,7 +79,7 @@
         book, _ = make_running()
         book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
         assert book.evidence()
-        book.take_record(
+        book.apply_record(
             PLANNING, b'{"order": 9, "began": 99.0, "end": "completed"}', Revision(11)
         )
         book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
@@ -87,7 +87,7 @@
 
     def test_a_later_order_counts_anew(self) -> None:
         book, _ = make_running()
-        book.take_order(MoveOrder(PLANNING, 'v3', 60, Revision(20)))
+        book.apply_order(MoveOrder(PLANNING, 'v3', 60, Revision(20)))
         book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
         assert list(book.evidence()) == ['planning|20|v2|r']
 
@@ -95,9 +95,9 @@
         # Every process of a peer tells its counts, mostly none. Each was remembered
         # for as long as this one lives, and added up with each untried answer.
         book, _ = make_running()
-        book.take_evidence('early', {'planning|9|v2|r': [1, 0, 0]})
+        book.update_peer_evidence('early', {'planning|9|v2|r': [1, 0, 0]})
         for number in range(500):
-            book.take_evidence(f'd{number}', {})
-        assert book.count_tellers() == 1
-        book.take_evidence('early', {})
-        assert not book.count_tellers()
+            book.update_peer_evidence(f'd{number}', {})
+        assert book.count_reporters() == 1
+        book.update_peer_evidence('early', {})
+        assert not book.count_reporters()
--- a/tests/users_platform/test_program.py
+++ b/tests/users_platform/test_program.py
@@ -4,7 +4,7 @@
 import os
 import signal
 
-from scene import Received
+from scene import ReceivedResponse
 from site_of_daemons import (
     KEY,
     Site,
@@ -124,7 +124,7 @@
 
 
 class TestStopping:
-    async def _start_asking(self, site: Site, script) -> asyncio.Task[Received]:
+    async def _start_asking(self, site: Site, script) -> asyncio.Task[ReceivedResponse]:
         site.store.put('op/config', make_configuration())
         await site.add_server('i-1', script)
         site.start('d1')
--- a/tests/users_platform/test_server_limits.py
+++ b/tests/users_platform/test_server_limits.py
@@ -5,7 +5,7 @@
 from itertools import count
 from pathlib import Path
 
-from scene import Received
+from scene import ReceivedResponse
 from site_of_daemons import Site, answer_signed, make_configuration, play
 
 from fireflyhitch_standins.arrivals import count_most
@@ -49,7 +49,7 @@
     def __init__(self, site: Site, *limits: float) -> None:
         self.site = site
         self.servers = [LimitedServer(limit) for limit in limits]
-        self.answers: list[Received] = []
+        self.answers: list[ReceivedResponse] = []
         self._numbers = count()
 
     async def start(self) -> None:
