--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -31,7 +31,7 @@
 MAX_REPORTS = 32
 
 
-class ServerEnd(NamedTuple):
+class ServerCrash(NamedTuple):
     """A server process that crashed while a request ran there.
 
     :param at: monotonic seconds of the crash.
@@ -42,20 +42,20 @@
     began: float
 
 
-class CrashNote(NamedTuple):
+class CrashReport(NamedTuple):
     """A daemon's report on one request.
 
-    :param ends: rows of server process, seconds since its crash, and seconds that the
+    :param crashes: rows of server process, seconds since its crash, and seconds that the
         request had run there.
     :param completed_age: seconds since the request last completed; ``None`` if it has
         not lately.
     """
 
-    ends: list[tuple[ProcessId, float, float]]
+    crashes: list[tuple[ProcessId, float, float]]
     completed_age: float | None = None
 
 
-CrashNotes = Mapping[ContentId, CrashNote]
+CrashReports = Mapping[ContentId, CrashReport]
 
 
 @dataclass(slots=True)
@@ -65,37 +65,39 @@
     :param completed_at: monotonic seconds at which the request last completed.
     """
 
-    ends: dict[ProcessId, ServerEnd] = field(default_factory=dict)
+    crashes: dict[ProcessId, ServerCrash] = field(default_factory=dict)
     completed_at: float = float('-inf')
     broadcast: BroadcastWindow = field(default_factory=BroadcastWindow)
 
-    def find_attributable_crashes(self) -> dict[ProcessId, ServerEnd]:
+    def find_attributable_crashes(self) -> dict[ProcessId, ServerCrash]:
         """Return the crashes that no complete response exonerates the request from."""
         since = self.completed_at + EXONERATION_SECONDS
         return {
-            process: crash for process, crash in self.ends.items() if crash.at > since
+            process: crash
+            for process, crash in self.crashes.items()
+            if crash.at > since
         }
 
-    def make_report(self, now: float) -> CrashNote:
+    def make_report(self, now: float) -> CrashReport:
         """Return the report for other daemons."""
         completed_age = now - self.completed_at
-        return CrashNote(
+        return CrashReport(
             [
                 (process, round(now - crash.at, 2), round(crash.at - crash.began, 2))
-                for process, crash in self.ends.items()
+                for process, crash in self.crashes.items()
             ],
             round(completed_age, 2) if completed_age < EXONERATION_SECONDS else None,
         )
 
-    def add_crash(self, process: ProcessId, crash: ServerEnd) -> bool:
+    def add_crash(self, process: ProcessId, crash: ServerCrash) -> bool:
         """Add a crash; return whether it is new."""
-        if process in self.ends:
+        if process in self.crashes:
             return False
-        self.ends[process] = crash
-        if len(self.ends) > MAX_CRASHES:
-            oldest = min(self.ends, key=lambda one: self.ends[one])
-            del self.ends[oldest]
-        return process in self.ends
+        self.crashes[process] = crash
+        if len(self.crashes) > MAX_CRASHES:
+            oldest = min(self.crashes, key=lambda one: self.crashes[one])
+            del self.crashes[oldest]
+        return process in self.crashes
 
     def add_response(self, at: float) -> bool:
         """Add a complete response; return whether it should be reported."""
@@ -103,10 +105,10 @@
         self.completed_at = max(self.completed_at, at)
         return is_new
 
-    def has_more_than(self, report: CrashNote, now: float) -> bool:
+    def has_more_than(self, report: CrashReport, now: float) -> bool:
         """Return whether this record has something that a report lacks."""
-        reported = {process for process, _, _ in report.ends}
-        if self.ends.keys() - reported:
+        reported = {process for process, _, _ in report.crashes}
+        if self.crashes.keys() - reported:
             return True
         completed_age = (
             float('inf') if report.completed_age is None else report.completed_age
@@ -117,7 +119,7 @@
         )
 
 
-class CrashBook:
+class CrashTracker:
     """Crash records of this daemon, merged with those received from others."""
 
     def __init__(self) -> None:
@@ -142,8 +144,8 @@
         suspects.sort(key=lambda row: (-row[1], row[0]))
         return [content for content, _ in suspects]
 
-    def note_end(
-        self, content: ContentId, process: ProcessId, crash: ServerEnd, now: float
+    def record_crash(
+        self, content: ContentId, process: ProcessId, crash: ServerCrash, now: float
     ) -> None:
         """Record that a server crashed while a request of this daemon ran there.
 
@@ -154,7 +156,7 @@
             suspect.broadcast.mark_local(now)
             self._mark_changed(content, suspect, now)
 
-    def note_answer(self, content: ContentId, now: float) -> None:
+    def record_response(self, content: ContentId, now: float) -> None:
         """Record that a request of this daemon completed."""
         self._completed_at[content] = now
         suspect = self._suspects.get(content)
@@ -162,12 +164,12 @@
             suspect.broadcast.mark_local(now)
             self._mark_changed(content, suspect, now)
 
-    def take(self, reports: CrashNotes, now: float) -> None:
+    def take(self, reports: CrashReports, now: float) -> None:
         """Merge the reports of another daemon."""
         for content, report in reports.items():
             self._merge_report(content, report, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashNote]:
+    def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashReport]:
         """Return reports on recent changes, requests with the most crashes first.
 
         :param heard: whether to include changes received from other daemons, for
@@ -184,19 +186,21 @@
             if self._suspects[content].broadcast.is_due(now, include_received=heard)
         ]
         due.sort(
-            key=lambda row: (-len(row[1].ends), -row[1].broadcast.changed_at, row[0])
+            key=lambda row: (-len(row[1].crashes), -row[1].broadcast.changed_at, row[0])
         )
         return {
             content: suspect.make_report(now) for content, suspect in due[:MAX_REPORTS]
         }
 
-    def _merge_report(self, content: ContentId, report: CrashNote, now: float) -> None:
+    def _merge_report(
+        self, content: ContentId, report: CrashReport, now: float
+    ) -> None:
         suspect = self._find_or_add(content)
-        ends = [
-            (process, ServerEnd(now - age, now - age - ran))
-            for process, age, ran in report.ends
+        crashes = [
+            (process, ServerCrash(now - age, now - age - ran))
+            for process, age, ran in report.crashes
         ]
-        changes = [suspect.add_crash(process, crash) for process, crash in ends]
+        changes = [suspect.add_crash(process, crash) for process, crash in crashes]
         if report.completed_age is not None:
             changes.append(suspect.add_response(now - report.completed_age))
         if suspect.has_more_than(report, now) and suspect.broadcast.local_until < now:
@@ -224,11 +228,11 @@
     def _mark_changed(self, content: ContentId, suspect: Suspect, now: float) -> None:
         suspect.broadcast.changed_at = now
         self._recent.add(content)
-        if len(suspect.ends) > 1:
-            self._crash_counts[content] = len(suspect.ends)
+        if len(suspect.crashes) > 1:
+            self._crash_counts[content] = len(suspect.crashes)
 
 
-def count_rounds(ends: Iterable[ServerEnd]) -> int:
+def count_rounds(crashes: Iterable[ServerCrash]) -> int:
     """Return in how many successive runs of a request servers crashed.
 
     A run that started after the last counted crash begins a new round. Servers that
@@ -236,7 +240,7 @@
     """
     rounds = 0
     last = float('-inf')
-    for crash in sorted(ends):
+    for crash in sorted(crashes):
         if crash.began > last:
             rounds += 1
             last = crash.at
--- a/libs/routing/fireflyhitch_routing/quarantine.py
+++ b/libs/routing/fireflyhitch_routing/quarantine.py
@@ -19,7 +19,12 @@
 from loguru import logger
 
 from fireflyhitch_model.ids import ContentId, ProcessId
-from fireflyhitch_routing.crashes import CrashBook, ServerEnd, Suspect, count_rounds
+from fireflyhitch_routing.crashes import (
+    CrashTracker,
+    ServerCrash,
+    Suspect,
+    count_rounds,
+)
 
 # Crashes after which a request is held.
 CRASHES_TO_HOLD = 3
@@ -47,13 +52,13 @@
 class Quarantine:
     """Holds requests according to the crash records."""
 
-    def __init__(self, tracker: CrashBook) -> None:
+    def __init__(self, tracker: CrashTracker) -> None:
         """Create a quarantine without holds."""
         self._tracker = tracker
         self._held: dict[ContentId, Hold] = {}
         self._suspected_at: dict[ContentId, float] = {}
 
-    def find_wait(self, content: ContentId, now: float) -> float | None:
+    def find_remaining_hold(self, content: ContentId, now: float) -> float | None:
         """Return the seconds until a hold expires; ``None`` without a hold."""
         hold = self._held.get(content)
         if hold is None or hold.until <= now:
@@ -64,7 +69,7 @@
         """Return the current holds by request content."""
         return self._held
 
-    def take_hold(self, content: ContentId, hold: Hold) -> None:
+    def add_hold(self, content: ContentId, hold: Hold) -> None:
         """Add a hold that another daemon decided on."""
         if content not in self._held and len(self._held) < MAX_HELD:
             self._hold(content, hold, 'told')
@@ -101,7 +106,7 @@
         if until > now and len(self._held) < MAX_HELD:
             self._hold(content, Hold(until, frozenset(crashes)), 'seen')
 
-    def _find_unattributed(self, suspect: Suspect) -> dict[ProcessId, ServerEnd]:
+    def _find_unattributed(self, suspect: Suspect) -> dict[ProcessId, ServerCrash]:
         held = (hold.processes for hold in self._held.values())
         attributed = frozenset[ProcessId]().union(*held)
         return {
--- a/libs/routing/fireflyhitch_routing/router.py
+++ b/libs/routing/fireflyhitch_routing/router.py
@@ -84,7 +84,7 @@
                 )
                 record.target = Target.from_deployment(deployment)
 
-    def share_with(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Set how many daemons, this one included, use the same servers.
 
         The others are assumed to act like this one on the same delayed reports.
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -46,7 +46,7 @@
     return rate if math.isfinite(rate) and rate >= 0 else None
 
 
-class LimitNote(NamedTuple):
+class LimitReport(NamedTuple):
     """A daemon's report on the limit of a server process.
 
     :param rate: requests a second; ``None`` if there is no limit any more.
@@ -57,7 +57,7 @@
     age: float
 
 
-LimitNotes = Mapping[ProcessId, LimitNote]
+LimitReports = Mapping[ProcessId, LimitReport]
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
         self._limited: set[ProcessId] = set()
         self._hashes: dict[str, int] = {}
 
-    def note_answer(
+    def record_response(
         self,
         process: ProcessId,
         server: BackendServerId,
@@ -144,7 +144,7 @@
         self._set(process, limit, rate, now, now)
         limit.broadcast.mark_local(now)
 
-    def take(self, reports: LimitNotes, now: float) -> None:
+    def take(self, reports: LimitReports, now: float) -> None:
         """Merge the reports of another daemon; the latest announcement wins."""
         for process, report in reports.items():
             limit = self._limits.get(process)
@@ -154,7 +154,7 @@
             if at > limit.at:
                 self._set(process, limit, report.rate, at, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitNote]:
+    def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitReport]:
         """Return reports on recent announcements, the latest first.
 
         :param heard: whether to include those received from other daemons.
@@ -167,12 +167,12 @@
         ]
         due.sort(key=lambda row: row[1].at, reverse=True)
         return {
-            process: LimitNote(limit.rate, round(now - limit.at, 2))
+            process: LimitReport(limit.rate, round(now - limit.at, 2))
             for process, limit in due[:MAX_REPORTS]
         }
 
     @property
-    def are_named(self) -> bool:
+    def has_limits(self) -> bool:
         """Return whether any server has a limit."""
         return bool(self._limited)
 
@@ -184,13 +184,13 @@
         self._advance_slot(process, limit)
         return limit.count() > 0
 
-    def note_sent(self, process: ProcessId) -> None:
+    def record_sent(self, process: ProcessId) -> None:
         """Use a permit."""
         limit = self._limits.get(process)
         if limit is not None and limit.count() > 0:
             limit.use_permit()
 
-    def find_own_rate(self, process: ProcessId) -> float:
+    def find_local_rate(self, process: ProcessId) -> float:
         """Return the requests a second that this daemon may send to a server."""
         limit = self._limits.get(process)
         if limit is None or limit.rate is None:
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -13,8 +13,8 @@
     MAX_CRASHES,
     MAX_REPORTS,
     MAX_SUSPECTS,
-    CrashBook,
-    ServerEnd,
+    CrashTracker,
+    ServerCrash,
     count_rounds,
 )
 from fireflyhitch_routing.quarantine import HOLD_SECONDS, Hold, Quarantine
@@ -28,7 +28,7 @@
     """Daemons that record crashes and exchange reports."""
 
     def __init__(self, count: int = 1) -> None:
-        self.trackers = [CrashBook() for _ in range(count)]
+        self.trackers = [CrashTracker() for _ in range(count)]
         self.quarantines = [Quarantine(tracker) for tracker in self.trackers]
         self.now = 100.0
         self.crashed = 0
@@ -38,8 +38,8 @@
         self.crashed += 1
         process = ProcessId(self.crashed)
         for content in contents:
-            crash = ServerEnd(self.now, self.now - ran)
-            self.trackers[at].note_end(content, process, crash, self.now)
+            crash = ServerCrash(self.now, self.now - ran)
+            self.trackers[at].record_crash(content, process, crash, self.now)
         self.now += 1
         self.exchange()
 
@@ -55,7 +55,7 @@
 
     def count_holding(self, content: ContentId) -> int:
         """Return how many daemons hold a request."""
-        waits = (one.find_wait(content, self.now) for one in self.quarantines)
+        waits = (one.find_remaining_hold(content, self.now) for one in self.quarantines)
         return sum(wait is not None for wait in waits)
 
 
@@ -110,13 +110,13 @@
         # It runs on each server that another request crashes, and completes elsewhere.
         fleet = Fleet(5)
         for step in range(40):
-            fleet.trackers[step % 5].note_answer(HARMLESS, fleet.now)
+            fleet.trackers[step % 5].record_response(HARMLESS, fleet.now)
             fleet.crash_server((step + 1) % 5, HARMLESS, ContentId(f'other-{step}'))
             assert not fleet.count_holding(HARMLESS)
 
     def test_a_response_before_the_first_crash_exonerates_a_request(self) -> None:
         fleet = Fleet(2)
-        fleet.trackers[1].note_answer(HARMLESS, fleet.now)
+        fleet.trackers[1].record_response(HARMLESS, fleet.now)
         for _ in range(4):
             fleet.crash_server(0, HARMLESS)
         assert not fleet.count_holding(HARMLESS)
@@ -125,7 +125,7 @@
         fleet = Fleet()
         for _ in range(2 * MAX_CRASHES):
             fleet.crash_server(0, CRASHING)
-        fleet.trackers[0].note_answer(CRASHING, fleet.now)
+        fleet.trackers[0].record_response(CRASHING, fleet.now)
         fleet.now += 2 * HOLD_SECONDS
         fleet.exchange()
         assert not fleet.count_holding(CRASHING)
@@ -135,7 +135,7 @@
 
     def test_an_old_response_does_not_exonerate_a_request(self) -> None:
         fleet = Fleet()
-        fleet.trackers[0].note_answer(CRASHING, fleet.now)
+        fleet.trackers[0].record_response(CRASHING, fleet.now)
         fleet.now += EXONERATION_SECONDS + 1
         for _ in range(3):
             fleet.crash_server(0, CRASHING)
@@ -145,8 +145,10 @@
         # A failure domain loses power while a request runs on five of its servers.
         fleet = Fleet()
         for number in range(5):
-            crash = ServerEnd(fleet.now, fleet.now - 0.3)
-            fleet.trackers[0].note_end(HARMLESS, ProcessId(number), crash, fleet.now)
+            crash = ServerCrash(fleet.now, fleet.now - 0.3)
+            fleet.trackers[0].record_crash(
+                HARMLESS, ProcessId(number), crash, fleet.now
+            )
         fleet.exchange()
         assert not fleet.count_holding(HARMLESS)
 
@@ -154,20 +156,20 @@
         fleet = Fleet()
         for _ in range(2):
             fleet.crash_server(0, CRASHING)
-        crash = ServerEnd(fleet.now, fleet.now - 0.1)
-        fleet.trackers[0].note_end(CRASHING, ProcessId(9), crash, fleet.now)
+        crash = ServerCrash(fleet.now, fleet.now - 0.1)
+        fleet.trackers[0].record_crash(CRASHING, ProcessId(9), crash, fleet.now)
         quarantine = fleet.quarantines[0]
         quarantine.review(fleet.now, SETTLED)
-        assert quarantine.find_wait(CRASHING, fleet.now) is None
+        assert quarantine.find_remaining_hold(CRASHING, fleet.now) is None
         quarantine.review(fleet.now + SETTLED, SETTLED)
-        assert quarantine.find_wait(CRASHING, fleet.now) is not None
+        assert quarantine.find_remaining_hold(CRASHING, fleet.now) is not None
 
     def test_a_late_response_releases_a_hold(self) -> None:
         fleet = Fleet(2)
         for _ in range(3):
             fleet.crash_server(0, HARMLESS)
         assert fleet.count_holding(HARMLESS) == 2
-        fleet.trackers[1].note_answer(HARMLESS, fleet.now)
+        fleet.trackers[1].record_response(HARMLESS, fleet.now)
         fleet.exchange()
         assert not fleet.count_holding(HARMLESS)
 
@@ -183,8 +185,8 @@
     def test_a_hold_from_the_store_takes_effect_at_once(self) -> None:
         fleet = Fleet()
         hold = Hold(fleet.now + 10, frozenset((ProcessId(1),)))
-        fleet.quarantines[0].take_hold(CRASHING, hold)
-        assert fleet.quarantines[0].find_wait(CRASHING, fleet.now) == 10
+        fleet.quarantines[0].add_hold(CRASHING, hold)
+        assert fleet.quarantines[0].find_remaining_hold(CRASHING, fleet.now) == 10
 
 
 class TestReports:
@@ -193,7 +195,7 @@
         fleet.crash_server(0, CRASHING)
         fleet.crash_server(0, CRASHING)
         fleet.now += 10 * BROADCAST_SECONDS
-        fleet.trackers[1] = CrashBook()
+        fleet.trackers[1] = CrashTracker()
         fleet.quarantines[1] = Quarantine(fleet.trackers[1])
         fleet.crash_server(1, CRASHING)
         fleet.exchange()
@@ -203,24 +205,26 @@
     def test_order_and_repetition_of_reports_do_not_matter(
         self, rng: random.Random, count: int
     ) -> None:
-        senders = [CrashBook() for _ in range(3)]
+        senders = [CrashTracker() for _ in range(3)]
         for number in range(count):
-            crash = ServerEnd(number / 10, number / 10 - 0.05)
-            rng.choice(senders).note_end(CRASHING, ProcessId(number), crash, crash.at)
+            crash = ServerCrash(number / 10, number / 10 - 0.05)
+            rng.choice(senders).record_crash(
+                CRASHING, ProcessId(number), crash, crash.at
+            )
         received = [sender.tell(1, heard=False) for sender in (*senders, *senders)]
         rng.shuffle(received)
-        tracker = CrashBook()
+        tracker = CrashTracker()
         for reports in received:
             tracker.take(reports, 1)
         suspect = tracker.find(CRASHING)
         assert suspect is not None
-        assert suspect.ends.keys() == set(range(count))
+        assert suspect.crashes.keys() == set(range(count))
 
     def test_a_crash_that_is_detected_late_is_reported(self) -> None:
         # A server on a lost instance is only unresponsive until it is no longer listed.
-        sender, other = CrashBook(), CrashBook()
-        crash = ServerEnd(10, 9.9)
-        sender.note_end(CRASHING, ProcessId(1), crash, 10 + 3 * BROADCAST_SECONDS)
+        sender, other = CrashTracker(), CrashTracker()
+        crash = ServerCrash(10, 9.9)
+        sender.record_crash(CRASHING, ProcessId(1), crash, 10 + 3 * BROADCAST_SECONDS)
         other.take(sender.tell(10 + 3 * BROADCAST_SECONDS, heard=False), 20)
         assert other.find(CRASHING) is not None
 
@@ -240,17 +244,17 @@
     ) -> None:
         fleet = Fleet()
         for number in range(2 * MAX_SUSPECTS):
-            crash = ServerEnd(fleet.now, fleet.now - 1)
+            crash = ServerCrash(fleet.now, fleet.now - 1)
             content = ContentId(f'r{number}')
-            fleet.trackers[0].note_end(content, ProcessId(number), crash, fleet.now)
+            fleet.trackers[0].record_crash(content, ProcessId(number), crash, fleet.now)
         assert len(fleet.trackers[0].all()) == MAX_SUSPECTS
         assert len(fleet.trackers[0].tell(fleet.now, heard=True)) == MAX_REPORTS
 
 
 class TestRounds:
     def test_a_run_that_began_before_the_last_crash_is_in_the_same_round(self) -> None:
-        ends = [ServerEnd(1, 0), ServerEnd(1.2, 0.9), ServerEnd(3, 2)]
-        assert count_rounds(ends) == 2
+        crashes = [ServerCrash(1, 0), ServerCrash(1.2, 0.9), ServerCrash(3, 2)]
+        assert count_rounds(crashes) == 2
 
     def test_each_start_of_a_server_is_a_new_process(self) -> None:
         server = BackendServerId('i-1')
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -44,13 +44,13 @@
         listed = known or self.names
         skew = self.rng.uniform(-1, 1) * MAX_CLOCK_SKEW_SECONDS
         limits = ServerLimits(name, lambda: listed, lambda: self.now + skew)
-        limits.note_answer(PROCESS, SERVER, self.rate, self.now, self.now)
+        limits.record_response(PROCESS, SERVER, self.rate, self.now, self.now)
         return limits
 
     def send_if_allowed(self, limits: ServerLimits) -> None:
         """Send a request from one daemon if it has a permit."""
         if limits.may_send(PROCESS):
-            limits.note_sent(PROCESS)
+            limits.record_sent(PROCESS)
             self.sent.append(self.now)
 
     def run(self, seconds: float, demand: float) -> None:
@@ -97,7 +97,7 @@
             fleet.run(STEP_SECONDS, demand=50)
             limit = fleet.rng.uniform(0.8, 1.0)
             for limits in fleet.limits:
-                limits.note_answer(PROCESS, SERVER, limit, fleet.now, fleet.now)
+                limits.record_response(PROCESS, SERVER, limit, fleet.now, fleet.now)
         assert fleet.count_most() <= fleet.max_allowed()
 
     def test_a_surge_after_idle_seconds_stays_within_the_limit(self) -> None:
@@ -126,7 +126,7 @@
         for _ in range(2000):
             for place, limits in enumerate(fleet.limits):
                 if limits.may_send(PROCESS):
-                    limits.note_sent(PROCESS)
+                    limits.record_sent(PROCESS)
                     permits[place] += 1
             fleet.now += 1
         assert sum(permits) == 2000
@@ -136,22 +136,22 @@
 class TestAnnouncedLimits:
     def test_a_server_without_a_limit_may_be_used(self) -> None:
         limits = ServerLimits('a', lambda: ['a', 'b'], float)
-        limits.note_answer(PROCESS, SERVER, None, 0, 0)
-        assert not limits.are_named
+        limits.record_response(PROCESS, SERVER, None, 0, 0)
+        assert not limits.has_limits
         assert limits.may_send(PROCESS)
 
     def test_a_response_without_a_limit_ends_it(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
-        limits.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
+        limits.record_response(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
         assert limits.may_send(PROCESS)
-        assert limits.find_own_rate(PROCESS) == float('inf')
+        assert limits.find_local_rate(PROCESS) == float('inf')
 
     def test_a_response_to_an_earlier_request_does_not_end_the_limit(self) -> None:
         fleet = Fleet(2, 0.0)
         limits = fleet.limits[0]
-        limits.note_answer(PROCESS, SERVER, None, fleet.now - 1, fleet.now + 2)
-        assert limits.find_own_rate(PROCESS) < 1
+        limits.record_response(PROCESS, SERVER, None, fleet.now - 1, fleet.now + 2)
+        assert limits.find_local_rate(PROCESS) < 1
 
     def test_a_server_with_a_limit_of_0_is_probed(self) -> None:
         fleet = Fleet(1, 0.0)
@@ -160,9 +160,9 @@
 
     def test_the_latest_announcement_wins_in_any_order_of_reports(self) -> None:
         sender = ServerLimits('a', lambda: ['a', 'b'], float)
-        sender.note_answer(PROCESS, SERVER, 2.0, 0, 0)
+        sender.record_response(PROCESS, SERVER, 2.0, 0, 0)
         early = sender.tell(0.1, heard=False)
-        sender.note_answer(PROCESS, SERVER, None, 1, 1)
+        sender.record_response(PROCESS, SERVER, None, 1, 1)
         late = sender.tell(1.1, heard=False)
         for reports in ((early, late), (late, early)):
             other = ServerLimits('b', lambda: ['a', 'b'], float)
@@ -175,21 +175,23 @@
                     },
                     at,
                 )
-            assert other.find_own_rate(PROCESS) == float('inf')
+            assert other.find_local_rate(PROCESS) == float('inf')
 
     def test_requests_skip_the_check_once_all_limits_have_ended(self) -> None:
         fleet = Fleet(2, 1.0)
         ended, expired = fleet.limits
-        ended.note_answer(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
-        assert not ended.are_named
-        assert expired.are_named
+        ended.record_response(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
+        assert not ended.has_limits
+        assert expired.has_limits
         expired.tell(fleet.now + 2 * EXPIRY_SECONDS, heard=False)
-        assert not expired.are_named
+        assert not expired.has_limits
 
     def test_broadcasts_end_and_stay_bounded(self) -> None:
         limits = ServerLimits('a', lambda: ['a'], float)
         for number in range(MAX_LIMITS + 10):
-            limits.note_answer(ProcessId(number), SERVER, 1.0, number, number / 1000)
+            limits.record_response(
+                ProcessId(number), SERVER, 1.0, number, number / 1000
+            )
         now = MAX_LIMITS / 1000
         assert len(limits.tell(now, heard=True)) == MAX_REPORTS
         assert not limits.tell(now + 2 * BROADCAST_SECONDS, heard=True)
