--- a/libs/routing/fireflyhitch_routing/policy.py
+++ b/libs/routing/fireflyhitch_routing/policy.py
@@ -60,8 +60,8 @@
     """A call to be placed and its latency target.
 
     :param answer_tokens: expected length of the answer.
-    :param first_target: seconds to the first token that remain since the call's
-        arrival.
+    :param first_target: remaining seconds to the first token: the target minus the time
+        since the call's arrival.
     :param gap_target: seconds between tokens; ``None`` for a plain service.
     :param confidence: standard deviations added to an expected latency.
     :param max_cached_tokens: the largest number of cached prompt tokens among the
