--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -7,10 +7,10 @@
 from loguru import logger
 
 from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.market_tracker import MarketTracker
 from fireflyhitch_fleet.needs import DeploymentNeed, VersionNeed
-from fireflyhitch_fleet.offers import Offers
+from fireflyhitch_fleet.pending_starts import PendingStarts
 from fireflyhitch_fleet.planner import Bounds, Need, Placement, Plan, plan_version
-from fireflyhitch_fleet.purchases import Purchases
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import DeploymentId, DutyId, InstanceId
@@ -28,7 +28,7 @@
 SECONDS_PER_HOUR = 3600.0
 # A plan with less has to stand for so long before anything is stopped, so that
 # a dip in the load does not cost loads of weights.
-SETTLE_SECONDS = 300.0
+SURPLUS_SECONDS = 300.0
 
 
 class CapacityKeeper:
@@ -52,9 +52,9 @@
         self._instances = instances
         self._weights = weights
         self._clock = clock
-        self._offers = Offers(clock)
-        self._purchases = Purchases(clock)
-        self._surplus: dict[tuple[DeploymentId, str], float] = {}
+        self._market_tracker = MarketTracker(clock)
+        self._pending_starts = PendingStarts(clock)
+        self._surplus_since: dict[tuple[DeploymentId, str], float] = {}
 
     def list_duties(self, deployments: Iterable[DeploymentId]) -> tuple[DutyId, ...]:
         """Return the duties for the duty keeper."""
@@ -62,7 +62,7 @@
 
     def find_start_time(self, deployment: DeploymentId) -> timedelta:
         """Return how long a start takes, as measured, with the wait for weights."""
-        return timedelta(seconds=self._purchases.find_start_seconds(deployment))
+        return timedelta(seconds=self._pending_starts.find_start_seconds(deployment))
 
     def step(self, needs: Iterable[DeploymentNeed]) -> dict[DeploymentId, list[Plan]]:
         """Plan and act for the deployments whose duty is held.
@@ -75,19 +75,21 @@
         try:
             listing = self._instances.read().instances
             notices = {notice.instance_id for notice in self._cloud.read_notices()}
-            self._offers.set_prices(self._cloud.read_prices())
+            self._market_tracker.set_prices(self._cloud.read_prices())
         except PlatformError as error:
             logger.bind(step=error.step.value).warning('capacity not planned')
             return {}
-        instances = [one for one in listing if one.role is InstanceRole.BACKEND]
-        self._purchases.see(instances)
-        staying = [one for one in instances if _stays(one, notices)]
-        return {need.deployment.name: self._tend(need, staying) for need in held}
+        instances = [
+            instance for instance in listing if instance.role is InstanceRole.BACKEND
+        ]
+        self._pending_starts.remove_listed(instances)
+        staying = [instance for instance in instances if _is_staying(instance, notices)]
+        return {need.deployment.name: self._reconcile(need, staying) for need in held}
 
     def _holds(self, deployment: DeploymentId) -> bool:
         return self._duties.holds(find_duty(deployment)) is not None
 
-    def _tend(self, need: DeploymentNeed, instances: list[Instance]) -> list[Plan]:
+    def _reconcile(self, need: DeploymentNeed, instances: list[Instance]) -> list[Plan]:
         plans = []
         for version in need.versions:
             plan = self._plan(need, version, instances)
@@ -97,31 +99,33 @@
                 self._stop(need, version, plan, instances)
             except PlatformError as error:
                 logger.bind(step=error.step.value).warning('plan not carried out')
-        self._retire(need, instances)
+        self._stop_unneeded(need, instances)
         return plans
 
-    def _retire(self, need: DeploymentNeed, instances: list[Instance]) -> None:
+    def _stop_unneeded(self, need: DeploymentNeed, instances: list[Instance]) -> None:
         """Give back what runs in versions that nobody needs any more."""
         name = need.deployment.name
         needed = {version.version for version in need.versions}
-        for one in instances:
-            server = one.server
+        for instance in instances:
+            server = instance.server
             if server is None or server.deployment != name or server.version in needed:
-                self._surplus.pop((name, one.instance_id), None)
-            elif self._has_settled(name, one.instance_id) and self._holds(name):
-                self._give_back(one.instance_id)
+                self._surplus_since.pop((name, instance.instance_id), None)
+            elif self._is_lasting_surplus(name, instance.instance_id) and self._holds(
+                name
+            ):
+                self._stop_instance(instance.instance_id)
 
     def _plan(
         self, need: DeploymentNeed, version: VersionNeed, instances: list[Instance]
     ) -> Plan:
         deployment = need.deployment
-        running = self._purchases.count_pending(deployment.name, version.version)
-        for one in instances:
-            if _runs(one, deployment.name, version):
-                place = Placement(one.failure_domain, one.machine_class)
-                running[place] = running.get(place, 0) + 1
-        ahead = self._purchases.find_start_seconds(deployment.name)
-        wanted = need.count_servers(version, ahead)
+        running = self._pending_starts.count_pending(deployment.name, version.version)
+        for instance in instances:
+            if _runs_version(instance, deployment.name, version):
+                placement = Placement(instance.failure_domain, instance.machine_class)
+                running[placement] = running.get(placement, 0) + 1
+        start_seconds = self._pending_starts.find_start_seconds(deployment.name)
+        wanted = need.count_servers(version, start_seconds)
         capacity = deployment.capacity
         bounds = Bounds(
             survive=capacity.survive_domain_loss,
@@ -129,28 +133,28 @@
             most=capacity.max_servers,
             most_on_demand=capacity.max_on_demand,
         )
-        markets = self._offers.list_markets(deployment, running)
+        markets = self._market_tracker.list_markets(deployment, running)
         order = Need(version.version, wanted, running, version.keep)
-        return plan_version(order, markets, bounds, ahead / SECONDS_PER_HOUR)
+        return plan_version(order, markets, bounds, start_seconds / SECONDS_PER_HOUR)
 
     def _start(self, need: DeploymentNeed, plan: Plan) -> None:
         name = need.deployment.name
-        for place, count in plan.starts.items():
+        for placement, count in plan.starts.items():
             for _ in range(count):
                 # Each start may take long; the lease can have run out since.
                 fencing = self._duties.holds(find_duty(name))
                 if fencing is None:
                     return
-                order_id = self._purchases.find_order_id(
-                    name, plan.version, place, fencing
+                order_id = self._pending_starts.find_order_id(
+                    name, plan.version, placement, fencing
                 )
                 wait = self._weights.reserve(name, plan.version)
-                order = InstanceOrder(order_id, name, plan.version, *place)
+                order = InstanceOrder(order_id, name, plan.version, *placement)
                 started = self._cloud.start(order)
                 if started is None:
-                    self._offers.note_refusal(place)
+                    self._market_tracker.record_refusal(placement)
                     break
-                self._purchases.note_start(order, started, wait.total_seconds())
+                self._pending_starts.record_start(order, started, wait.total_seconds())
 
     def _stop(
         self,
@@ -161,9 +165,9 @@
     ) -> None:
         key = (need.deployment.name, plan.version)
         if not plan.stops:
-            self._surplus.pop(key, None)
+            self._surplus_since.pop(key, None)
             return
-        if not self._has_settled(*key):
+        if not self._is_lasting_surplus(*key):
             return
         invariant(
             not version.keep,
@@ -171,17 +175,17 @@
             f"{plan.version} is a move's way back",
             step=Step.PLAN,
         )
-        for chosen in _choose_stops(plan.stops, need, version, instances):
+        for instances_to_stop in _choose_stops(plan.stops, need, version, instances):
             if not self._holds(need.deployment.name):
                 return
-            self._give_back(chosen)
+            self._stop_instance(instances_to_stop)
 
-    def _has_settled(self, deployment: DeploymentId, name: str) -> bool:
+    def _is_lasting_surplus(self, deployment: DeploymentId, name: str) -> bool:
         now = self._clock.monotonic()
-        since = self._surplus.setdefault((deployment, name), now)
-        return now - since >= SETTLE_SECONDS
+        since = self._surplus_since.setdefault((deployment, name), now)
+        return now - since >= SURPLUS_SECONDS
 
-    def _give_back(self, instance: InstanceId) -> None:
+    def _stop_instance(self, instance: InstanceId) -> None:
         try:
             self._cloud.stop(instance)
         except PlatformError as error:
@@ -193,13 +197,15 @@
     return DutyId(f'{DUTY_PREFIX}{deployment}')
 
 
-def _stays(instance: Instance, notices: set[InstanceId]) -> bool:
+def _is_staying(instance: Instance, notices: set[InstanceId]) -> bool:
     if instance.state is not InstanceState.LIVE:
         return False
     return instance.instance_id not in notices
 
 
-def _runs(instance: Instance, deployment: DeploymentId, version: VersionNeed) -> bool:
+def _runs_version(
+    instance: Instance, deployment: DeploymentId, version: VersionNeed
+) -> bool:
     server = instance.server
     if server is None:
         return False
@@ -212,16 +218,19 @@
     version: VersionNeed,
     instances: list[Instance],
 ) -> list[InstanceId]:
-    chosen = []
-    left = dict(stops)
-    for one in sorted(instances, key=_order_by_age):
-        place = Placement(one.failure_domain, one.machine_class)
-        if _runs(one, need.deployment.name, version) and left.get(place, 0) > 0:
-            left[place] -= 1
-            chosen.append(one.instance_id)
-    return chosen
-
-
-def _order_by_age(instance: Instance) -> tuple[float, str]:
+    instances_to_stop = []
+    remaining = dict(stops)
+    for instance in sorted(instances, key=_rank_for_stop):
+        placement = Placement(instance.failure_domain, instance.machine_class)
+        if (
+            _runs_version(instance, need.deployment.name, version)
+            and remaining.get(placement, 0) > 0
+        ):
+            remaining[placement] -= 1
+            instances_to_stop.append(instance.instance_id)
+    return instances_to_stop
+
+
+def _rank_for_stop(instance: Instance) -> tuple[float, str]:
     price = instance.server.price if instance.server else math.inf
     return (-price, instance.instance_id)
--- a/libs/fleet/fireflyhitch_fleet/duties.py
+++ b/libs/fleet/fireflyhitch_fleet/duties.py
@@ -60,9 +60,9 @@
 @dataclass(slots=True)
 class _Claim:
     lease: LeaseId
-    mark: bytes
-    sent: float
-    renewed: float
+    key_value: bytes
+    sent_at: float
+    renew_at: float
     held: HeldDuty | None = None
 
 
@@ -88,7 +88,7 @@
         self._live = live
         self._duties: tuple[DutyId, ...] = ()
         self._claims: dict[DutyId, _Claim] = {}
-        self._look_after: dict[DutyId, float] = {}
+        self._next_read: dict[DutyId, float] = {}
         self._stopped = threading.Event()
         self._thread: threading.Thread | None = None
 
@@ -125,11 +125,11 @@
 
     def step(self) -> None:
         """Renew what is due, take what is free, give up what is gone."""
-        for gone in self._claims.keys() - set(self._duties):
-            self._give_up(gone)
+        for removed in self._claims.keys() - set(self._duties):
+            self._give_up(removed)
         for duty in self._duties:
             try:
-                self._tend(duty)
+                self._maintain(duty)
             except PlatformError as error:
                 logger.bind(step=error.step.value, duty=duty).warning(
                     'duty not renewed or taken'
@@ -140,55 +140,55 @@
         while not self._clock.wait(self._stopped, pause):
             self.step()
 
-    def _tend(self, duty: DutyId) -> None:
+    def _maintain(self, duty: DutyId) -> None:
         claim = self._claims.get(duty)
         if claim is None:
             self._campaign(duty)
         elif claim.held is None:
-            self._settle(duty, claim)
-        elif self._clock.monotonic() >= claim.renewed:
+            self._resolve_claim(duty, claim)
+        elif self._clock.monotonic() >= claim.renew_at:
             self._renew(duty, claim)
 
     def _campaign(self, duty: DutyId) -> None:
         now = self._clock.monotonic()
-        if now < self._look_after.get(duty, 0) or not self._is_candidate(duty):
+        if now < self._next_read.get(duty, 0) or not self._is_candidate(duty):
             return
         # Held duties are looked at no more often than they are renewed: each
         # look is a read, at each candidate and for each deployment.
-        self._look_after[duty] = now + self.terms.renewal.total_seconds()
+        self._next_read[duty] = now + self.terms.renewal.total_seconds()
         if self._store.get(_key(duty)) is not None:
             return
         # Counted from before the request is sent: the store starts to count
         # later, so this daemon always stops before the store lets go.
-        sent = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         lease = self._store.grant_lease(self.terms.duration)
-        mark = f'{self._daemon_id} {secrets.token_hex(NONCE_BYTES)}'.encode()
-        claim = _Claim(lease, mark, sent, sent)
+        key_value = f'{self._daemon_id} {secrets.token_hex(NONCE_BYTES)}'.encode()
+        claim = _Claim(lease, key_value, sent_at, sent_at)
         self._claims[duty] = claim
-        written = self._store.put_if(_key(duty), mark, ABSENT, lease)
+        written = self._store.put_if(_key(duty), key_value, ABSENT, lease)
         if isinstance(written, Written):
             self._hold(duty, claim, FencingNumber(written.revision))
         else:
             self._give_up(duty)
 
-    def _settle(self, duty: DutyId, claim: _Claim) -> None:
+    def _resolve_claim(self, duty: DutyId, claim: _Claim) -> None:
         # The answer to the claim was lost. The mark is used once, so that a
         # key which bears it was written by this claim and by no older one.
         current = self._store.get(_key(duty))
-        if current is not None and current.value == claim.mark:
+        if current is not None and current.value == claim.key_value:
             self._hold(duty, claim, FencingNumber(current.created))
-        elif current is not None or self._has_lapsed(claim):
+        elif current is not None or self._has_expired(claim):
             self._give_up(duty)
 
     def _renew(self, duty: DutyId, claim: _Claim) -> None:
-        sent = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         kept = self._store.keep_lease(claim.lease)
         # The key can be gone although the lease is there, for example after
         # the store was restored from a backup.
-        if not kept or not _bears(self._store.get(_key(duty)), claim):
+        if not kept or not _was_written_by(self._store.get(_key(duty)), claim):
             self._give_up(duty)
             return
-        claim.sent = sent
+        claim.sent_at = sent_at
         if claim.held is not None:
             self._hold(duty, claim, claim.held.fencing, claim.held.since)
 
@@ -200,10 +200,10 @@
         since: float | None = None,
     ) -> None:
         terms = self.terms
-        until = claim.sent + (terms.duration - terms.margin).total_seconds()
+        until = claim.sent_at + (terms.duration - terms.margin).total_seconds()
         now = self._clock.monotonic()
         claim.held = HeldDuty(fencing, now if since is None else since, until)
-        claim.renewed = claim.sent + terms.renewal.total_seconds()
+        claim.renew_at = claim.sent_at + terms.renewal.total_seconds()
         if since is None:
             logger.bind(duty=duty, fencing=fencing).info('duty taken')
 
@@ -217,8 +217,8 @@
         except PlatformError:
             logger.bind(duty=duty).info('lease left to lapse')
 
-    def _has_lapsed(self, claim: _Claim) -> bool:
-        age = self._clock.monotonic() - claim.sent
+    def _has_expired(self, claim: _Claim) -> bool:
+        age = self._clock.monotonic() - claim.sent_at
         return age > self.terms.duration.total_seconds()
 
     def _is_candidate(self, duty: DutyId) -> bool:
@@ -236,5 +236,5 @@
     return f'{KEY_PREFIX}{duty}'
 
 
-def _bears(current: KeyValue | None, claim: _Claim) -> bool:
-    return current is not None and current.value == claim.mark
+def _was_written_by(current: KeyValue | None, claim: _Claim) -> bool:
+    return current is not None and current.value == claim.key_value
--- a/libs/fleet/fireflyhitch_fleet/offers.py
+++ b/libs/fleet/fireflyhitch_fleet/market_tracker.py
@@ -9,21 +9,21 @@
 from fireflyhitch_settings.schema import Deployment
 
 # After a refusal a placement is left alone, twice as long each time.
-FIRST_PAUSE = 30.0
-LONGEST_PAUSE = 600.0
+INITIAL_BACKOFF = 30.0
+MAX_BACKOFF = 600.0
 # What a reclaimable instance is assumed to see, until it is measured.
-ASSUMED_RECLAIMS = 0.05
+DEFAULT_RECLAIM_RATE = 0.05
 
 
-class Offers:
+class MarketTracker:
     """Prices of now and pauses after refused starts."""
 
     def __init__(self, clock: Clock) -> None:
         """Make it without prices."""
         self._clock = clock
         self._prices: dict[Placement, float] = {}
-        self._pauses: dict[Placement, float] = {}
-        self._closed: dict[Placement, float] = {}
+        self._backoffs: dict[Placement, float] = {}
+        self._closed_until: dict[Placement, float] = {}
 
     def set_prices(self, prices: Iterable[Price]) -> None:
         """Take in the cloud's prices."""
@@ -32,12 +32,12 @@
             for price in prices
         }
 
-    def note_refusal(self, place: Placement) -> None:
+    def record_refusal(self, placement: Placement) -> None:
         """Leave a placement alone for a while."""
         now = self._clock.monotonic()
-        pause = self._pauses.get(place, FIRST_PAUSE)
-        self._closed[place] = now + pause
-        self._pauses[place] = min(2 * pause, LONGEST_PAUSE)
+        backoff = self._backoffs.get(placement, INITIAL_BACKOFF)
+        self._closed_until[placement] = now + backoff
+        self._backoffs[placement] = min(2 * backoff, MAX_BACKOFF)
 
     def list_markets(
         self, deployment: Deployment, running: Mapping[Placement, int]
@@ -52,13 +52,13 @@
         }
         markets = {}
         now = self._clock.monotonic()
-        for place, price in {**configured, **self._prices}.items():
-            if place.failure_domain not in deployment.failure_domains:
+        for placement, price in {**configured, **self._prices}.items():
+            if placement.failure_domain not in deployment.failure_domains:
                 continue
             supply = deployment.capacity.max_servers
-            if self._closed.get(place, 0) > now:
-                supply = running.get(place, 0)
-            reclaimable = place.machine_class is MachineClass.RECLAIMABLE
-            reclaims = ASSUMED_RECLAIMS if reclaimable else 0
-            markets[place] = Market(price, supply, reclaims)
+            if self._closed_until.get(placement, 0) > now:
+                supply = running.get(placement, 0)
+            reclaimable = placement.machine_class is MachineClass.RECLAIMABLE
+            reclaims = DEFAULT_RECLAIM_RATE if reclaimable else 0
+            markets[placement] = Market(price, supply, reclaims)
         return markets
--- a/libs/fleet/fireflyhitch_fleet/flows.py
+++ b/libs/fleet/fireflyhitch_fleet/min_cost_flow.py
@@ -11,9 +11,9 @@
 @dataclass(slots=True)
 class _Edge:
     target: Node
-    room: int
+    capacity: int
     cost: float
-    back: int
+    reverse: int
 
 
 class FlowNetwork:
@@ -23,14 +23,16 @@
         """Make an empty network."""
         self._edges: dict[Node, list[_Edge]] = {}
 
-    def connect(self, source: Node, target: Node, room: int, cost: float = 0) -> None:
+    def add_edge(
+        self, source: Node, target: Node, capacity: int, cost: float = 0
+    ) -> None:
         """Add an edge."""
-        forth = self._edges.setdefault(source, [])
-        back = self._edges.setdefault(target, [])
-        forth.append(_Edge(target, room, cost, len(back)))
-        back.append(_Edge(source, 0, -cost, len(forth) - 1))
+        forward = self._edges.setdefault(source, [])
+        reverse = self._edges.setdefault(target, [])
+        forward.append(_Edge(target, capacity, cost, len(reverse)))
+        reverse.append(_Edge(source, 0, -cost, len(forward) - 1))
 
-    def push(self, source: Node, sink: Node, amount: int) -> int:
+    def send(self, source: Node, sink: Node, amount: int) -> int:
         """Send as much as fits, up to an amount, along the cheapest paths.
 
         :returns: how much was sent.
@@ -40,18 +42,18 @@
             path = self._find_path(source, sink)
             if not path:
                 return sent
-            room = min(edge.room for edge in path)
-            part = min(room, amount - sent)
+            capacity = min(edge.capacity for edge in path)
+            added = min(capacity, amount - sent)
             for edge in path:
-                edge.room -= part
-                self._edges[edge.target][edge.back].room += part
-            sent += part
+                edge.capacity -= added
+                self._edges[edge.target][edge.reverse].capacity += added
+            sent += added
         return sent
 
-    def read(self, source: Node, target: Node) -> int:
+    def get_flow(self, source: Node, target: Node) -> int:
         """Return what flows over the edge between two nodes."""
         return sum(
-            self._edges[target][edge.back].room
+            self._edges[target][edge.reverse].capacity
             for edge in self._edges.get(source, [])
             if edge.target == target and edge.cost >= 0
         )
@@ -59,24 +61,27 @@
     def _find_path(self, source: Node, sink: Node) -> list[_Edge]:
         # Bellman-Ford, since edges back have negative costs.
         costs: dict[Node, float] = {source: 0}
-        last: dict[Node, tuple[Node, _Edge]] = {}
+        previous: dict[Node, tuple[Node, _Edge]] = {}
         queue = [source]
         while queue:
             node = queue.pop(0)
             for edge in self._edges.get(node, []):
                 cost = costs[node] + edge.cost
-                if edge.room > 0 and cost < costs.get(edge.target, math.inf) - EPSILON:
+                if (
+                    edge.capacity > 0
+                    and cost < costs.get(edge.target, math.inf) - EPSILON
+                ):
                     costs[edge.target] = cost
-                    last[edge.target] = (node, edge)
+                    previous[edge.target] = (node, edge)
                     queue.append(edge.target)
-        return _trace(sink, source, last)
+        return _trace(sink, source, previous)
 
 
 def _trace(
-    node: Node, source: Node, last: dict[Node, tuple[Node, _Edge]]
+    node: Node, source: Node, previous: dict[Node, tuple[Node, _Edge]]
 ) -> list[_Edge]:
     path: list[_Edge] = []
-    while node in last and node != source:
-        node, taken = last[node]
-        path.append(taken)
+    while node in previous and node != source:
+        node, edge = previous[node]
+        path.append(edge)
     return path
--- a/libs/fleet/fireflyhitch_fleet/orders.py
+++ b/libs/fleet/fireflyhitch_fleet/orders.py
@@ -62,7 +62,7 @@
         self._clock = clock
         self._order_timeout = order_timeout.total_seconds()
 
-    def fulfil(self, duty: DutyId, server: BackendServer, wish: Wish) -> OrderResult:
+    def fulfil(self, duty: DutyId, server: BackendServer, desired: Wish) -> OrderResult:
         """Bring an engine to a wished state; to be repeated until in effect.
 
         The engine is read first and after the order, also when it was read
@@ -71,10 +71,13 @@
         held = self._duties.find(duty)
         if held is None or not self._has_time(held):
             return OrderResult.NOT_HELD
-        if server.fencing is FencingSupport.IGNORED and not self._is_settled(held):
+        if (
+            server.fencing is FencingSupport.IGNORED
+            and not self._is_safe_without_fencing(held)
+        ):
             return OrderResult.TOO_EARLY
         try:
-            return self._order(duty, server.server_id, wish, held.fencing)
+            return self._order(duty, server.server_id, desired, held.fencing)
         except FireflyhitchError as error:
             logger.bind(step=error.step.value, peer=server.server_id).warning(
                 'order without an answer'
@@ -85,10 +88,10 @@
         self,
         duty: DutyId,
         server: BackendServerId,
-        wish: Wish,
+        desired: Wish,
         fencing: FencingNumber,
     ) -> OrderResult:
-        if is_fulfilled(self._engines.read_state(server), wish):
+        if is_in_effect(self._engines.read_state(server), desired):
             return OrderResult.IN_EFFECT
         # Reading took time, in which the lease may have run out.
         held = self._duties.find(duty)
@@ -101,10 +104,10 @@
             step=Step.ORDER,
             peer=server,
         )
-        order = EngineOrder(wish.action, wish.argument, fencing)
+        order = EngineOrder(desired.action, desired.argument, fencing)
         if not self._engines.give_order(server, order):
             return OrderResult.REFUSED
-        in_effect = is_fulfilled(self._engines.read_state(server), wish)
+        in_effect = is_in_effect(self._engines.read_state(server), desired)
         return OrderResult.IN_EFFECT if in_effect else OrderResult.PENDING
 
     def _has_time(self, held: HeldDuty) -> bool:
@@ -112,7 +115,7 @@
         # timeout left on the lease it cannot.
         return held.until - self._clock.monotonic() > self._order_timeout
 
-    def _is_settled(self, held: HeldDuty) -> bool:
+    def _is_safe_without_fencing(self, held: HeldDuty) -> bool:
         """Tell whether no order of an earlier holder can be on its way.
 
         An engine that ignores fencing numbers would obey such an order after
@@ -123,12 +126,12 @@
         return self._clock.monotonic() - held.since >= lease + self._order_timeout
 
 
-def is_fulfilled(state: EngineState, wish: Wish) -> bool:
+def is_in_effect(state: EngineState, desired: Wish) -> bool:
     """Tell whether an engine holds what is wished."""
-    if wish.action is EngineAction.LOAD_VERSION:
-        return state.version == wish.argument
-    if wish.action is EngineAction.LOAD_ADAPTER:
-        return wish.argument in state.adapters
-    if wish.action is EngineAction.SET_ROLE:
-        return state.role == wish.argument
+    if desired.action is EngineAction.LOAD_VERSION:
+        return state.version == desired.argument
+    if desired.action is EngineAction.LOAD_ADAPTER:
+        return desired.argument in state.adapters
+    if desired.action is EngineAction.SET_ROLE:
+        return state.role == desired.argument
     return not state.ready
--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -6,17 +6,17 @@
 from functools import cache
 from typing import NamedTuple
 
-from fireflyhitch_fleet.flows import FlowNetwork
+from fireflyhitch_fleet.min_cost_flow import FlowNetwork
 from fireflyhitch_model.ids import FailureDomainId, VersionId
 from fireflyhitch_model.states import MachineClass
 
 SOURCE = 'source'
 SINK = 'sink'
 # A placement whose instances are away more than this is not worth its price.
-LEAST_AVAILABILITY = 0.1
+MIN_AVAILABILITY = 0.1
 # Instances stay unless stopping them saves this part of the cost: each stop
 # and start anew loads weights and empties a prefix cache.
-LEAST_SAVING = 0.05
+MIN_SAVING = 0.05
 
 
 class Placement(NamedTuple):
@@ -91,13 +91,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Mix:
+class _Allocation:
     counts: Mapping[Placement, int] = field(default_factory=dict)
     cost: float = math.inf
 
 
 def plan_version(
-    need: Need,
+    request: Need,
     markets: Mapping[Placement, Market],
     bounds: Bounds,
     start_hours: float,
@@ -107,29 +107,31 @@
     :param start_hours: from order to ready, with the wait for weights; an
         instance that is reclaimed is missing for so long.
     """
-    wanted = min(max(need.servers, bounds.least), bounds.most)
-    left = math.ceil(bounds.survive * wanted)
+    wanted = min(max(request.servers, bounds.least), bounds.most)
+    min_remaining = math.ceil(bounds.survive * wanted)
     costs = {
-        placement: _weigh_price(market, start_hours)
+        placement: _find_effective_price(market, start_hours)
         for placement, market in markets.items()
     }
-    mix = _find_cheapest(wanted, left, markets, costs, bounds)
-    survives = math.isfinite(mix.cost)
+    allocation = _find_cheapest(wanted, min_remaining, markets, costs, bounds)
+    survives = math.isfinite(allocation.cost)
     if not survives:
         # What there is falls short of the aim: spread it as evenly as it goes.
-        mix = _spread_best(wanted, markets, costs, bounds)
-    if survives and _is_good_enough(need, mix, wanted, left, costs):
-        mix = _Mix(dict(need.running), _add_costs(need.running, costs))
-    return _compare(need, mix, markets, wanted, survives)
+        allocation = _allocate_evenly(wanted, markets, costs, bounds)
+    if survives and _is_good_enough(request, allocation, wanted, min_remaining, costs):
+        allocation = _Allocation(
+            dict(request.running), _add_costs(request.running, costs)
+        )
+    return _make_plan(request, allocation, markets, wanted, survives)
 
 
 def _find_cheapest(
     wanted: int,
-    left: int,
+    min_remaining: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
+) -> _Allocation:
     """Find the total at which the cheapest mix costs least.
 
     With a total of ``t`` no failure domain may hold more than ``t - left``. A
@@ -139,19 +141,21 @@
     """
 
     @cache
-    def mix(total: int) -> _Mix:
-        return _mix_total(total, total - left, markets, costs, bounds)
+    def allocation(total: int) -> _Allocation:
+        return _allocate(total, total - min_remaining, markets, costs, bounds)
 
-    low = max(wanted, left + 1)
-    low = _find_first(low, bounds.most, lambda total: math.isfinite(mix(total).cost))
+    low = max(wanted, min_remaining + 1)
+    low = _find_first(
+        low, bounds.most, lambda total: math.isfinite(allocation(total).cost)
+    )
     if low > bounds.most:
-        return _Mix()
+        return _Allocation()
     best = _find_first(
         low,
         bounds.most - 1,
-        lambda total: mix(total + 1).cost >= mix(total).cost,
+        lambda total: allocation(total + 1).cost >= allocation(total).cost,
     )
-    return mix(min(best, bounds.most))
+    return allocation(min(best, bounds.most))
 
 
 def _find_first(low: int, high: int, holds: Callable[[int], bool]) -> int:
@@ -162,72 +166,72 @@
     return high + 1
 
 
-def _mix_total(
+def _allocate(
     total: int,
-    most_in_domain: int,
+    max_per_domain: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
+) -> _Allocation:
     network = FlowNetwork()
     on_demand = min(bounds.most_on_demand, total)
-    network.connect(SOURCE, MachineClass.RECLAIMABLE, total)
-    network.connect(SOURCE, MachineClass.ON_DEMAND, on_demand)
+    network.add_edge(SOURCE, MachineClass.RECLAIMABLE, total)
+    network.add_edge(SOURCE, MachineClass.ON_DEMAND, on_demand)
     domains = {placement.failure_domain for placement in markets}
     for offered, market in markets.items():
         supply = market.supply if math.isfinite(costs[offered]) else 0
-        network.connect(offered.machine_class, offered, supply)
-        network.connect(offered, offered.failure_domain, supply, costs[offered])
+        network.add_edge(offered.machine_class, offered, supply)
+        network.add_edge(offered, offered.failure_domain, supply, costs[offered])
     for domain in sorted(domains):
-        network.connect(domain, SINK, most_in_domain)
-    if network.push(SOURCE, SINK, total) < total:
-        return _Mix()
+        network.add_edge(domain, SINK, max_per_domain)
+    if network.send(SOURCE, SINK, total) < total:
+        return _Allocation()
     counts = {
-        placement: network.read(placement.machine_class, placement)
+        placement: network.get_flow(placement.machine_class, placement)
         for placement in markets
     }
     counts = {placement: count for placement, count in counts.items() if count}
-    return _Mix(counts, _add_costs(counts, costs))
+    return _Allocation(counts, _add_costs(counts, costs))
 
 
-def _spread_best(
+def _allocate_evenly(
     wanted: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
+) -> _Allocation:
     for total in range(wanted, 0, -1):
-        for most_in_domain in range(1, total + 1):
-            mix = _mix_total(total, most_in_domain, markets, costs, bounds)
-            if math.isfinite(mix.cost):
-                return mix
-    return _Mix({}, 0)
+        for max_per_domain in range(1, total + 1):
+            allocation = _allocate(total, max_per_domain, markets, costs, bounds)
+            if math.isfinite(allocation.cost):
+                return allocation
+    return _Allocation({}, 0)
 
 
-def _weigh_price(market: Market, start_hours: float) -> float:
+def _find_effective_price(market: Market, start_hours: float) -> float:
     """Return the price of an hour in which the instance is really there."""
     availability = 1 - market.reclaims * start_hours
-    if availability < LEAST_AVAILABILITY:
+    if availability < MIN_AVAILABILITY:
         return math.inf
     return market.price / availability
 
 
 def _is_good_enough(
-    need: Need,
-    mix: _Mix,
+    request: Need,
+    allocation: _Allocation,
     wanted: int,
-    left: int,
+    min_remaining: int,
     costs: Mapping[Placement, float],
 ) -> bool:
-    total = sum(need.running.values())
+    total = sum(request.running.values())
     domains: dict[FailureDomainId, int] = {}
-    for place, count in need.running.items():
-        before = domains.get(place.failure_domain, 0)
-        domains[place.failure_domain] = before + count
-    if total < wanted or total - max(domains.values(), default=0) < left:
+    for placement, count in request.running.items():
+        before = domains.get(placement.failure_domain, 0)
+        domains[placement.failure_domain] = before + count
+    if total < wanted or total - max(domains.values(), default=0) < min_remaining:
         return False
-    cost = _add_costs(need.running, costs)
-    return cost <= mix.cost * (1 + LEAST_SAVING)
+    cost = _add_costs(request.running, costs)
+    return cost <= allocation.cost * (1 + MIN_SAVING)
 
 
 def _add_costs(
@@ -238,29 +242,27 @@
     )
 
 
-def _compare(
-    need: Need,
-    mix: _Mix,
+def _make_plan(
+    request: Need,
+    allocation: _Allocation,
     markets: Mapping[Placement, Market],
     wanted: int,
     survives: bool,
 ) -> Plan:
     starts: dict[Placement, int] = {}
     stops: dict[Placement, int] = {}
-    target = dict(mix.counts)
-    for place in target.keys() | need.running.keys():
-        running = need.running.get(place, 0)
-        if need.keep:
-            target[place] = max(target.get(place, 0), running)
-        change = target.get(place, 0) - running
+    target = dict(allocation.counts)
+    for placement in target.keys() | request.running.keys():
+        running = request.running.get(placement, 0)
+        if request.keep:
+            target[placement] = max(target.get(placement, 0), running)
+        change = target.get(placement, 0) - running
         if change > 0:
-            starts[place] = change
+            starts[placement] = change
         if change < 0:
-            stops[place] = -change
+            stops[placement] = -change
     cost = sum(
-        count * markets[placement].price
-        for placement, count in target.items()
-        if placement in markets
+        count * markets[used].price for used, count in target.items() if used in markets
     )
     short = max(wanted - sum(target.values()), 0)
-    return Plan(need.version, target, starts, stops, cost, short, survives)
+    return Plan(request.version, target, starts, stops, cost, short, survives)
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -14,19 +14,19 @@
 
 # Part of a domain's number that is kept for reclaimable servers while they are away:
 # with a quarter, all are back after four starts of some seconds.
-RETURNING_PART = 0.25
+RETURNING_FRACTION = 0.25
 
 
 @immutable
 class SpreadBounds:
     """What the operators allow, for each failure domain.
 
-    :param least: servers of both kinds together.
-    :param most: servers of both kinds together.
+    :param min_servers: servers of both kinds together.
+    :param max_servers: servers of both kinds together.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
 
 
 @immutable
@@ -62,27 +62,33 @@
     """
     domains = sorted(prices, key=lambda domain: (prices[domain], domain))
     staying = max(len(domains) - need.domains_lost, 1)
-    each = math.ceil(need.servers / staying)
-    each = min(max(each, bounds.least), bounds.most)
+    per_domain = math.ceil(need.servers / staying)
+    per_domain = min(max(per_domain, bounds.min_servers), bounds.max_servers)
     reclaimable = sum(present[domain].reclaimable for domain in domains)
-    short = max(need.servers - reclaimable, 0)
-    bought: dict[FailureDomainId, int] = {}
+    shortage = max(need.servers - reclaimable, 0)
+    on_demand_targets: dict[FailureDomainId, int] = {}
     for domain in domains:
-        bought[domain] = _buy_beside(each, short, bounds, present[domain])
-        short -= min(short, bought[domain])
-    for strained in domains:
-        more = _buy_in_room(bought[strained], short, bounds, present[strained])
-        bought[strained] += more
-        short -= more
-    kept = _find_kept(each, present)
+        on_demand_targets[domain] = _count_on_demand(
+            per_domain, shortage, bounds, present[domain]
+        )
+        shortage -= min(shortage, on_demand_targets[domain])
+    for domain in domains:
+        replacements = _count_replacements(
+            on_demand_targets[domain], shortage, bounds, present[domain]
+        )
+        on_demand_targets[domain] += replacements
+        shortage -= replacements
+    reclaimable_targets = _find_reclaimable_targets(per_domain, present)
     return {
-        where: DomainServers(min(kept[where], bounds.most - on_demand), on_demand)
-        for where, on_demand in bought.items()
+        name: DomainServers(
+            min(reclaimable_targets[name], bounds.max_servers - on_demand), on_demand
+        )
+        for name, on_demand in on_demand_targets.items()
     }
 
 
-def _find_kept(
-    each: int, present: Mapping[FailureDomainId, DomainServers]
+def _find_reclaimable_targets(
+    per_domain: int, present: Mapping[FailureDomainId, DomainServers]
 ) -> dict[FailureDomainId, int]:
     """Return the reclaimable servers of each domain.
 
@@ -90,28 +96,28 @@
     the next domain may go. A leader that has just taken over knows little of the load,
     and would give back what callers need a moment later.
     """
-    scarce = any(here.reclaimable < each for here in present.values())
+    scarce = any(current.reclaimable < per_domain for current in present.values())
     return {
-        domain: max(each, here.reclaimable) if scarce else each
-        for domain, here in present.items()
+        domain: max(per_domain, current.reclaimable) if scarce else per_domain
+        for domain, current in present.items()
     }
 
 
-def _buy_beside(
-    each: int, short: int, bounds: SpreadBounds, here: DomainServers
+def _count_on_demand(
+    per_domain: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
     """Return a domain's servers on demand beside all of its reclaimable ones.
 
     A domain without reclaimable servers gets its least on demand at once, whatever the
     others have: the next domain may go before a server ordered then has started.
     """
-    least = max(bounds.least - here.reclaimable, 0)
-    room = max(bounds.most - each, 0)
-    return min(max(least, min(short, room)), bounds.most)
+    min_servers = max(bounds.min_servers - current.reclaimable, 0)
+    free_places = max(bounds.max_servers - per_domain, 0)
+    return min(max(min_servers, min(shortage, free_places)), bounds.max_servers)
 
 
-def _buy_in_room(
-    bought: int, short: int, bounds: SpreadBounds, here: DomainServers
+def _count_replacements(
+    on_demand_targets: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
     """Return more servers on demand, in the room of reclaimable ones that are away.
 
@@ -119,8 +125,10 @@
     come back. Keeping room for all of them would leave callers short of servers for as
     long as these are away.
     """
-    coming = max(here.reclaimable, math.ceil(bounds.most * RETURNING_PART))
-    return min(short, max(bounds.most - coming - bought, 0))
+    returning = max(
+        current.reclaimable, math.ceil(bounds.max_servers * RETURNING_FRACTION)
+    )
+    return min(shortage, max(bounds.max_servers - returning - on_demand_targets, 0))
 
 
 def count_lasting(
@@ -128,5 +136,7 @@
 ) -> float:
     """Return the servers that are left when some domains' reclaimable ones go."""
     staying = max(len(present) - domains_lost, 1) / max(len(present), 1)
-    on_demand = sum(here.on_demand for here in present.values())
-    return on_demand + staying * sum(here.reclaimable for here in present.values())
+    on_demand = sum(current.on_demand for current in present.values())
+    return on_demand + staying * sum(
+        current.reclaimable for current in present.values()
+    )
--- a/libs/fleet/tests/test_orders.py
+++ b/libs/fleet/tests/test_orders.py
@@ -78,8 +78,8 @@
         self.duties.set_duties([DUTY])
         self.desk = OrderDesk(engines, self.duties, clock)
 
-    def fulfil(self, wish, fencing=FencingSupport.ENFORCED):
-        return self.desk.fulfil(DUTY, make_server(fencing), wish)
+    def fulfil(self, desired, fencing=FencingSupport.ENFORCED):
+        return self.desk.fulfil(DUTY, make_server(fencing), desired)
 
 
 class Arrangement:
--- a/libs/fleet/tests/test_planner.py
+++ b/libs/fleet/tests/test_planner.py
@@ -31,8 +31,8 @@
 
 
 def plan(servers, markets, running=(), bounds=BOUNDS, keep=False, hours=0.05):
-    need = Need('v1', servers, dict(running), keep)
-    return plan_version(need, markets, bounds, hours)
+    request = Need('v1', servers, dict(running), keep)
+    return plan_version(request, markets, bounds, hours)
 
 
 def count_domains(counts):
@@ -48,17 +48,20 @@
     best = math.inf
     ranges = [range(markets[placement].supply + 1) for placement in placements]
     for counts in itertools.product(*ranges):
-        mix = dict(zip(placements, counts, strict=True))
+        allocation = dict(zip(placements, counts, strict=True))
         total = sum(counts)
         on_demand = sum(
             count
-            for placement, count in mix.items()
+            for placement, count in allocation.items()
             if placement.machine_class is ON_DEMAND
         )
-        rest = total - max(count_domains(mix).values())
+        rest = total - max(count_domains(allocation).values())
         fits = servers <= total <= bounds.most and on_demand <= bounds.most_on_demand
         if fits and rest >= math.ceil(bounds.survive * servers):
-            cost = sum(markets[place].price * count for place, count in mix.items())
+            cost = sum(
+                markets[placement].price * count
+                for placement, count in allocation.items()
+            )
             best = min(best, cost)
     return best
 
@@ -110,7 +113,9 @@
         """Reclaimable instances that are mostly loading are not the cheap ones."""
         markets = make_markets(on_demand=1.8, reclaims=2.0)
         assert plan(4, markets, hours=0.01).cost < plan(4, markets, hours=0.4).cost
-        classes = {place.machine_class for place in plan(4, markets, hours=0.4).target}
+        classes = {
+            placement.machine_class for placement in plan(4, markets, hours=0.4).target
+        }
         assert ON_DEMAND in classes
 
     def test_way_back_is_never_scaled_in(self):
--- a/libs/fleet/tests/test_spread.py
+++ b/libs/fleet/tests/test_spread.py
@@ -16,7 +16,7 @@
     FailureDomainId('aalst'): 0.9,
 }
 SPOT = 0.18
-BOUNDS = SpreadBounds(least=1, most=6)
+BOUNDS = SpreadBounds(min_servers=1, max_servers=6)
 NEED = SpreadNeed(servers=4, domains_lost=2)
 START_SECONDS = 4
 NOTHING = DomainServers(0, 0)
@@ -25,14 +25,14 @@
 def cost(servers: dict[FailureDomainId, DomainServers]) -> float:
     """Return the price of a second."""
     return sum(
-        PRICES[domain] * (here.reclaimable * SPOT + here.on_demand)
-        for domain, here in servers.items()
+        PRICES[domain] * (current.reclaimable * SPOT + current.on_demand)
+        for domain, current in servers.items()
     )
 
 
 def count(servers: dict[FailureDomainId, DomainServers]) -> int:
     """Return how many servers there are."""
-    return sum(here.reclaimable + here.on_demand for here in servers.values())
+    return sum(current.reclaimable + current.on_demand for current in servers.values())
 
 
 class TestPlan:
@@ -44,15 +44,15 @@
     def test_servers_on_demand_stay_until_reclaimable_ones_are_there(self) -> None:
         start = {domain: DomainServers(0, 1) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, start)
-        assert all(here.reclaimable == 2 for here in target.values())
-        assert sum(here.on_demand for here in target.values()) >= NEED.servers
+        assert all(current.reclaimable == 2 for current in target.values())
+        assert sum(current.on_demand for current in target.values()) >= NEED.servers
 
     def test_no_domain_gets_more_than_is_allowed(self) -> None:
         need = SpreadNeed(servers=100, domains_lost=2)
         empty = dict.fromkeys(PRICES, NOTHING)
         target = spread_servers(need, BOUNDS, PRICES, empty)
-        for here in target.values():
-            assert here.reclaimable + here.on_demand <= BOUNDS.most
+        for current in target.values():
+            assert current.reclaimable + current.on_demand <= BOUNDS.max_servers
 
 
 class TestWave:
@@ -73,7 +73,7 @@
         running = {domain: DomainServers(2, 0) for domain in PRICES}
         ordered: list[tuple[int, dict[FailureDomainId, DomainServers]]] = []
         spent = 0.0
-        short = 0
+        shortage = 0
         for second in range(40):
             dry = self._find_dry(second)
             target = spread_servers(NEED, BOUNDS, PRICES, running)
@@ -88,8 +88,8 @@
                 for domain in PRICES
             }
             spent += cost(running)
-            short += max(NEED.servers - count(running), 0)
-        return spent, short
+            shortage += max(NEED.servers - count(running), 0)
+        return spent, shortage
 
     def _find_dry(self, second: int) -> set[FailureDomainId]:
         dry: set[FailureDomainId] = set()
@@ -102,11 +102,11 @@
     def _count_short_all_spot(
         self, servers: dict[FailureDomainId, DomainServers]
     ) -> int:
-        short = 0
+        shortage = 0
         for second in range(40):
             left = len(servers.keys() - self._find_dry(second))
-            short += max(NEED.servers - left, 0)
-        return short
+            shortage += max(NEED.servers - left, 0)
+        return shortage
 
 
 class TestThreeDomainsAway:
@@ -120,9 +120,11 @@
         target = spread_servers(
             SpreadNeed(servers=52, domains_lost=2), SpreadBounds(1, 28), PRICES, present
         )
-        on_demand = sum(here.on_demand for here in target.values())
+        on_demand = sum(current.on_demand for current in target.values())
         assert on_demand + 26 >= 52
-        assert all(here.reclaimable + here.on_demand <= 28 for here in target.values())
+        assert all(
+            current.reclaimable + current.on_demand <= 28 for current in target.values()
+        )
 
     def test_reclaimable_servers_come_back_into_their_part(self) -> None:
         present = dict.fromkeys(PRICES, DomainServers(0, 13))
@@ -133,8 +135,8 @@
                 PRICES,
                 present,
             )
-        assert sum(here.reclaimable for here in present.values()) >= 100
-        assert sum(here.on_demand for here in present.values()) == 0
+        assert sum(current.reclaimable for current in present.values()) >= 100
+        assert sum(current.on_demand for current in present.values()) == 0
 
 
 class TestScarcity:
@@ -155,7 +157,7 @@
     def test_with_all_there_what_is_too_many_goes(self) -> None:
         calm = {domain: DomainServers(5, 0) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, calm)
-        assert all(here.reclaimable == 2 for here in target.values())
+        assert all(current.reclaimable == 2 for current in target.values())
 
 
 class TestLasting:
--- a/libs/rollout/fireflyhitch_rollout/brief.py
+++ b/libs/rollout/fireflyhitch_rollout/brief.py
@@ -13,24 +13,24 @@
 
 # A good version is taken back by chance about this often at one look; with some 40
 # looks that are not independent, in about one move in a hundred.
-CHANCE = 0.0005
+MAX_FALSE_ALARM_RATE = 0.0005
 # Fewer bad answers than this may be a server that began or a broken connection.
-LEAST_BAD = 3
+MIN_BAD_ANSWERS = 3
 # Nothing is so good that a hundred answers show fewer failures; it keeps one bad answer
 # in a quiet period from counting as proof.
-LEAST_RATE = 0.03
+MIN_EXPECTED_RATE = 0.03
 # Until this many answers the untried version gets more than its lasting share: the
 # platform allows 50 requests on top of its part, and evidence comes sooner.
-FIRST_CALLS = 30
-FIRST_SHARE = 0.2
+INITIAL_CALLS = 30
+INITIAL_SHARE = 0.2
 # The part of the allowed exposure that the lasting share uses.
-SHARE_PART = 0.7
+EXPOSURE_FRACTION = 0.7
 # A move is done at this part of its time at the soonest: some faults come late, and the
 # old servers are gone at once when it is done.
-DONE_PART = 0.75
+MIN_COMPLETION_FRACTION = 0.75
 # It is ended this long before its date, for the write and for daemons to follow.
-END_SECONDS = 2.0
-LEAST_CALLS = 8
+END_MARGIN_SECONDS = 2.0
+MIN_CALLS = 8
 
 
 class MoveEnd(Enum):
@@ -91,14 +91,14 @@
     return None
 
 
-def find_share(evidence: MoveEvidence, exposure_part: float) -> float:
+def find_share(evidence: MoveEvidence, max_exposure: float) -> float:
     """Return the part of the requests that an untried version is to get.
 
-    :param exposure_part: what the platform allows over the whole move.
+    :param max_exposure: what the platform allows over the whole move.
     """
-    if evidence.new_calls < FIRST_CALLS:
-        return FIRST_SHARE
-    return exposure_part * SHARE_PART
+    if evidence.new_calls < INITIAL_CALLS:
+        return INITIAL_SHARE
+    return max_exposure * EXPOSURE_FRACTION
 
 
 def find_end(evidence: MoveEvidence, seconds: float, duration: float) -> MoveEnd | None:
@@ -109,10 +109,12 @@
     """
     if find_fault(evidence) is not None:
         return MoveEnd.TAKEN_BACK
-    enough = evidence.new_calls >= LEAST_CALLS
-    if enough and seconds >= min(duration * DONE_PART, duration - END_SECONDS):
+    enough = evidence.new_calls >= MIN_CALLS
+    if enough and seconds >= min(
+        duration * MIN_COMPLETION_FRACTION, duration - END_MARGIN_SECONDS
+    ):
         return MoveEnd.COMPLETED
-    if seconds >= duration - END_SECONDS:
+    if seconds >= duration - END_MARGIN_SECONDS:
         # Too little was seen to trust it with everything.
         return MoveEnd.TAKEN_BACK
     return None
@@ -131,14 +133,14 @@
 
 
 def _exceeds(bad: int, calls: int, old_bad: int, old_calls: int) -> bool:
-    if bad < LEAST_BAD:
+    if bad < MIN_BAD_ANSWERS:
         return False
     # One more bad answer than seen, so that a short past is not taken for a clean one.
-    rate = max((old_bad + 1) / (old_calls + 2), LEAST_RATE)
-    return _tail(bad, calls, min(rate, 1.0)) < CHANCE
+    rate = max((old_bad + 1) / (old_calls + 2), MIN_EXPECTED_RATE)
+    return _find_binomial_tail(bad, calls, min(rate, 1.0)) < MAX_FALSE_ALARM_RATE
 
 
-def _tail(bad: int, calls: int, rate: float) -> float:
+def _find_binomial_tail(bad: int, calls: int, rate: float) -> float:
     """Return the chance of at least so many bad answers at a rate."""
     below = sum(
         comb(calls, number) * rate**number * (1 - rate) ** (calls - number)
--- a/libs/rollout/fireflyhitch_rollout/tallies.py
+++ b/libs/rollout/fireflyhitch_rollout/call_counts.py
@@ -16,7 +16,7 @@
 # that matter.
 BUCKET_GROWTH = 1.1
 _LOG_GROWTH = math.log(BUCKET_GROWTH)
-LEAST_SECONDS = 0.001
+MIN_SECONDS = 0.001
 # Latencies grow with load, so that only near loads are compared.
 BAND_LIMITS = (0.25, 0.5, 0.75, 1.0, 1.3)
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class CallCounts:
     """Calls of one cell.
 
     :param first_token: calls by bucket of the time to the first token.
@@ -63,13 +63,13 @@
     first_token: dict[int, int] = field(default_factory=dict)
     between_tokens: dict[int, int] = field(default_factory=dict)
 
-    def find_latencies(self, signal: Signal) -> dict[int, int]:
+    def get_latencies(self, signal: Signal) -> dict[int, int]:
         """Return the latencies that a signal is about."""
         if signal is Signal.FIRST_TOKEN:
             return self.first_token
         return self.between_tokens
 
-    def add(self, other: 'Tally') -> None:
+    def add(self, other: 'CallCounts') -> None:
         """Add another tally's counts."""
         self.calls += other.calls
         self.failures += other.failures
@@ -77,7 +77,7 @@
         _add_counts(self.between_tokens, other.between_tokens)
 
 
-class CellNews(BaseModel):
+class CellMessage(BaseModel):
     """One cell of a batch, on the wire."""
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -93,7 +93,7 @@
     between_tokens: dict[int, int] = {}
 
 
-class BatchNews(BaseModel):
+class BatchMessage(BaseModel):
     """What a sender counted between two of its steps.
 
     Old and new version of one period are in one batch, so that they stay
@@ -103,27 +103,27 @@
     model_config = ConfigDict(frozen=True, extra='ignore')
 
     sequence: int
-    cells: tuple[CellNews, ...]
+    cells: tuple[CellMessage, ...]
 
 
-class Level(IntEnum):
+class AggregationLevel(IntEnum):
     """Whose calls a batch counts."""
 
     DAEMON = 0
     FAILURE_DOMAIN = 1
 
 
-class EvidenceNews(PeerMessage):
+class EvidenceMessage(PeerMessage):
     """The sender's latest batches; each is sent several times."""
 
     kind: ClassVar[str] = 'evidence-news'
 
     level: int
-    batches: tuple[BatchNews, ...]
+    batches: tuple[BatchMessage, ...]
 
 
-def _add_counts(total: dict[int, int], part: dict[int, int]) -> None:
-    for bucket, count in part.items():
+def _add_counts(total: dict[int, int], added: dict[int, int]) -> None:
+    for bucket, count in added.items():
         total[bucket] = total.get(bucket, 0) + count
 
 
@@ -137,27 +137,27 @@
 
 def find_bucket(seconds: float) -> int:
     """Return the bucket of a latency."""
-    return round(math.log(max(seconds, LEAST_SECONDS) / LEAST_SECONDS) / _LOG_GROWTH)
+    return round(math.log(max(seconds, MIN_SECONDS) / MIN_SECONDS) / _LOG_GROWTH)
 
 
-def make_batch(sequence: int, cells: dict[CellKey, Tally]) -> BatchNews:
+def make_batch(sequence: int, cells: dict[CellKey, CallCounts]) -> BatchMessage:
     """Put counts into their form on the wire."""
-    return BatchNews(
+    return BatchMessage(
         sequence=sequence,
         cells=tuple(
-            CellNews(
+            CellMessage(
                 **key._asdict(),
-                calls=tally.calls,
-                failures=tally.failures,
-                first_token=dict(tally.first_token),
-                between_tokens=dict(tally.between_tokens),
+                calls=counts.calls,
+                failures=counts.failures,
+                first_token=dict(counts.first_token),
+                between_tokens=dict(counts.between_tokens),
             )
-            for key, tally in cells.items()
+            for key, counts in cells.items()
         ),
     )
 
 
-def read_batch(batch: BatchNews) -> dict[CellKey, Tally]:
+def parse_batch(batch: BatchMessage) -> dict[CellKey, CallCounts]:
     """Take counts from their form on the wire."""
     return {
         CellKey(
@@ -166,7 +166,7 @@
             cell.route,
             LoadBand(cell.band),
             cell.failure_domain,
-        ): Tally(
+        ): CallCounts(
             cell.calls,
             cell.failures,
             dict(cell.first_token),
@@ -176,7 +176,9 @@
     }
 
 
-def add_cells(total: dict[CellKey, Tally], part: dict[CellKey, Tally]) -> None:
+def add_cells(
+    total: dict[CellKey, CallCounts], added: dict[CellKey, CallCounts]
+) -> None:
     """Add one set of counts to another."""
-    for key, tally in part.items():
-        total.setdefault(key, Tally()).add(tally)
+    for key, counts in added.items():
+        total.setdefault(key, CallCounts()).add(counts)
--- a/libs/rollout/fireflyhitch_rollout/wishes.py
+++ b/libs/rollout/fireflyhitch_rollout/configuration_changes.py
@@ -15,36 +15,36 @@
 
 from fireflyhitch_model.ids import VersionId
 from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
-from fireflyhitch_rollout.schedule import end
+from fireflyhitch_rollout.schedule import end_move
 from fireflyhitch_settings.schema import Deployment, VersionMove
 
-LEAST_GAP = timedelta(milliseconds=1)
+MIN_START_GAP = timedelta(milliseconds=1)
 
 
-def follow(
+def apply_configuration(
     record: MoveRecord | None,
     deployment: Deployment,
     configured: int,
     now: datetime,
-    way_back: timedelta,
+    rollback_time: timedelta,
 ) -> MoveRecord | None:
     """Return the move's record under a configuration.
 
     :param record: the latest move, if there was one.
     :param configured: the configuration's revision.
-    :param way_back: how long before its date a move can be taken back.
+    :param rollback_time: how long before its date a move can be taken back.
     """
     if record is None:
-        return _begin(None, deployment, configured, now)
+        return _begin_move(None, deployment, configured, now)
     if configured < record.configured:
         return record
     if record.has_ended:
-        settled = _settle(record, deployment, configured)
-        return _begin(settled, deployment, configured, now)
-    return _adapt(record, deployment, configured, now + way_back)
+        settled = _update_named_version(record, deployment, configured)
+        return _begin_move(settled, deployment, configured, now)
+    return _update_running_move(record, deployment, configured, now + rollback_time)
 
 
-def find_base(record: MoveRecord | None, deployment: Deployment) -> VersionId:
+def find_base_version(record: MoveRecord | None, deployment: Deployment) -> VersionId:
     """Return the version that serves what no move shifts.
 
     The configuration may go on to name the old version as the current one
@@ -52,45 +52,47 @@
     """
     if record is None or deployment.version != record.named:
         return deployment.version
-    return record.serving
+    return record.serving_version
 
 
-def _settle(record: MoveRecord, deployment: Deployment, configured: int) -> MoveRecord:
+def _update_named_version(
+    record: MoveRecord, deployment: Deployment, configured: int
+) -> MoveRecord:
     if deployment.version == record.named:
         return record
     changes = {'named': deployment.version, 'settled': deployment.version}
     return record.model_copy(update={**changes, 'configured': configured})
 
 
-def _adapt(
-    record: MoveRecord, deployment: Deployment, configured: int, reach: datetime
+def _update_running_move(
+    record: MoveRecord, deployment: Deployment, configured: int, rollback_by: datetime
 ) -> MoveRecord:
     move = deployment.move
     if deployment.version == record.to_version:
-        return _end(record, MoveState.DONE, Reason.CONFIRMED, configured)
+        return _end_move(record, MoveState.DONE, Reason.CONFIRMED, configured)
     if move is None:
-        return _end(record, MoveState.UNDONE, Reason.CANCELLED, configured)
+        return _end_move(record, MoveState.UNDONE, Reason.CANCELLED, configured)
     if (move.to_version, deployment.version) != (record.to_version, record.named):
-        return _end(record, MoveState.UNDONE, Reason.REPLACED, configured)
+        return _end_move(record, MoveState.UNDONE, Reason.REPLACED, configured)
     if move.move_by == record.move_by:
         return record
     changes = {'move_by': move.move_by, 'configured': configured}
     moved = record.model_copy(update=changes)
-    if reach >= move.move_by:
-        return end(moved, MoveState.UNDONE, Reason.BROUGHT_FORWARD)
+    if rollback_by >= move.move_by:
+        return end_move(moved, MoveState.UNDONE, Reason.BROUGHT_FORWARD)
     return moved
 
 
-def _begin(
+def _begin_move(
     record: MoveRecord | None, deployment: Deployment, configured: int, now: datetime
 ) -> MoveRecord | None:
     move = deployment.move
-    base = find_base(record, deployment)
+    base = find_base_version(record, deployment)
     if move is None or move.to_version == base or _is_same(record, move):
         return record
     withdrawn = record.withdrawn if record else ()
     # Holders' clocks differ; a later move must not seem to be the earlier one.
-    started = max(now, record.started + LEAST_GAP) if record else now
+    started = max(now, record.started + MIN_START_GAP) if record else now
     begun = MoveRecord(
         deployment=deployment.name,
         from_version=base,
@@ -103,7 +105,7 @@
         withdrawn=withdrawn,
     )
     if move.to_version in withdrawn:
-        return end(begun, MoveState.UNDONE, Reason.FAULTY_BEFORE)
+        return end_move(begun, MoveState.UNDONE, Reason.FAULTY_BEFORE)
     return begun
 
 
@@ -113,8 +115,8 @@
     return (record.to_version, record.move_by) == (move.to_version, move.move_by)
 
 
-def _end(
+def _end_move(
     record: MoveRecord, state: MoveState, reason: Reason, configured: int
 ) -> MoveRecord:
-    ended = end(record, state, reason)
+    ended = end_move(record, state, reason)
     return ended.model_copy(update={'configured': configured})
--- a/libs/rollout/fireflyhitch_rollout/evidence.py
+++ b/libs/rollout/fireflyhitch_rollout/evidence.py
@@ -17,31 +17,31 @@
     VersionId,
 )
 from fireflyhitch_model.peers import Daemon, PeerMessenger
-from fireflyhitch_rollout.judge import Judge, Verdict
-from fireflyhitch_rollout.tallies import (
-    BatchNews,
+from fireflyhitch_rollout.call_counts import (
+    AggregationLevel,
+    BatchMessage,
+    CallCounts,
     CellKey,
-    EvidenceNews,
-    Level,
-    Tally,
+    EvidenceMessage,
     add_cells,
     find_band,
     find_bucket,
     make_batch,
-    read_batch,
+    parse_batch,
 )
+from fireflyhitch_rollout.sequential_test import SequentialTest, Verdict
 
 # Each batch goes out this often, so that it is lost only with as many messages.
-SENDINGS = 3
-SEND_SECONDS = 1.0
-CARRIERS = 2
-REMEMBERED_BATCHES = 64
+SENDS_PER_BATCH = 3
+SEND_INTERVAL_SECONDS = 1.0
+AGGREGATORS_PER_DOMAIN = 2
+DEDUPLICATION_WINDOW = 64
 # Calls that one crash breaks off together are one piece of evidence.
-FAILURE_GAP_SECONDS = 0.4
+FAILURE_DEDUPLICATION_SECONDS = 0.4
 # A server that has just begun has a cold prefix cache, which is no fault; it
 # fills by calls, of which each daemon sees its part.
 WARMUP_CALLS = 60
-LEAST_WARMUP_CALLS = 3
+MIN_WARMUP_CALLS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,29 +60,31 @@
     daemon's traffic does not grow with the number of daemons elsewhere.
     """
 
-    def __init__(self, here: Daemon, messenger: PeerMessenger, clock: Clock) -> None:
+    def __init__(
+        self, local_daemon: Daemon, messenger: PeerMessenger, clock: Clock
+    ) -> None:
         """Make a book that watches no deployment yet."""
-        self._here = here
+        self._local_daemon = local_daemon
         self._messenger = messenger
         self._clock = clock
         self._lock = Lock()
         self._trials: dict[DeploymentId, Trial] = {}
-        self._judges: dict[DeploymentId, Judge] = {}
-        self._fresh: dict[CellKey, Tally] = {}
-        self._received: dict[CellKey, Tally] = {}
-        self._domain: dict[CellKey, Tally] = {}
-        self._unsent: dict[CellKey, Tally] = {}
+        self._judges: dict[DeploymentId, SequentialTest] = {}
+        self._unjudged: dict[CellKey, CallCounts] = {}
+        self._received: dict[CellKey, CallCounts] = {}
+        self._domain_counts: dict[CellKey, CallCounts] = {}
+        self._unsent: dict[CellKey, CallCounts] = {}
         self._send_after = 0.0
         self._sequence = 0
-        self._own_batches: deque[BatchNews] = deque(maxlen=SENDINGS)
-        self._domain_batches: deque[BatchNews] = deque(maxlen=SENDINGS)
+        self._own_batches: deque[BatchMessage] = deque(maxlen=SENDS_PER_BATCH)
+        self._domain_batches: deque[BatchMessage] = deque(maxlen=SENDS_PER_BATCH)
         self._seen: dict[tuple[DaemonId, int], deque[int]] = {}
         self._leaving: frozenset[BackendServerId] = frozenset()
         self._served: Counter[BackendServerId] = Counter()
         self._warmup = WARMUP_CALLS
         self._last_failed: dict[BackendServerId, float] = {}
         self._holders: frozenset[DaemonId] = frozenset()
-        messenger.handle(EvidenceNews, self._take_news)
+        messenger.handle(EvidenceMessage, self._receive_batches)
 
     def record(
         self,
@@ -106,7 +108,7 @@
             return
         now = self._clock.monotonic()
         with self._lock:
-            if self._is_excused(server.server_id, ok, now):
+            if self._is_excluded(server.server_id, ok, now):
                 return
             key = CellKey(
                 call.deployment,
@@ -115,23 +117,23 @@
                 find_band(load),
                 server.failure_domain,
             )
-            tally = self._fresh.get(key)
-            if tally is None:
-                tally = Tally()
-                self._fresh[key] = tally
-            _count(
-                tally, ok, self._is_warm(server.server_id), first_token, between_tokens
+            counts = self._unjudged.get(key)
+            if counts is None:
+                counts = CallCounts()
+                self._unjudged[key] = counts
+            _count_call(
+                counts, ok, self._is_warm(server.server_id), first_token, between_tokens
             )
 
-    def watch(self, trials: Mapping[DeploymentId, Trial]) -> None:
+    def set_trials(self, trials: Mapping[DeploymentId, Trial]) -> None:
         """Say which deployments are on trial; the others are not recorded."""
         with self._lock:
             for deployment, trial in trials.items():
                 if self._trials.get(deployment) != trial:
-                    self._judges[deployment] = Judge(trial.old, trial.new)
+                    self._judges[deployment] = SequentialTest(trial.old, trial.new)
             self._trials = dict(trials)
-            for gone in self._judges.keys() - trials.keys():
-                self._judges.pop(gone)
+            for removed in self._judges.keys() - trials.keys():
+                self._judges.pop(removed)
 
     def mark_leaving(self, servers: Iterable[BackendServerId]) -> None:
         """Leave out failures at servers that are being taken away."""
@@ -144,9 +146,9 @@
     def step(self) -> dict[DeploymentId, Verdict]:
         """Pass on what is new and return the faults that it shows."""
         with self._lock:
-            own = self._fresh
+            own = self._unjudged
             received = self._received
-            self._fresh = {}
+            self._unjudged = {}
             self._received = {}
             judges = dict(self._judges)
         add_cells(self._unsent, own)
@@ -155,26 +157,26 @@
         verdicts: dict[DeploymentId, Verdict] = {}
         for deployment, judge in judges.items():
             cells = {
-                key: tally
-                for key, tally in received.items()
+                key: counts
+                for key, counts in received.items()
                 if key.deployment == deployment
             }
-            verdict = judge.weigh(cells)
+            verdict = judge.add_batch(cells)
             if verdict is not None:
                 verdicts[deployment] = verdict
         return verdicts
 
-    def find_judge(self, deployment: DeploymentId) -> Judge | None:
+    def find_judge(self, deployment: DeploymentId) -> SequentialTest | None:
         """Return what is known of a deployment on trial."""
         return self._judges.get(deployment)
 
-    def _is_excused(self, server: BackendServerId, ok: bool, now: float) -> bool:
+    def _is_excluded(self, server: BackendServerId, ok: bool, now: float) -> bool:
         if ok:
             return False
         if server in self._leaving:
             return True
         last = self._last_failed.get(server)
-        if last is not None and now - last < FAILURE_GAP_SECONDS:
+        if last is not None and now - last < FAILURE_DEDUPLICATION_SECONDS:
             return True
         self._last_failed[server] = now
         return False
@@ -187,45 +189,52 @@
         now = self._clock.monotonic()
         if now < self._send_after:
             return
-        self._send_after = now + SEND_SECONDS
+        self._send_after = now + SEND_INTERVAL_SECONDS
         own = self._unsent
         self._unsent = {}
         with self._lock:
-            domain = self._domain
-            self._domain = {}
+            domain = self._domain_counts
+            self._domain_counts = {}
         self._send(own, domain)
 
-    def _send(self, own: dict[CellKey, Tally], domain: dict[CellKey, Tally]) -> None:
+    def _send(
+        self, own: dict[CellKey, CallCounts], domain: dict[CellKey, CallCounts]
+    ) -> None:
         if not self._trials:
             return
         self._sequence += 1
         members = self._list_members()
         daemons = sum(len(inside) for inside in members.values())
-        self._warmup = max(WARMUP_CALLS // max(daemons, 1), LEAST_WARMUP_CALLS)
-        here = self._here
-        near = self._choose_near(members, here.failure_domain)
-        others = near - {here.daemon_id}
+        self._warmup = max(WARMUP_CALLS // max(daemons, 1), MIN_WARMUP_CALLS)
+        local_daemon = self._local_daemon
+        local_receivers = self._choose_receivers(members, local_daemon.failure_domain)
+        others = local_receivers - {local_daemon.daemon_id}
         if others:
             self._own_batches.append(make_batch(self._sequence, own))
-            self._tell(others, Level.DAEMON, self._own_batches)
-        carriers = _choose_carriers(here.failure_domain, members)
-        if not carriers or carriers[0] != here.daemon_id:
+            self._send_batches(others, AggregationLevel.DAEMON, self._own_batches)
+        aggregators = _choose_aggregators(local_daemon.failure_domain, members)
+        if not aggregators or aggregators[0] != local_daemon.daemon_id:
             return
         add_cells(domain, own)
         self._domain_batches.append(make_batch(self._sequence, domain))
-        for other in members.keys() - {here.failure_domain}:
-            far = self._choose_near(members, other)
-            self._tell(far, Level.FAILURE_DOMAIN, self._domain_batches)
+        for other in members.keys() - {local_daemon.failure_domain}:
+            remote_receivers = self._choose_receivers(members, other)
+            self._send_batches(
+                remote_receivers, AggregationLevel.FAILURE_DOMAIN, self._domain_batches
+            )
 
-    def _tell(
-        self, targets: set[DaemonId], level: Level, batches: deque[BatchNews]
+    def _send_batches(
+        self,
+        targets: set[DaemonId],
+        level: AggregationLevel,
+        batches: deque[BatchMessage],
     ) -> None:
         if not any(batch.cells for batch in batches):
             return
         filled = tuple(batch for batch in batches if batch.cells)
-        news = EvidenceNews(level=level, batches=filled)
+        message = EvidenceMessage(level=level, batches=filled)
         for target in sorted(targets):
-            self._messenger.tell(target, news)
+            self._messenger.tell(target, message)
 
     def _list_members(self) -> dict[FailureDomainId, list[DaemonId]]:
         members: dict[FailureDomainId, list[DaemonId]] = {}
@@ -233,51 +242,53 @@
             members.setdefault(daemon.failure_domain, []).append(daemon.daemon_id)
         return members
 
-    def _choose_near(
+    def _choose_receivers(
         self,
         members: dict[FailureDomainId, list[DaemonId]],
         domain: FailureDomainId,
     ) -> set[DaemonId]:
         inside = members.get(domain, [])
-        chosen = set(_choose_carriers(domain, members))
+        chosen = set(_choose_aggregators(domain, members))
         return chosen.union(self._holders.intersection(inside))
 
-    def _take_news(self, sender: DaemonId, news: EvidenceNews) -> None:
+    def _receive_batches(self, sender: DaemonId, message: EvidenceMessage) -> None:
         with self._lock:
             seen = self._seen.setdefault(
-                (sender, news.level), deque(maxlen=REMEMBERED_BATCHES)
+                (sender, message.level), deque(maxlen=DEDUPLICATION_WINDOW)
             )
-            for batch in news.batches:
+            for batch in message.batches:
                 if batch.sequence in seen:
                     continue
                 seen.append(batch.sequence)
-                cells = read_batch(batch)
+                cells = parse_batch(batch)
                 add_cells(self._received, cells)
-                if news.level == Level.DAEMON:
-                    add_cells(self._domain, cells)
+                if message.level == AggregationLevel.DAEMON:
+                    add_cells(self._domain_counts, cells)
 
 
-def _choose_carriers(
+def _choose_aggregators(
     domain: FailureDomainId, members: dict[FailureDomainId, list[DaemonId]]
 ) -> list[DaemonId]:
-    return rank_by_hash(f'evidence {domain}', members.get(domain, []))[:CARRIERS]
+    return rank_by_hash(f'evidence {domain}', members.get(domain, []))[
+        :AGGREGATORS_PER_DOMAIN
+    ]
 
 
-def _count(
-    tally: Tally,
+def _count_call(
+    counts: CallCounts,
     ok: bool,
     warm: bool,
     first_token: float | None,
     between_tokens: float | None,
 ) -> None:
-    tally.calls += 1
+    counts.calls += 1
     if not ok:
-        tally.failures += 1
+        counts.failures += 1
         return
     if warm and first_token is not None:
-        _count_latency(tally.first_token, first_token)
+        _count_latency(counts.first_token, first_token)
     if warm and between_tokens is not None:
-        _count_latency(tally.between_tokens, between_tokens)
+        _count_latency(counts.between_tokens, between_tokens)
 
 
 def _count_latency(counts: dict[int, int], seconds: float) -> None:
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -21,40 +21,43 @@
 from fireflyhitch_model.peers import Daemon, PeerMessenger, Scope
 from fireflyhitch_model.states import Step
 from fireflyhitch_platform.keyvalue import KeyValueStore
-from fireflyhitch_rollout.archive import MoveArchive
+from fireflyhitch_rollout.configuration_changes import (
+    apply_configuration,
+    find_base_version,
+)
 from fireflyhitch_rollout.evidence import EvidenceBook, Trial
-from fireflyhitch_rollout.phases import PhaseCounts
+from fireflyhitch_rollout.phase_tracker import PhaseTracker
+from fireflyhitch_rollout.record_store import MoveRecordStore
 from fireflyhitch_rollout.records import (
-    MoveNews,
+    MoveMessage,
     MoveRecord,
     MoveReport,
     MoveState,
     Reason,
-    WithdrawalNews,
+    WithdrawalMessage,
 )
 from fireflyhitch_rollout.schedule import (
+    MoveConditions,
     Pace,
-    Situation,
     advance,
-    end,
+    end_move,
     find_burst_length,
+    find_rollback_time,
     find_share,
-    find_way_back,
 )
 from fireflyhitch_rollout.shares import VersionPicker, VersionShares, choose_servers
 from fireflyhitch_rollout.supplies import Supply, find_needs
-from fireflyhitch_rollout.walltime import SteadyTime
-from fireflyhitch_rollout.wishes import find_base, follow
+from fireflyhitch_rollout.wall_clock import StableWallClock
 from fireflyhitch_settings.schema import Configuration, Deployment
 
 DUTY_PREFIX = 'moves/'
-READ_SECONDS = 30.0
+READ_INTERVAL_SECONDS = 30.0
 # How often a record or withdrawal that does not change is told again.
-REPEAT_SECONDS = 5.0
+RESEND_SECONDS = 5.0
 
 
 @dataclass(slots=True)
-class _Told:
+class _SendTimes:
     """When withdrawals and records were last told, in monotonic seconds."""
 
     records: dict[DeploymentId, float] = field(default_factory=dict)
@@ -72,7 +75,7 @@
 
     def __init__(
         self,
-        here: Daemon,
+        local_daemon: Daemon,
         store: KeyValueStore,
         messenger: PeerMessenger,
         duties: DutyKeeper,
@@ -82,35 +85,35 @@
     ) -> None:
         """Make a keeper without moves; the picker is updated by it alone."""
         self.pace = Pace()
-        self._here = here
-        self._archive = MoveArchive(store)
+        self._local_daemon = local_daemon
+        self._records = MoveRecordStore(store)
         self._messenger = messenger
         self._duties = duties
         self._evidence = evidence
         self._picker = picker
         self._clock = clock
-        self._time = SteadyTime(clock)
+        self._wall_clock = StableWallClock(clock)
         self._lock = RLock()
         self._deployments: dict[DeploymentId, Deployment] = {}
-        self._configured = -1
+        self._revision = -1
         self._supplies: Mapping[DeploymentId, Supply] = {}
-        self._phases = PhaseCounts(clock)
-        self._told = _Told()
+        self._phases = PhaseTracker(clock)
+        self._sent_at = _SendTimes()
         self._holders: dict[DeploymentId, DaemonId] = {}
-        self._read_after = 0.0
-        messenger.handle(MoveNews, self._take_record)
-        messenger.handle(WithdrawalNews, self._take_withdrawal)
+        self._next_read = 0.0
+        messenger.handle(MoveMessage, self._receive_record)
+        messenger.handle(WithdrawalMessage, self._receive_withdrawal)
 
     def configure(self, configuration: Configuration, revision: int) -> None:
         """Follow a configuration; one of a lower revision is passed over."""
         with self._lock:
-            if revision <= self._configured:
+            if revision <= self._revision:
                 return
-            self._configured = revision
+            self._revision = revision
             self._deployments = {
                 deployment.name: deployment for deployment in configuration.deployments
             }
-            self._publish()
+            self._apply_shares()
 
     def list_duties(self) -> tuple[DutyId, ...]:
         """Return the duties that the moves need, for the duty keeper."""
@@ -120,20 +123,20 @@
         """Say what there is to serve with; to be called when it changes."""
         with self._lock:
             self._supplies = dict(supplies)
-            self._publish()
+            self._apply_shares()
 
     def step(self) -> None:
         """Judge the evidence, advance what this daemon holds, keep the dates."""
         for deployment, verdict in self._evidence.step().items():
-            record = self._archive.find(deployment)
+            record = self._records.find(deployment)
             if record is not None and not record.has_ended:
                 self.withdraw(deployment, record.to_version, (verdict.evidence,))
         with self._lock:
             self._read_when_due()
-            for wished in self._deployments.values():
-                self._lead(wished.name, wished)
-            self._repeat_withdrawals()
-            self._publish()
+            for configured in self._deployments.values():
+                self._advance_record(configured.name, configured)
+            self._resend_withdrawals()
+            self._apply_shares()
 
     def withdraw(
         self, deployment: DeploymentId, version: VersionId, evidence: Sequence[str]
@@ -141,9 +144,9 @@
         """Take a version back for a fault, here at once and then everywhere."""
         self._picker.withdraw(deployment, version)
         with self._lock:
-            self._note_withdrawal(deployment, version, tuple(evidence))
-            self._tell_withdrawal(deployment, version, tuple(evidence))
-            self._publish()
+            self._record_withdrawal(deployment, version, tuple(evidence))
+            self._send_withdrawal(deployment, version, tuple(evidence))
+            self._apply_shares()
 
     def moves(self) -> tuple[MoveReport, ...]:
         """Return the latest move of each deployment that has one."""
@@ -154,56 +157,59 @@
     def list_needs(self, deployment: DeploymentId) -> tuple[VersionNeed, ...]:
         """Return what the fleet has to hold ready of each version."""
         with self._lock:
-            record = self._archive.find(deployment)
-            base = find_base(record, self._deployments[deployment])
+            record = self._records.find(deployment)
+            base = find_base_version(record, self._deployments[deployment])
             return find_needs(record, base, self.pace)
 
-    def _lead(self, name: DeploymentId, deployment: Deployment) -> None:
+    def _advance_record(self, name: DeploymentId, deployment: Deployment) -> None:
         """Bring the store's record on, as far as this daemon may."""
         fencing = self._duties.holds(find_duty(name))
-        if fencing is None and not self._has_unsaved(name):
+        if fencing is None and not self._has_unsaved_withdrawal(name):
             return
-        if not self._archive.is_read(name) and not self._archive.read(name):
+        if not self._records.has_revision(name) and not self._records.read(name):
             return
-        known = self._archive.find(name)
-        record = known
+        previous = self._records.find(name)
+        record = previous
         if fencing is not None:
-            record = self._plan(known, deployment)
-        if record is None or (record == known and self._archive.is_saved(name)):
-            self._confirm(record, fencing)
+            record = self._plan(previous, deployment)
+        if record is None or (record == previous and self._records.is_stored(name)):
+            self._resend_when_due(record, fencing)
             return
         if fencing is not None:
             record = record.model_copy(update={'fencing': fencing})
-        self._write(record, known, fencing)
+        self._write(record, previous, fencing)
 
-    def _has_unsaved(self, name: DeploymentId) -> bool:
+    def _has_unsaved_withdrawal(self, name: DeploymentId) -> bool:
         # Only the daemon that found a fault writes it; all that hear of it
         # would be as many writes as there are daemons.
         return any(
-            deployment == name and not self._archive.has_saved(deployment, version)
-            for deployment, version in self._told.withdrawals
+            deployment == name
+            and not self._records.has_stored_withdrawal(deployment, version)
+            for deployment, version in self._sent_at.withdrawals
         )
 
     def _plan(
-        self, known: MoveRecord | None, deployment: Deployment
+        self, previous: MoveRecord | None, deployment: Deployment
     ) -> MoveRecord | None:
-        now = self._time.now()
-        way_back = self._find_way_back(known, deployment)
-        record = follow(known, deployment, self._configured, now, way_back)
+        now = self._wall_clock.now()
+        rollback_time = self._find_rollback_time(previous, deployment)
+        record = apply_configuration(
+            previous, deployment, self._revision, now, rollback_time
+        )
         if record is None or record.has_ended:
             return record
         supply = self._supplies.get(deployment.name, Supply())
         judge = self._evidence.find_judge(deployment.name)
-        situation = Situation(
+        conditions = MoveConditions(
             now=now,
-            last_return=record.move_by - way_back,
-            finish_by=record.move_by - find_way_back(0, 1, supply.start_time),
+            rollback_deadline=record.move_by - rollback_time,
+            finish_by=record.move_by - find_rollback_time(0, 1, supply.start_time),
             capacity=supply.find_capacity(record.to_version),
             old_servers=len(supply.list_version(record.from_version)),
-            proven=judge is not None and judge.has_enough(self.pace.least_calls),
-            phase_calls=self._phases.count(record, judge),
+            proven=judge is not None and judge.has_enough_calls(self.pace.least_calls),
+            phase_calls=self._phases.count_calls(record, judge),
         )
-        record = advance(record, situation, self.pace)
+        record = advance(record, conditions, self.pace)
         if record.has_ended and judge is not None:
             record = record.model_copy(update={'evidence': judge.describe()})
         return record
@@ -211,20 +217,20 @@
     def _write(
         self,
         record: MoveRecord,
-        known: MoveRecord | None,
+        previous: MoveRecord | None,
         fencing: FencingNumber | None,
     ) -> None:
-        raises = self._is_raise(record, known)
+        is_raise = self._raises_share(record, previous)
         invariant(
-            not raises or self._duties.holds(find_duty(record.deployment)) == fencing,
+            not is_raise or self._duties.holds(find_duty(record.deployment)) == fencing,
             Invariant.SHARE_NEEDS_LEASE,
             f'{record.deployment} to {record.to_version}',
             step=Step.PLAN,
         )
         # Without the lease only a withdrawal is written.
-        if raises and fencing is None:
+        if is_raise and fencing is None:
             return
-        if not self._archive.write(record):
+        if not self._records.write(record):
             return
         logger.bind(
             deployment=record.deployment,
@@ -232,127 +238,133 @@
             state=record.state.value,
             reason=record.reason.value if record.reason else None,
         ).info('move written')
-        self._tell_record(record)
+        self._send_record(record)
 
-    def _is_raise(self, record: MoveRecord, known: MoveRecord | None) -> bool:
+    def _raises_share(self, record: MoveRecord, previous: MoveRecord | None) -> bool:
         if record.state is MoveState.UNDONE:
             return False
-        if known is None or known.attempt != record.attempt:
+        if previous is None or previous.move_key != record.move_key:
             return True
-        return find_share(record, 1, self.pace) > find_share(known, 1, self.pace)
+        return find_share(record, 1, self.pace) > find_share(previous, 1, self.pace)
 
-    def _confirm(
+    def _resend_when_due(
         self, record: MoveRecord | None, fencing: FencingNumber | None
     ) -> None:
         if record is None or fencing is None:
             return
-        told = self._told.records.get(record.deployment)
-        if told is None or self._clock.monotonic() - told >= REPEAT_SECONDS:
-            self._tell_record(record)
+        sent_at = self._sent_at.records.get(record.deployment)
+        if sent_at is None or self._clock.monotonic() - sent_at >= RESEND_SECONDS:
+            self._send_record(record)
 
-    def _tell_record(self, record: MoveRecord) -> None:
-        self._told.records[record.deployment] = self._clock.monotonic()
-        self._messenger.spread(MoveNews(record=record), Scope.EVERYWHERE)
+    def _send_record(self, record: MoveRecord) -> None:
+        self._sent_at.records[record.deployment] = self._clock.monotonic()
+        self._messenger.spread(MoveMessage(record=record), Scope.EVERYWHERE)
 
-    def _take_record(self, sender: DaemonId, news: MoveNews) -> None:
+    def _receive_record(self, sender: DaemonId, message: MoveMessage) -> None:
         with self._lock:
-            self._holders[news.record.deployment] = sender
-            self._archive.merge(news.record)
-            self._publish()
+            self._holders[message.record.deployment] = sender
+            self._records.merge(message.record)
+            self._apply_shares()
 
-    def _take_withdrawal(self, sender: DaemonId, news: WithdrawalNews) -> None:
-        self._picker.withdraw(news.deployment, news.version)
+    def _receive_withdrawal(self, sender: DaemonId, message: WithdrawalMessage) -> None:
+        self._picker.withdraw(message.deployment, message.version)
         with self._lock:
-            self._note_withdrawal(news.deployment, news.version, news.evidence)
-            self._publish()
+            self._record_withdrawal(
+                message.deployment, message.version, message.evidence
+            )
+            self._apply_shares()
 
-    def _note_withdrawal(
+    def _record_withdrawal(
         self, deployment: DeploymentId, version: VersionId, evidence: tuple[str, ...]
     ) -> None:
-        record = self._archive.find(deployment)
+        record = self._records.find(deployment)
         if record is None or version in record.withdrawn:
             return
         withdrawn = tuple(sorted({*record.withdrawn, version}))
         record = record.model_copy(update={'withdrawn': withdrawn})
         if record.to_version == version and record.state is not MoveState.UNDONE:
-            record = end(record, MoveState.UNDONE, Reason.FAULT)
+            record = end_move(record, MoveState.UNDONE, Reason.FAULT)
             record = record.model_copy(update={'evidence': evidence})
-        self._archive.merge(record)
+        self._records.merge(record)
         logger.bind(deployment=deployment, version=version, evidence=evidence).warning(
             'version withdrawn'
         )
 
-    def _tell_withdrawal(
+    def _send_withdrawal(
         self, deployment: DeploymentId, version: VersionId, evidence: tuple[str, ...]
     ) -> None:
-        self._told.withdrawals[deployment, version] = self._clock.monotonic()
-        news = WithdrawalNews(deployment=deployment, version=version, evidence=evidence)
-        self._messenger.spread(news, Scope.EVERYWHERE)
+        self._sent_at.withdrawals[deployment, version] = self._clock.monotonic()
+        message = WithdrawalMessage(
+            deployment=deployment, version=version, evidence=evidence
+        )
+        self._messenger.spread(message, Scope.EVERYWHERE)
 
-    def _repeat_withdrawals(self) -> None:
+    def _resend_withdrawals(self) -> None:
         """Tell again what was withdrawn here, for daemons that were cut off."""
         now = self._clock.monotonic()
-        for (deployment, version), told in tuple(self._told.withdrawals.items()):
-            record = self._archive.find(deployment)
-            if record is None or now - told < REPEAT_SECONDS:
+        for (deployment, version), sent_at in tuple(self._sent_at.withdrawals.items()):
+            record = self._records.find(deployment)
+            if record is None or now - sent_at < RESEND_SECONDS:
                 continue
-            self._tell_withdrawal(deployment, version, record.evidence)
+            self._send_withdrawal(deployment, version, record.evidence)
 
     def _read_when_due(self) -> None:
         now = self._clock.monotonic()
-        if now >= self._read_after:
-            self._archive.read_all()
-            self._read_after = now + READ_SECONDS
+        if now >= self._next_read:
+            self._records.read_all()
+            self._next_read = now + READ_INTERVAL_SECONDS
 
-    def _find_way_back(
+    def _find_rollback_time(
         self, record: MoveRecord | None, deployment: Deployment
     ) -> timedelta:
         supply = self._supplies.get(deployment.name, Supply())
         old = record.from_version if record else deployment.version
         count = len(supply.list_version(old))
-        return find_way_back(count, supply.needed, supply.start_time)
+        return find_rollback_time(count, supply.needed, supply.start_time)
 
-    def _publish(self) -> None:
+    def _apply_shares(self) -> None:
         """Put the shares of all deployments in force at this daemon."""
         shares = {}
         trials = {}
         for name, deployment in self._deployments.items():
-            record = self._view(deployment)
+            record = self._find_effective_record(deployment)
             shares[name] = self._find_shares(record, deployment)
             if record is not None and not record.has_ended:
                 trials[name] = Trial(record.from_version, record.to_version)
         self._picker.update(shares)
-        self._evidence.watch(trials)
+        self._evidence.set_trials(trials)
         self._evidence.set_holders(self._holders.values())
 
-    def _view(self, deployment: Deployment) -> MoveRecord | None:
+    def _find_effective_record(self, deployment: Deployment) -> MoveRecord | None:
         """Return the record with what this daemon may lower by itself.
 
         That is a move which the operators took out or replaced, and one whose
         last return has come without word that it is done.
         """
-        record = self._archive.find(deployment.name)
+        record = self._records.find(deployment.name)
         if record is None or record.has_ended:
             return record
         for version in record.withdrawn:
             self._picker.withdraw(deployment.name, version)
-        now = self._time.now()
-        way_back = self._find_way_back(record, deployment)
-        followed = follow(record, deployment, self._configured, now, way_back)
+        now = self._wall_clock.now()
+        rollback_time = self._find_rollback_time(record, deployment)
+        followed = apply_configuration(
+            record, deployment, self._revision, now, rollback_time
+        )
         if followed is None or followed.has_ended:
             return followed
-        if now >= followed.move_by - way_back:
-            return end(followed, MoveState.UNDONE, Reason.UNCONFIRMED)
+        if now >= followed.move_by - rollback_time:
+            return end_move(followed, MoveState.UNDONE, Reason.UNCONFIRMED)
         return followed
 
     def _find_shares(
         self, record: MoveRecord | None, deployment: Deployment
     ) -> VersionShares:
-        base = find_base(record, deployment)
+        base = find_base_version(record, deployment)
         if record is None or record.has_ended:
             return VersionShares(base)
         invariant(
-            self._time.now() < record.move_by,
+            self._wall_clock.now() < record.move_by,
             Invariant.MOVE_ENDS,
             f'{record.deployment} to {record.to_version}',
             step=Step.PLAN,
@@ -369,7 +381,7 @@
 
     def _report(self, name: DeploymentId) -> MoveReport | None:
         deployment = self._deployments[name]
-        record = self._view(deployment)
+        record = self._find_effective_record(deployment)
         if record is None:
             return None
         judge = self._evidence.find_judge(name)
@@ -383,7 +395,7 @@
             state=record.state,
             share=1 if record.state is MoveState.DONE else share,
             move_by=record.move_by,
-            last_return=record.move_by - self._find_way_back(record, deployment),
+            last_return=record.move_by - self._find_rollback_time(record, deployment),
             reason=record.reason,
             evidence=described or record.evidence,
         )
--- a/libs/rollout/fireflyhitch_rollout/phases.py
+++ b/libs/rollout/fireflyhitch_rollout/phase_tracker.py
@@ -5,34 +5,34 @@
 
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.ids import DeploymentId
-from fireflyhitch_rollout.judge import Judge
 from fireflyhitch_rollout.records import MoveRecord
+from fireflyhitch_rollout.sequential_test import SequentialTest
 
 # A burst ends by the holder's word; this is for when that word does not come.
 BURST_GRACE = timedelta(seconds=3)
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
+class _PhaseStart:
     """A phase and what a count was when it was first seen."""
 
     phase: tuple[object, ...]
     value: float
 
 
-class PhaseCounts:
+class PhaseTracker:
     """Remembers when, and at how many calls, each phase was first seen here."""
 
     def __init__(self, clock: Clock) -> None:
         """Make it without phases."""
         self._clock = clock
-        self._times: dict[DeploymentId, _Mark] = {}
-        self._calls: dict[DeploymentId, _Mark] = {}
+        self._start_times: dict[DeploymentId, _PhaseStart] = {}
+        self._start_calls: dict[DeploymentId, _PhaseStart] = {}
 
-    def count(self, record: MoveRecord, judge: Judge | None) -> int:
+    def count_calls(self, record: MoveRecord, judge: SequentialTest | None) -> int:
         """Return the new version's calls since the phase was first seen."""
         calls = judge.count_new() if judge else 0
-        return calls - int(_see(self._calls, record, calls))
+        return calls - int(_find_start(self._start_calls, record, calls))
 
     def is_overdue(self, record: MoveRecord, burst_length: timedelta) -> bool:
         """Tell whether a burst lasts longer than it may.
@@ -41,16 +41,18 @@
         go on to expose more than the bound.
         """
         now = self._clock.monotonic()
-        began = _see(self._times, record, now)
+        began = _find_start(self._start_times, record, now)
         if record.burst % 2 == 0:
             return False
         return now - began > (burst_length + BURST_GRACE).total_seconds()
 
 
-def _see(marks: dict[DeploymentId, _Mark], record: MoveRecord, value: float) -> float:
-    phase = (record.attempt, record.state, record.step, record.burst)
-    mark = marks.get(record.deployment)
-    if mark is None or mark.phase != phase:
-        mark = _Mark(phase, value)
-        marks[record.deployment] = mark
-    return mark.value
+def _find_start(
+    starts: dict[DeploymentId, _PhaseStart], record: MoveRecord, value: float
+) -> float:
+    phase = (record.move_key, record.state, record.step, record.burst)
+    start = starts.get(record.deployment)
+    if start is None or start.phase != phase:
+        start = _PhaseStart(phase, value)
+        starts[record.deployment] = start
+    return start.value
--- a/libs/rollout/fireflyhitch_rollout/archive.py
+++ b/libs/rollout/fireflyhitch_rollout/record_store.py
@@ -20,7 +20,7 @@
     revision: Revision | None = None
 
 
-class MoveArchive:
+class MoveRecordStore:
     """Keeps the merge of all that was read, written and heard of."""
 
     def __init__(self, store: KeyValueStore) -> None:
@@ -36,8 +36,8 @@
     def merge(self, record: MoveRecord) -> MoveRecord:
         """Take in a record from anywhere and return what holds."""
         entry = self._entries.setdefault(record.deployment, _Entry())
-        known = entry.record
-        entry.record = record if known is None else merge_records(known, record)
+        previous = entry.record
+        entry.record = record if previous is None else merge_records(previous, record)
         return entry.record
 
     def read_all(self) -> bool:
@@ -51,7 +51,7 @@
             logger.bind(step=error.step.value).warning('moves not read')
             return False
         for item in listing.items:
-            self._take(DeploymentId(item.key.removeprefix(KEY_PREFIX)), item)
+            self._apply(DeploymentId(item.key.removeprefix(KEY_PREFIX)), item)
         return True
 
     def read(self, deployment: DeploymentId) -> bool:
@@ -64,22 +64,24 @@
         except PlatformError as error:
             logger.bind(step=error.step.value).warning('move not read')
             return False
-        self._take(deployment, current)
+        self._apply(deployment, current)
         return True
 
-    def is_read(self, deployment: DeploymentId) -> bool:
+    def has_revision(self, deployment: DeploymentId) -> bool:
         """Tell whether the store's revision of a move is known."""
         entry = self._entries.get(deployment)
         return entry is not None and entry.revision is not None
 
-    def has_saved(self, deployment: DeploymentId, version: VersionId) -> bool:
+    def has_stored_withdrawal(
+        self, deployment: DeploymentId, version: VersionId
+    ) -> bool:
         """Tell whether the store has a version down as withdrawn."""
         entry = self._entries.get(deployment)
         if entry is None or entry.stored is None:
             return False
         return version in entry.stored.withdrawn
 
-    def is_saved(self, deployment: DeploymentId) -> bool:
+    def is_stored(self, deployment: DeploymentId) -> bool:
         """Tell whether the store, as last read, has all that is known."""
         entry = self._entries.get(deployment)
         return entry is None or entry.record == entry.stored
@@ -104,14 +106,14 @@
             logger.bind(step=error.step.value).warning('move not written')
             return False
         if isinstance(written, Conflict):
-            self._take(record.deployment, written.current)
+            self._apply(record.deployment, written.current)
             return False
         entry.revision = written.revision
         entry.stored = record
         self.merge(record)
         return True
 
-    def _take(self, deployment: DeploymentId, current: KeyValue | None) -> None:
+    def _apply(self, deployment: DeploymentId, current: KeyValue | None) -> None:
         entry = self._entries.setdefault(deployment, _Entry())
         entry.revision = current.revision if current else ABSENT
         if current is None:
--- a/libs/rollout/fireflyhitch_rollout/records.py
+++ b/libs/rollout/fireflyhitch_rollout/records.py
@@ -80,19 +80,19 @@
         return self.state in {MoveState.DONE, MoveState.UNDONE}
 
     @property
-    def serving(self) -> VersionId:
+    def serving_version(self) -> VersionId:
         """The version that serves what the move does not shift."""
         if self.settled is not None:
             return self.settled
         return self.to_version if self.state is MoveState.DONE else self.from_version
 
     @property
-    def attempt(self) -> tuple[str, datetime]:
+    def move_key(self) -> tuple[str, datetime]:
         """What tells one move of a deployment from another."""
         return (self.to_version, self.started)
 
 
-class MoveNews(PeerMessage):
+class MoveMessage(PeerMessage):
     """The holder's record, confirmed by the store when it was sent."""
 
     kind: ClassVar[str] = 'move-news'
@@ -100,7 +100,7 @@
     record: MoveRecord
 
 
-class WithdrawalNews(PeerMessage):
+class WithdrawalMessage(PeerMessage):
     """A version that a daemon has taken back for a fault."""
 
     kind: ClassVar[str] = 'withdrawal-news'
@@ -137,7 +137,7 @@
     Of two moves the later configured one holds. Within one move ``UNDONE``
     wins, then the further one. Versions withdrawn in either stay withdrawn.
     """
-    ahead = max(one, other, key=_weight)
+    ahead = max(one, other, key=_rank)
     withdrawn = tuple(sorted({*one.withdrawn, *other.withdrawn}))
     ahead = ahead.model_copy(update={'withdrawn': withdrawn})
     if ahead.to_version in withdrawn and ahead.state is not MoveState.UNDONE:
@@ -146,7 +146,7 @@
     return ahead
 
 
-def _weight(record: MoveRecord) -> tuple[float | int | str, ...]:
+def _rank(record: MoveRecord) -> tuple[float | int | str, ...]:
     progress = (STATE_RANK[record.state], record.step, record.burst)
     writing = (record.configured, record.fencing, record.model_dump_json())
     return (record.started.timestamp(), *progress, *writing)
--- a/libs/rollout/fireflyhitch_rollout/schedule.py
+++ b/libs/rollout/fireflyhitch_rollout/schedule.py
@@ -6,9 +6,9 @@
 from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
 
 # From a withdrawal until every daemon that can be reached follows it.
-SPREAD_TIME = timedelta(seconds=10)
+PROPAGATION_TIME = timedelta(seconds=10)
 # How far a burst goes above the usual load, as the traffic's peaks do.
-PEAK = 1.25
+PEAK_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,37 +18,37 @@
     The base share and the bursts together expose 1.6% of the traffic while
     there is no verdict, which leaves room below the 2% that is promised.
 
-    :param trial_part: part of the time that the trial takes; faults that come
+    :param trial_fraction: part of the time that the trial takes; faults that come
         late show in it, at a small share.
-    :param finish_part: part of the time at which the move aims to be done; the
+    :param finish_fraction: part of the time at which the move aims to be done; the
         rest is for reclaim waves, refused starts and outages near the end.
-    :param longest: the longest that a move takes, however far off its date is.
+    :param max_duration: the longest that a move takes, however far off its date is.
     :param base_share: share of the traffic during the trial.
     :param burst_part: part of the traffic that bursts take over their period.
-    :param burst_share: most that a burst takes.
+    :param max_burst_share: most that a burst takes.
     :param steps: shares after the trial. The last leaves the old version half,
         without which a shock to both would look like a fault.
     :param least_calls: calls that the new version needs before the trial ends.
     :param step_calls: calls of the new version that each step needs.
     """
 
-    trial_part: float = 0.6
-    finish_part: float = 0.8
-    longest: timedelta = timedelta(hours=6)
+    trial_fraction: float = 0.6
+    finish_fraction: float = 0.8
+    max_duration: timedelta = timedelta(hours=6)
     base_share: float = 0.006
     burst_part: float = 0.01
     burst_period: timedelta = timedelta(minutes=7)
-    burst_share: float = 0.5
+    max_burst_share: float = 0.5
     steps: tuple[float, ...] = (0.04, 0.1, 0.25, 0.5)
     least_calls: int = 40
     step_calls: int = 30
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
+class MoveConditions:
     """What a move's next step depends on.
 
-    :param last_return: the latest time for taking the move back.
+    :param rollback_deadline: the latest time for taking the move back.
     :param finish_by: the last return if old servers were lost meanwhile, which
         the move aims at.
     :param capacity: part of the traffic that the new version's ready servers
@@ -59,7 +59,7 @@
     """
 
     now: datetime
-    last_return: datetime
+    rollback_deadline: datetime
     finish_by: datetime
     capacity: float
     old_servers: int
@@ -67,7 +67,9 @@
     phase_calls: int
 
 
-def find_way_back(old_servers: int, needed: int, start_time: timedelta) -> timedelta:
+def find_rollback_time(
+    old_servers: int, needed: int, start_time: timedelta
+) -> timedelta:
     """Return how long before its date a move can be taken back at the latest.
 
     :param old_servers: servers of the old version that are ready.
@@ -75,11 +77,11 @@
     :param start_time: from ordering a server to its being ready.
     """
     if old_servers >= needed:
-        return SPREAD_TIME
-    return SPREAD_TIME + start_time
+        return PROPAGATION_TIME
+    return PROPAGATION_TIME + start_time
 
 
-def advance(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
+def advance(record: MoveRecord, conditions: MoveConditions, pace: Pace) -> MoveRecord:
     """Return the record after what is due now, or the same one.
 
     A move that is not done when its last return comes is undone, whatever
@@ -87,16 +89,16 @@
     """
     if record.has_ended:
         return record
-    if situation.now >= situation.last_return:
-        return end(record, MoveState.UNDONE, _explain_lateness(record, situation))
+    if conditions.now >= conditions.rollback_deadline:
+        return end_move(record, MoveState.UNDONE, _find_late_reason(record, conditions))
     if record.state is MoveState.STARTING:
-        return _begin_trial(record, situation)
+        return _begin_trial(record, conditions)
     if record.state is MoveState.TRIAL:
-        return _try_on(record, situation, pace)
-    return _shift(record, situation, pace)
+        return _advance_trial(record, conditions, pace)
+    return _advance_shift(record, conditions, pace)
 
 
-def end(record: MoveRecord, state: MoveState, reason: Reason) -> MoveRecord:
+def end_move(record: MoveRecord, state: MoveState, reason: Reason) -> MoveRecord:
     """Return the record of the move's end."""
     return record.model_copy(update={'state': state, 'reason': reason})
 
@@ -114,7 +116,7 @@
 
 def find_burst_share(old_servers: int, pace: Pace) -> float:
     """Return the share that loads one new server as the old ones are loaded."""
-    usual = min(pace.burst_share, PEAK / max(old_servers, 1))
+    usual = min(pace.max_burst_share, PEAK_FACTOR / max(old_servers, 1))
     return max(usual, pace.base_share)
 
 
@@ -124,65 +126,79 @@
     return pace.burst_period * pace.burst_part / share
 
 
-def _explain_lateness(record: MoveRecord, situation: Situation) -> Reason:
+def _find_late_reason(record: MoveRecord, conditions: MoveConditions) -> Reason:
     if record.state is MoveState.STARTING:
         return Reason.NEVER_READY
-    if record.state is MoveState.TRIAL and not situation.proven:
+    if record.state is MoveState.TRIAL and not conditions.proven:
         return Reason.UNPROVEN
     return Reason.LATE
 
 
-def _begin_trial(record: MoveRecord, situation: Situation) -> MoveRecord:
-    if situation.capacity <= 0:
+def _begin_trial(record: MoveRecord, conditions: MoveConditions) -> MoveRecord:
+    if conditions.capacity <= 0:
         return record
-    return _enter(record, situation, state=MoveState.TRIAL)
+    return _enter(record, conditions, state=MoveState.TRIAL)
 
 
-def _try_on(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
-    is_long_enough = situation.now >= _find_trial_end(record, situation, pace)
-    has_room = situation.capacity >= pace.steps[0]
-    if is_long_enough and has_room and situation.proven:
-        return _enter(record, situation, state=MoveState.SHIFTING, step=0, burst=0)
-    if find_burst_share(situation.old_servers, pace) <= pace.base_share:
+def _advance_trial(
+    record: MoveRecord, conditions: MoveConditions, pace: Pace
+) -> MoveRecord:
+    is_long_enough = conditions.now >= _find_trial_end(record, conditions, pace)
+    has_room = conditions.capacity >= pace.steps[0]
+    if is_long_enough and has_room and conditions.proven:
+        return _enter(record, conditions, state=MoveState.SHIFTING, step=0, burst=0)
+    if find_burst_share(conditions.old_servers, pace) <= pace.base_share:
         return record
-    length = find_burst_length(situation.old_servers, pace)
+    length = find_burst_length(conditions.old_servers, pace)
     in_burst = record.burst % 2 == 1
     wait = length if in_burst else pace.burst_period - length
-    if situation.now - record.phase_began < wait:
+    if conditions.now - record.phase_began < wait:
         return record
-    return _enter(record, situation, burst=record.burst + 1)
+    return _enter(record, conditions, burst=record.burst + 1)
 
 
-def _shift(record: MoveRecord, situation: Situation, pace: Pace) -> MoveRecord:
-    finish = record.started + _usable(record, situation, pace) * pace.finish_part
+def _advance_shift(
+    record: MoveRecord, conditions: MoveConditions, pace: Pace
+) -> MoveRecord:
+    finish = (
+        record.started
+        + _find_usable_time(record, conditions, pace) * pace.finish_fraction
+    )
     steps_left = len(pace.steps) - record.step
-    stay = max((finish - record.phase_began) / steps_left, SPREAD_TIME)
-    if situation.now - record.phase_began < stay:
+    step_duration = max((finish - record.phase_began) / steps_left, PROPAGATION_TIME)
+    if conditions.now - record.phase_began < step_duration:
         return record
-    if situation.phase_calls < pace.step_calls:
+    if conditions.phase_calls < pace.step_calls:
         return record
     if record.step + 1 >= len(pace.steps):
-        if situation.capacity < 1:
+        if conditions.capacity < 1:
             return record
-        return end(record, MoveState.DONE, Reason.PROVEN)
-    if situation.capacity < pace.steps[record.step + 1]:
+        return end_move(record, MoveState.DONE, Reason.PROVEN)
+    if conditions.capacity < pace.steps[record.step + 1]:
         return record
-    return _enter(record, situation, step=record.step + 1)
+    return _enter(record, conditions, step=record.step + 1)
 
 
-def _usable(record: MoveRecord, situation: Situation, pace: Pace) -> timedelta:
-    left = situation.last_return - record.started
-    aim = situation.finish_by - record.started
-    return min(max(aim, left / 2), left, pace.longest)
+def _find_usable_time(
+    record: MoveRecord, conditions: MoveConditions, pace: Pace
+) -> timedelta:
+    available_time = conditions.rollback_deadline - record.started
+    target_time = conditions.finish_by - record.started
+    return min(max(target_time, available_time / 2), available_time, pace.max_duration)
 
 
-def _find_trial_end(record: MoveRecord, situation: Situation, pace: Pace) -> datetime:
-    return record.started + _usable(record, situation, pace) * pace.trial_part
+def _find_trial_end(
+    record: MoveRecord, conditions: MoveConditions, pace: Pace
+) -> datetime:
+    return (
+        record.started
+        + _find_usable_time(record, conditions, pace) * pace.trial_fraction
+    )
 
 
 def _enter(
     record: MoveRecord,
-    situation: Situation,
+    conditions: MoveConditions,
     *,
     state: MoveState | None = None,
     step: int | None = None,
@@ -190,7 +206,7 @@
 ) -> MoveRecord:
     return record.model_copy(
         update={
-            'phase_began': situation.now,
+            'phase_began': conditions.now,
             'state': record.state if state is None else state,
             'step': record.step if step is None else step,
             'burst': record.burst if burst is None else burst,
--- a/libs/rollout/fireflyhitch_rollout/judge.py
+++ b/libs/rollout/fireflyhitch_rollout/sequential_test.py
@@ -16,22 +16,22 @@
 from typing import NamedTuple
 
 from fireflyhitch_model.ids import FailureDomainId, VersionId
-from fireflyhitch_rollout.memories import FailureMemory, LatencyMemory, ShockMeter
-from fireflyhitch_rollout.tallies import CellKey, LoadBand, Signal, Tally
+from fireflyhitch_rollout.baselines import FailureBaseline, LatencyBaseline, RecentRate
+from fireflyhitch_rollout.call_counts import CallCounts, CellKey, LoadBand, Signal
 
 # A move makes some 10,000 updates over all groups, by the moves benchmark; so
 # at most 1 good version in 1,000 is taken back by chance.
 THRESHOLD = 1e7
 # Worse means that this part of the calls that would be good turns bad.
 ALTERNATIVES = (0.04, 0.12, 0.35, 0.8)
-LARGEST_LOG = 600.0
-NEARLY_ALL = 0.95
+MAX_LOG_RATIO = 600.0
+MAX_BASE_RATE = 0.95
 # Routes with less than this part of the calls cannot hold up a move.
-MINOR_ROUTE = 0.1
+MINOR_ROUTE_FRACTION = 0.1
 # As many failures as the threshold takes where every call fails.
-LEAST_ROUTE_CALLS = 5
+MIN_ROUTE_CALLS = 5
 ANY_ROUTE = '*'
-LATENCIES = (Signal.FIRST_TOKEN, Signal.BETWEEN_TOKENS)
+LATENCY_SIGNALS = (Signal.FIRST_TOKEN, Signal.BETWEEN_TOKENS)
 _Kind = tuple[str, LoadBand]
 
 
@@ -57,14 +57,14 @@
 class _Statistic:
     values: list[float] = field(default_factory=lambda: [0.0 for _ in ALTERNATIVES])
 
-    def update(self, logs: list[float]) -> float:
-        for place, log in enumerate(logs):
-            ratio = math.exp(min(log, LARGEST_LOG))
-            self.values[place] = (self.values[place] + 1) * ratio
+    def update(self, log_ratios: list[float]) -> float:
+        for index, log in enumerate(log_ratios):
+            ratio = math.exp(min(log, MAX_LOG_RATIO))
+            self.values[index] = (self.values[index] + 1) * ratio
         return sum(self.values) / len(self.values)
 
 
-class Judge:
+class SequentialTest:
     """Weighs the batches of one move."""
 
     def __init__(self, old: VersionId, new: VersionId) -> None:
@@ -73,68 +73,70 @@
         self._old = old
         self._new = new
         self._verdict: Verdict | None = None
-        self._cells: dict[tuple[str, LoadBand, FailureDomainId], FailureMemory] = {}
-        self._pools: dict[_Kind, FailureMemory] = {}
-        self._latencies: dict[tuple[Signal, _Kind], LatencyMemory] = {}
-        self._shocks: dict[tuple[Signal, FailureDomainId | None], ShockMeter] = {}
+        self._cell_baselines: dict[
+            tuple[str, LoadBand, FailureDomainId], FailureBaseline
+        ] = {}
+        self._pooled_baselines: dict[_Kind, FailureBaseline] = {}
+        self._latency_baselines: dict[tuple[Signal, _Kind], LatencyBaseline] = {}
+        self._recent_rates: dict[tuple[Signal, FailureDomainId | None], RecentRate] = {}
         self._statistics: dict[_Group, _Statistic] = {}
-        self._old_loaded = 0
+        self._old_calls_loaded = 0
         self._old_calls: Counter[str] = Counter()
         self._new_calls: Counter[tuple[str, LoadBand]] = Counter()
         self._new_failures: Counter[str] = Counter()
 
-    def weigh(self, cells: Mapping[CellKey, Tally]) -> Verdict | None:
+    def add_batch(self, cells: Mapping[CellKey, CallCounts]) -> Verdict | None:
         """Take in a batch of paired counts.
 
         :returns: the fault shown, now or earlier.
         """
-        for key, tally in cells.items():
+        for key, counts in cells.items():
             if key.version == self._old:
-                self._remember(key, tally)
-        logs: dict[_Group, list[float]] = {}
-        for key, tally in cells.items():
+                self._add_old(key, counts)
+        log_ratios: dict[_Group, list[float]] = {}
+        for key, counts in cells.items():
             if key.version == self._new:
-                self._count(key, tally)
-                self._compare(key, tally, logs)
-        for group, group_logs in logs.items():
-            self._update(group, group_logs)
+                self._add_new(key, counts)
+                self._compare(key, counts, log_ratios)
+        for group, group_ratios in log_ratios.items():
+            self._update(group, group_ratios)
         return self._verdict
 
-    def count_calls(self, route: str, least_band: LoadBand = LoadBand.IDLE) -> int:
+    def count_calls(self, route: str, min_band: LoadBand = LoadBand.IDLE) -> int:
         """Return how many calls of a route the new version had at some load."""
         return sum(
             count
             for (other, band), count in self._new_calls.items()
-            if other == route and band >= least_band
+            if other == route and band >= min_band
         )
 
     def count_new(self) -> int:
         """Return how many calls the new version had."""
         return self._new_calls.total()
 
-    def find_routes(self) -> list[str]:
+    def list_major_routes(self) -> list[str]:
         """Return the routes that have more than a minor part of the calls."""
-        least = MINOR_ROUTE * self._old_calls.total()
+        min_calls = MINOR_ROUTE_FRACTION * self._old_calls.total()
         return sorted(
-            route for route, calls in self._old_calls.items() if calls >= least
+            route for route, calls in self._old_calls.items() if calls >= min_calls
         )
 
-    def has_enough(self, least_calls: int) -> bool:
+    def has_enough_calls(self, least_calls: int) -> bool:
         """Tell whether each route that is not minor was tried, also under load.
 
         :param least_calls: calls of the new version that are needed in all.
         """
-        routes = self.find_routes()
+        routes = self.list_major_routes()
         loaded = sum(self.count_calls(route, LoadBand.USUAL) for route in routes)
         if not routes or self.count_new() < least_calls:
             return False
-        if loaded < min(LEAST_ROUTE_CALLS, self.count_usual()):
+        if loaded < min(MIN_ROUTE_CALLS, self.count_old_loaded()):
             return False
-        return all(self.count_calls(route) >= LEAST_ROUTE_CALLS for route in routes)
+        return all(self.count_calls(route) >= MIN_ROUTE_CALLS for route in routes)
 
-    def count_usual(self) -> int:
+    def count_old_loaded(self) -> int:
         """Return how many of the old version's calls met usual load or more."""
-        return self._old_loaded
+        return self._old_calls_loaded
 
     def describe(self) -> tuple[str, ...]:
         """Return a line for each route, for people."""
@@ -149,75 +151,79 @@
             lines.append(self._verdict.evidence)
         return tuple(lines)
 
-    def _remember(self, key: CellKey, tally: Tally) -> None:
-        self._old_calls[key.route] += tally.calls
+    def _add_old(self, key: CellKey, counts: CallCounts) -> None:
+        self._old_calls[key.route] += counts.calls
         if key.band >= LoadBand.USUAL:
-            self._old_loaded += tally.calls
+            self._old_calls_loaded += counts.calls
         kind = (key.route, key.band)
         cell = (key.route, key.band, key.failure_domain)
         for failures in (
-            self._cells.setdefault(cell, FailureMemory()),
-            self._pools.setdefault(kind, FailureMemory()),
+            self._cell_baselines.setdefault(cell, FailureBaseline()),
+            self._pooled_baselines.setdefault(kind, FailureBaseline()),
         ):
-            failures.add(tally.calls, tally.failures)
+            failures.add(counts.calls, counts.failures)
         for domain in (key.failure_domain, None):
-            shocks = self._shocks.setdefault((Signal.FAILURE, domain), ShockMeter())
-            shocks.add(tally.calls, tally.failures)
-        for signal in LATENCIES:
-            latencies = tally.find_latencies(signal)
-            slowness = self._latencies.setdefault((signal, kind), LatencyMemory())
-            limit = slowness.find_limit()
-            slowness.add(latencies)
+            recent = self._recent_rates.setdefault(
+                (Signal.FAILURE, domain), RecentRate()
+            )
+            recent.add(counts.calls, counts.failures)
+        for signal in LATENCY_SIGNALS:
+            latencies = counts.get_latencies(signal)
+            baseline = self._latency_baselines.setdefault(
+                (signal, kind), LatencyBaseline()
+            )
+            limit = baseline.find_limit()
+            baseline.add(latencies)
             if limit is not None:
-                shocks = self._shocks.setdefault((signal, None), ShockMeter())
-                shocks.add(*_count_slow(latencies, limit))
+                recent = self._recent_rates.setdefault((signal, None), RecentRate())
+                recent.add(*_count_slow(latencies, limit))
 
-    def _count(self, key: CellKey, tally: Tally) -> None:
-        self._new_calls[key.route, key.band] += tally.calls
-        self._new_failures[key.route] += tally.failures
+    def _add_new(self, key: CellKey, counts: CallCounts) -> None:
+        self._new_calls[key.route, key.band] += counts.calls
+        self._new_failures[key.route] += counts.failures
 
     def _compare(
-        self, key: CellKey, tally: Tally, logs: dict[_Group, list[float]]
+        self, key: CellKey, counts: CallCounts, log_ratios: dict[_Group, list[float]]
     ) -> None:
         kind = (key.route, key.band)
-        pool = self._pools.get(kind, FailureMemory())
-        cell = self._cells.get((*kind, key.failure_domain), FailureMemory())
-        expected = cell.expect(pool.find_rate())
+        pooled = self._pooled_baselines.get(kind, FailureBaseline())
+        cell = self._cell_baselines.get((*kind, key.failure_domain), FailureBaseline())
+        expected = cell.find_expected(pooled.find_rate())
         for domain in (key.failure_domain, None):
-            expected = self._expect(Signal.FAILURE, domain, expected)
-        ratios = _weigh_counts(tally.failures, tally.calls, expected)
-        _add_logs(logs, Signal.FAILURE, key, ratios)
+            expected = self._find_expected(Signal.FAILURE, domain, expected)
+        ratios = _find_log_ratios(counts.failures, counts.calls, expected)
+        _add_log_ratios(log_ratios, Signal.FAILURE, key, ratios)
         if key.band is LoadBand.OVERFULL:
             # This band has no upper limit: how long calls wait there says how
             # overloaded the server was, not how good its version is.
             return
-        for signal in LATENCIES:
-            memory = self._latencies.get((signal, kind), LatencyMemory())
-            limit = memory.find_limit()
+        for signal in LATENCY_SIGNALS:
+            baseline = self._latency_baselines.get((signal, kind), LatencyBaseline())
+            limit = baseline.find_limit()
             if limit is None:
                 continue
-            latencies = tally.find_latencies(signal)
+            latencies = counts.get_latencies(signal)
             total, slow = _count_slow(latencies, limit)
-            expected = self._expect(signal, None, memory.expect(limit))
-            ratios = _weigh_counts(slow, total, expected)
-            _add_logs(logs, signal, key, ratios)
+            expected = self._find_expected(signal, None, baseline.find_expected(limit))
+            ratios = _find_log_ratios(slow, total, expected)
+            _add_log_ratios(log_ratios, signal, key, ratios)
 
-    def _expect(
+    def _find_expected(
         self, signal: Signal, domain: FailureDomainId | None, usual: float
     ) -> float:
-        shocks = self._shocks.get((signal, domain))
-        return usual if shocks is None else shocks.expect(usual)
+        recent = self._recent_rates.get((signal, domain))
+        return usual if recent is None else recent.find_expected(usual)
 
-    def _update(self, group: _Group, logs: list[float]) -> None:
+    def _update(self, group: _Group, log_ratios: list[float]) -> None:
         self.updates += 1
         statistic = self._statistics.setdefault(group, _Statistic())
-        reached = statistic.update(logs)
-        if reached < THRESHOLD or self._verdict is not None:
+        statistic_value = statistic.update(log_ratios)
+        if statistic_value < THRESHOLD or self._verdict is not None:
             return
         load = f' at {group.band.name.lower()} load' if group.band is not None else ''
         text = (
             f'{group.signal.value} on {group.route}{load}: likelihood ratio '
-            f'{reached:.1e} after {self.count_new()} calls'
+            f'{statistic_value:.1e} after {self.count_new()} calls'
         )
         self._verdict = Verdict(group.signal, group.route, text)
 
@@ -228,18 +234,21 @@
     return sum(latencies.values()), slow
 
 
-def _add_logs(
-    logs: dict[_Group, list[float]], signal: Signal, key: CellKey, ratios: list[float]
+def _add_log_ratios(
+    log_ratios: dict[_Group, list[float]],
+    signal: Signal,
+    key: CellKey,
+    ratios: list[float],
 ) -> None:
     if not any(ratios):
         return
     for group in _list_groups(signal, key):
-        kept = logs.get(group)
-        if kept is None:
-            logs[group] = list(ratios)
+        group_ratios = log_ratios.get(group)
+        if group_ratios is None:
+            log_ratios[group] = list(ratios)
             continue
-        for place, ratio in enumerate(ratios):
-            kept[place] += ratio
+        for index, ratio in enumerate(ratios):
+            group_ratios[index] += ratio
 
 
 def _list_groups(signal: Signal, key: CellKey) -> Iterator[_Group]:
@@ -250,12 +259,12 @@
     yield _Group(signal, ANY_ROUTE, None)
 
 
-def _weigh_counts(bad: int, calls: int, expected: float) -> list[float]:
+def _find_log_ratios(bad: int, calls: int, expected: float) -> list[float]:
     """Return the logarithm of the likelihood ratio for each alternative."""
-    base = min(expected, NEARLY_ALL)
+    base_rate = min(expected, MAX_BASE_RATE)
     ratios = []
-    for part in ALTERNATIVES:
-        worse = base + part * (1 - base)
-        good = (calls - bad) * math.log((1 - worse) / (1 - base))
-        ratios.append(bad * math.log(worse / base) + good)
+    for worse_fraction in ALTERNATIVES:
+        worse_rate = base_rate + worse_fraction * (1 - base_rate)
+        good_log_ratio = (calls - bad) * math.log((1 - worse_rate) / (1 - base_rate))
+        ratios.append(bad * math.log(worse_rate / base_rate) + good_log_ratio)
     return ratios
--- a/libs/rollout/fireflyhitch_rollout/shares.py
+++ b/libs/rollout/fireflyhitch_rollout/shares.py
@@ -86,13 +86,13 @@
         """Put all shares in force; withdrawn versions get none whatever it says."""
         with self._lock:
             withdrawn = self._snapshot.withdrawn
-            self._snapshot = _Snapshot(_without(shares, withdrawn), withdrawn)
+            self._snapshot = _Snapshot(_drop_withdrawn(shares, withdrawn), withdrawn)
 
     def withdraw(self, deployment: DeploymentId, version: VersionId) -> None:
         """Give a version no new work from now on."""
         with self._lock:
             withdrawn = self._snapshot.withdrawn | {(deployment, version)}
-            shares = _without(self._snapshot.shares, withdrawn)
+            shares = _drop_withdrawn(self._snapshot.shares, withdrawn)
             self._snapshot = _Snapshot(shares, withdrawn)
 
     def is_withdrawn(self, deployment: DeploymentId, version: VersionId) -> bool:
@@ -122,19 +122,19 @@
 def _choose(shares: VersionShares, call: Call) -> VersionPick:
     if shares.new is None or shares.share <= 0:
         return VersionPick(shares.old)
-    place = hash_text(f'{shares.new}\x00{call.request_id}') / HASH_RANGE
-    if place < shares.share:
+    position = hash_text(f'{shares.new}\x00{call.request_id}') / HASH_RANGE
+    if position < shares.share:
         return VersionPick(shares.new, shares.servers)
     return VersionPick(shares.old)
 
 
-def _without(
+def _drop_withdrawn(
     shares: Mapping[DeploymentId, VersionShares],
     withdrawn: frozenset[tuple[DeploymentId, VersionId]],
 ) -> dict[DeploymentId, VersionShares]:
     return {
-        deployment: VersionShares(given.old)
-        if (deployment, given.new) in withdrawn
-        else given
-        for deployment, given in shares.items()
+        deployment: VersionShares(version_shares.old)
+        if (deployment, version_shares.new) in withdrawn
+        else version_shares
+        for deployment, version_shares in shares.items()
     }
--- a/libs/rollout/fireflyhitch_rollout/supplies.py
+++ b/libs/rollout/fireflyhitch_rollout/supplies.py
@@ -47,5 +47,5 @@
         return (VersionNeed(base, 1),)
     # Servers take minutes to start, as long as a step; so all are ordered when
     # the first step begins.
-    part = 1.0 if record.state is MoveState.SHIFTING else pace.steps[1]
-    return (VersionNeed(base, 1, keep=True), VersionNeed(record.to_version, part))
+    fraction = 1.0 if record.state is MoveState.SHIFTING else pace.steps[1]
+    return (VersionNeed(base, 1, keep=True), VersionNeed(record.to_version, fraction))
--- a/libs/rollout/tests/conftest.py
+++ b/libs/rollout/tests/conftest.py
@@ -61,15 +61,15 @@
     """One daemon's part in the moves."""
 
     def __init__(self, number, site):
-        here = Daemon(f'd{number}', DOMAINS[number % len(DOMAINS)], '', '')
-        self.messenger = site.network.join(here)
+        local_daemon = Daemon(f'd{number}', DOMAINS[number % len(DOMAINS)], '', '')
+        self.messenger = site.network.join(local_daemon)
         self.duties = DutyKeeper(
-            site.store, site.clock, here.daemon_id, self.messenger.live
+            site.store, site.clock, local_daemon.daemon_id, self.messenger.live
         )
-        self.book = EvidenceBook(here, self.messenger, site.clock)
+        self.book = EvidenceBook(local_daemon, self.messenger, site.clock)
         self.picker = VersionPicker()
         self.keeper = MoveKeeper(
-            here,
+            local_daemon,
             site.store,
             self.messenger,
             self.duties,
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -40,11 +40,11 @@
         self.network = MemoryPeerNetwork()
         self.books = []
         for number in range(12):
-            here = Daemon(f'd{number}', f'domain-{number % 3}', '', '')
-            messenger = self.network.join(here)
-            self.books.append(EvidenceBook(here, messenger, self.clock))
+            local_daemon = Daemon(f'd{number}', f'domain-{number % 3}', '', '')
+            messenger = self.network.join(local_daemon)
+            self.books.append(EvidenceBook(local_daemon, messenger, self.clock))
         for book in self.books:
-            book.watch({NAME: Trial('v1', 'v2')})
+            book.set_trials({NAME: Trial('v1', 'v2')})
 
     def run(self, seconds=3):
         for _ in range(seconds):
@@ -78,9 +78,9 @@
         assert max(ring.counts()) == 0
 
     def test_deployment_without_a_move_is_not_recorded(self, ring):
-        ring.books[0].watch({})
+        ring.books[0].set_trials({})
         ring.books[0].record(CALL, make_server(), ok=False)
-        ring.books[0].watch({NAME: Trial('v1', 'v2')})
+        ring.books[0].set_trials({NAME: Trial('v1', 'v2')})
         ring.run()
         assert max(ring.counts()) == 0
 
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -325,7 +325,7 @@
         site.move()
         site.run(20)
         keeper = find_holder(site).keeper
-        record = keeper._archive.find('answers')
+        record = keeper._records.find('answers')
         raised = record.model_copy(update={'state': MoveState.SHIFTING, 'step': 4})
         with pytest.raises(InvariantError):
             keeper._write(raised, record, 1)
@@ -337,7 +337,7 @@
     def test_withdrawn_wins_whatever_the_order(self, site):
         site.move()
         site.run(20)
-        record = site.nodes[0].keeper._archive.find('answers')
+        record = site.nodes[0].keeper._records.find('answers')
         done = record.model_copy(update={'state': MoveState.DONE})
         withdrawn = record.model_copy(update={'withdrawn': ('v2',)})
         assert merge_records(done, withdrawn) == merge_records(withdrawn, done)
--- a/libs/rollout/tests/test_judge.py
+++ b/libs/rollout/tests/test_sequential_test.py
@@ -4,22 +4,28 @@
 
 import pytest
 
-from fireflyhitch_rollout.judge import Judge
-from fireflyhitch_rollout.tallies import CellKey, LoadBand, Signal, Tally, find_bucket
+from fireflyhitch_rollout.call_counts import (
+    CallCounts,
+    CellKey,
+    LoadBand,
+    Signal,
+    find_bucket,
+)
+from fireflyhitch_rollout.sequential_test import SequentialTest
 
 DOMAINS = ('gent', 'brugge')
 
 
 def draw(random, calls, failing, factor=1.0, sigma=0.4):
-    tally = Tally()
+    counts = CallCounts()
     for _ in range(calls):
-        tally.calls += 1
+        counts.calls += 1
         if random.random() < failing:
-            tally.failures += 1
+            counts.failures += 1
             continue
         bucket = find_bucket(0.3 * factor * random.lognormvariate(0, sigma))
-        tally.first_token[bucket] = tally.first_token.get(bucket, 0) + 1
-    return tally
+        counts.first_token[bucket] = counts.first_token.get(bucket, 0) + 1
+    return counts
 
 
 def make_key(version, route='chat', domain='gent', band=LoadBand.USUAL):
@@ -29,7 +35,7 @@
 def run(seed, batches, new, old=None, warm=20):
     """Weigh batches until a verdict; return it and the batch's number."""
     random = Random(seed)
-    judge = Judge('v1', 'v2')
+    judge = SequentialTest('v1', 'v2')
     old = old or (lambda number: (0.002, 1.0))
     for number in range(batches):
         cells = {}
@@ -38,7 +44,7 @@
             cells[make_key('v1', domain=domain)] = draw(random, 8, failing, factor)
         if number >= warm:
             cells[make_key('v2')] = draw(random, 2, *new(number))
-        verdict = judge.weigh(cells)
+        verdict = judge.add_batch(cells)
         if verdict is not None:
             return verdict, number
     return None, batches
@@ -89,7 +95,7 @@
     def test_fault_on_one_route_or_under_load_is_named(self):
         """Only bookings at high load fail; all other calls are good."""
         random = Random(1)
-        judge = Judge('v1', 'v2')
+        judge = SequentialTest('v1', 'v2')
         verdict = None
         for _ in range(200):
             cells = {}
@@ -100,7 +106,7 @@
                     cells[old] = draw(random, 8, 0.002)
                     new = make_key('v2', route, band=band)
                     cells[new] = draw(random, 2, 0.3 if bad else 0.002)
-            verdict = verdict or judge.weigh(cells)
+            verdict = verdict or judge.add_batch(cells)
         assert verdict.route == 'booking'
 
     def test_false_verdicts_are_no_more_than_stated(self, monkeypatch):
@@ -109,15 +115,15 @@
         With a low threshold the bound is a tenth; 200 moves of good versions
         are run and counted.
         """
-        monkeypatch.setattr('fireflyhitch_rollout.judge.THRESHOLD', 3600)
+        monkeypatch.setattr('fireflyhitch_rollout.sequential_test.THRESHOLD', 3600)
         false = 0
         for seed in range(200):
             random = Random(seed)
-            judge = Judge('v1', 'v2')
+            judge = SequentialTest('v1', 'v2')
             for _ in range(60):
                 cells = {make_key('v1'): draw(random, 10, 0.002)}
                 cells[make_key('v2')] = draw(random, 2, 0.002)
-                judge.weigh(cells)
+                judge.add_batch(cells)
             assert judge.updates <= 360
-            false += judge.weigh({}) is not None
+            false += judge.add_batch({}) is not None
         assert false <= 20
