--- a/libs/rollout/fireflyhitch_rollout/__init__.py
+++ b/libs/rollout/fireflyhitch_rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Version moves: shares, evidence, verdict and take-back."""
+"""Version moves: gradual rollouts of a new version, judged by evidence."""
--- a/libs/rollout/fireflyhitch_rollout/baselines.py
+++ b/libs/rollout/fireflyhitch_rollout/baselines.py
@@ -1,6 +1,6 @@
-"""What the old version's calls met lately, as the measure for the new one.
+"""Baselines from the old version's recent calls, for comparing the new one.
 
-Memories fade by calls: when one holds more than its depth, it is halved.
+Baselines decay with calls: all counts are halved when they exceed the window.
 """
 
 from collections.abc import Mapping
@@ -11,18 +11,18 @@
 SHORT_PRIOR_CALLS = 8.0
 PRIOR_FAILURES = 0.003
 SLOW_FRACTION = 0.1
-# The least latencies of the old version before slowness is judged.
+# Latencies of the old version needed before slowness is tested.
 MIN_LATENCIES = 30
-# What the new version may be worse by without being called worse.
+# Difference to the old version that does not count as worse.
 FAILURE_TOLERANCE = 0.004
 SLOW_TOLERANCE = 0.02
-# A version that is slower by this many buckets, 21%, is not called slow: what
-# of it lies above the limit is at most the part that the limit was set by.
+# A version slower by this many buckets, 21%, does not count as slow: at most the
+# fraction of its calls that defined the limit lies above it.
 TOLERANCE_BUCKETS = 2
 
 
 class _DecayingRate:
-    """Calls and those that failed, fading."""
+    """Failure rate over a decaying window of calls."""
 
     def __init__(self, window: int) -> None:
         self._window = window
@@ -37,56 +37,56 @@
             self._failures /= 2
 
     def estimate(self, prior: float, weight: float = PRIOR_CALLS) -> float:
-        """Return the part that failed, drawn towards a prior."""
+        """Return the failure rate, shrunk towards a prior."""
         return (self._failures + prior * weight) / (self._calls + weight)
 
 
 class FailureBaseline:
-    """How many of the old version's calls failed."""
+    """The failure rate of the old version."""
 
     def __init__(self) -> None:
         """Make an empty memory."""
         self._long_term = _DecayingRate(LONG_WINDOW_CALLS)
 
     def add(self, calls: int, failures: int) -> None:
-        """Take in what the old version's calls met."""
+        """Add calls of the old version."""
         self._long_term.add(calls, failures)
 
     def find_rate(self) -> float:
-        """Return the usual part of calls that failed."""
+        """Return the usual failure rate."""
         return self._long_term.estimate(PRIOR_FAILURES)
 
     def find_expected(self, prior: float) -> float:
-        """Return the part of calls that a good version usually may fail.
+        """Return the failure rate that a good version may have.
 
-        :param prior: the rate of like calls in all failure domains.
+        :param prior: failure rate of similar calls in all failure domains.
         """
         return self._long_term.estimate(prior) + FAILURE_TOLERANCE
 
 
 class RecentRate:
-    """What part of the old version's latest calls were bad, of all kinds.
+    """The rate of bad calls among the old version's latest calls of all kinds.
 
-    A reclaim wave or a shock to the network makes both versions fail or be
-    slow. Only the calls of the last seconds show it, and in one group of calls
-    there are too few of these; so all groups count together.
+    Reclaim waves and network disturbances make both versions fail or slow down.
+    Only calls of the last seconds show this, and one group has too few of them,
+    so all groups are counted together.
     """
 
     def __init__(self) -> None:
-        """Make a meter that has seen nothing."""
+        """Create a rate without calls."""
         self._short_term = _DecayingRate(SHORT_WINDOW_CALLS)
 
     def add(self, calls: int, bad: int) -> None:
-        """Take in the old version's calls."""
+        """Add calls of the old version."""
         self._short_term.add(calls, bad)
 
     def find_expected(self, usual: float) -> float:
-        """Return the part that is bad now, or the usual one if that is more."""
+        """Return the current bad rate, or the usual rate if that is higher."""
         return max(usual, self._short_term.estimate(usual, SHORT_PRIOR_CALLS))
 
 
 class _DecayingHistogram:
-    """Latencies by bucket, fading."""
+    """Latency histogram over a decaying window of calls."""
 
     def __init__(self, window: int) -> None:
         self.total = 0.0
@@ -103,25 +103,25 @@
                 self.counts[kept] /= 2
 
     def estimate_above(self, limit: int, prior: float) -> float:
-        """Return the part above a bucket, drawn towards a prior."""
+        """Return the fraction above a bucket, shrunk towards a prior."""
         above = sum(count for bucket, count in self.counts.items() if bucket > limit)
         return (above + prior * PRIOR_CALLS) / (self.total + PRIOR_CALLS)
 
 
 class LatencyBaseline:
-    """How long the old version's calls took."""
+    """The latencies of the old version."""
 
     def __init__(self) -> None:
         """Make an empty memory."""
         self._long_term = _DecayingHistogram(LONG_WINDOW_CALLS)
 
     def add(self, latencies: Mapping[int, int]) -> None:
-        """Take in what the old version's calls took."""
+        """Add latencies of the old version."""
         if latencies:
             self._long_term.add(latencies)
 
     def find_limit(self) -> int | None:
-        """Return the bucket above which a call is slow; ``None`` if unknown."""
+        """Return the bucket above which a call is slow, if there is enough data."""
         if self._long_term.total < MIN_LATENCIES:
             return None
         above = 0.0
@@ -132,7 +132,7 @@
         return None
 
     def find_expected(self, limit: int) -> float:
-        """Return the part of calls that a good version may answer slowly."""
+        """Return the fraction of slow calls that a good version may have."""
         return (
             self._long_term.estimate_above(limit - TOLERANCE_BUCKETS, SLOW_FRACTION)
             + SLOW_TOLERANCE
--- a/libs/rollout/fireflyhitch_rollout/brief.py
+++ b/libs/rollout/fireflyhitch_rollout/brief.py
@@ -1,8 +1,8 @@
-"""Judges moves that last seconds to minutes, by a few dozen requests.
+"""Decides on moves that last seconds to minutes, from a few dozen requests.
 
-The sequential test of ``judge`` wants thousands of requests for its error rates; an
-operator who gives a move twelve seconds has some dozens. So the test here is the plain
-binomial one, on what all daemons together have seen, looked at a few times a second.
+The error rates of ``sequential_test`` need thousands of requests; a move of twelve
+seconds gets a few dozen. The test here is therefore a plain binomial test on the
+results of all daemons, evaluated a few times a second.
 """
 
 from collections.abc import Mapping
@@ -11,24 +11,24 @@
 
 from fireflyhitch_model.records import immutable
 
-# A good version is taken back by chance about this often at one look; with some 40
-# looks that are not independent, in about one move in a hundred.
+# Probability that one evaluation rolls back a good version by chance. With about 40
+# evaluations, which are not independent, that is about one move in a hundred.
 MAX_FALSE_ALARM_RATE = 0.0005
-# Fewer bad answers than this may be a server that began or a broken connection.
+# Fewer bad answers can come from a starting server or a broken connection.
 MIN_BAD_ANSWERS = 3
-# Nothing is so good that a hundred answers show fewer failures; it keeps one bad answer
-# in a quiet period from counting as proof.
+# A hundred answers cannot establish a lower failure rate than this. The bound keeps a
+# single bad answer in a quiet period from counting as proof.
 MIN_EXPECTED_RATE = 0.03
-# Until this many answers the untried version gets more than its lasting share: the
-# platform allows 50 requests on top of its part, and evidence comes sooner.
+# Up to this many answers the new version gets a larger share, for earlier evidence:
+# the platform allows 50 requests in addition to the fraction.
 INITIAL_CALLS = 30
 INITIAL_SHARE = 0.2
-# The part of the allowed exposure that the lasting share uses.
+# Fraction of the allowed exposure that the share uses after that.
 EXPOSURE_FRACTION = 0.7
-# A move is done at this part of its time at the soonest: some faults come late, and the
-# old servers are gone at once when it is done.
+# Earliest completion as a fraction of the duration: some faults appear late, and the
+# old servers are removed as soon as the move completes.
 MIN_COMPLETION_FRACTION = 0.75
-# It is ended this long before its date, for the write and for daemons to follow.
+# Time before the deadline for writing the end and for daemons to apply it.
 END_MARGIN_SECONDS = 2.0
 MIN_CALLS = 8
 
@@ -42,10 +42,10 @@
 
 @immutable
 class Answers:
-    """Answers of one version on one route.
+    """Counts of the answers of one version on one route.
 
-    :param failed: of them, failures and broken answers.
-    :param slow: of them, several times as late as the old version's usual one.
+    :param failed: failed and incomplete answers.
+    :param slow: answers several times slower than usual for the old version.
     """
 
     calls: int = 0
@@ -53,7 +53,7 @@
     slow: int = 0
 
     def add(self, other: 'Answers') -> 'Answers':
-        """Return both together."""
+        """Return the sum of both."""
         return Answers(
             self.calls + other.calls,
             self.failed + other.failed,
@@ -63,10 +63,10 @@
 
 @immutable
 class MoveEvidence:
-    """What is known of a move; by route.
+    """Answers since the move began, by route.
 
-    :param old: the old version's answers since the move began.
-    :param new: the new version's.
+    :param old: answers of the old version.
+    :param new: answers of the new version.
     """
 
     old: Mapping[str, Answers]
@@ -74,12 +74,12 @@
 
     @property
     def new_calls(self) -> int:
-        """Return how many answers the new version gave."""
+        """Return the number of answers of the new version."""
         return sum(answers.calls for answers in self.new.values())
 
 
 def find_fault(evidence: MoveEvidence) -> str | None:
-    """Return what shows that the new version is worse, if something does."""
+    """Return a description of the fault if the new version is worse."""
     total_old = _sum(evidence.old)
     total_new = _sum(evidence.new)
     if _is_worse(total_new, total_old):
@@ -92,9 +92,10 @@
 
 
 def find_share(evidence: MoveEvidence, max_exposure: float) -> float:
-    """Return the part of the requests that an untried version is to get.
+    """Return the traffic share for the new version during the move.
 
-    :param max_exposure: what the platform allows over the whole move.
+    :param max_exposure: fraction of the requests that the platform allows over the
+        whole move.
     """
     if evidence.new_calls < INITIAL_CALLS:
         return INITIAL_SHARE
@@ -102,10 +103,10 @@
 
 
 def find_end(evidence: MoveEvidence, seconds: float, duration: float) -> MoveEnd | None:
-    """Return how a move ends now, if it does.
+    """Return how a move ends, or ``None`` if it continues.
 
-    :param seconds: since it began.
-    :param duration: seconds that the operator gave it.
+    :param seconds: seconds since the move began.
+    :param duration: duration set by the operator, in seconds.
     """
     if find_fault(evidence) is not None:
         return MoveEnd.TAKEN_BACK
@@ -115,7 +116,7 @@
     ):
         return MoveEnd.COMPLETED
     if seconds >= duration - END_MARGIN_SECONDS:
-        # Too little was seen to trust it with everything.
+        # Too little evidence to give the new version all traffic.
         return MoveEnd.TAKEN_BACK
     return None
 
@@ -135,13 +136,13 @@
 def _exceeds(bad: int, calls: int, old_bad: int, old_calls: int) -> bool:
     if bad < MIN_BAD_ANSWERS:
         return False
-    # One more bad answer than seen, so that a short past is not taken for a clean one.
+    # Adds one bad answer so that a short history does not look clean.
     rate = max((old_bad + 1) / (old_calls + 2), MIN_EXPECTED_RATE)
     return _find_binomial_tail(bad, calls, min(rate, 1.0)) < MAX_FALSE_ALARM_RATE
 
 
 def _find_binomial_tail(bad: int, calls: int, rate: float) -> float:
-    """Return the chance of at least so many bad answers at a rate."""
+    """Return the probability of at least ``bad`` bad answers at a rate."""
     below = sum(
         comb(calls, number) * rate**number * (1 - rate) ** (calls - number)
         for number in range(bad)
--- a/libs/rollout/fireflyhitch_rollout/call_counts.py
+++ b/libs/rollout/fireflyhitch_rollout/call_counts.py
@@ -1,4 +1,4 @@
-"""Counts of calls by version, route, load and failure domain; they add up."""
+"""Additive counts of calls by version, route, load and failure domain."""
 
 import math
 from bisect import bisect_right
@@ -11,18 +11,17 @@
 from fireflyhitch_model.ids import DeploymentId, FailureDomainId, VersionId
 from fireflyhitch_model.peers import PeerMessage
 
-# Latencies are counted in buckets that grow by this factor, from a
-# millisecond; coarse enough that a batch is small, and well below the slowdowns
-# that matter.
+# Growth factor of latency buckets, from one millisecond up: coarse enough for
+# small batches, and well below the slowdowns that matter.
 BUCKET_GROWTH = 1.1
 _LOG_GROWTH = math.log(BUCKET_GROWTH)
 MIN_SECONDS = 0.001
-# Latencies grow with load, so that only near loads are compared.
+# Latencies grow with load, so only calls at similar loads are compared.
 BAND_LIMITS = (0.25, 0.5, 0.75, 1.0, 1.3)
 
 
 class LoadBand(IntEnum):
-    """How loaded the server was when it was given the call."""
+    """Load of the server when the call was sent to it."""
 
     IDLE = 0
     LOW = 1
@@ -33,7 +32,7 @@
 
 
 class Signal(Enum):
-    """In what way a version can be worse."""
+    """A metric in which a version can be worse."""
 
     FAILURE = 'failing'
     FIRST_TOKEN = 'slow to the first token'
@@ -41,7 +40,7 @@
 
 
 class CellKey(NamedTuple):
-    """What calls have in common that are compared with each other."""
+    """The attributes by which calls are grouped for comparison."""
 
     deployment: DeploymentId
     version: VersionId
@@ -52,10 +51,10 @@
 
 @dataclass(slots=True)
 class CallCounts:
-    """Calls of one cell.
+    """Counts of the calls in one cell.
 
-    :param first_token: calls by bucket of the time to the first token.
-    :param between_tokens: calls by bucket of the mean time between tokens.
+    :param first_token: calls by latency bucket of the time to the first token.
+    :param between_tokens: calls by latency bucket of the mean time between tokens.
     """
 
     calls: int = 0
@@ -64,13 +63,13 @@
     between_tokens: dict[int, int] = field(default_factory=dict)
 
     def get_latencies(self, signal: Signal) -> dict[int, int]:
-        """Return the latencies that a signal is about."""
+        """Return the latency histogram for a signal."""
         if signal is Signal.FIRST_TOKEN:
             return self.first_token
         return self.between_tokens
 
     def add(self, other: 'CallCounts') -> None:
-        """Add another tally's counts."""
+        """Add the counts of another cell."""
         self.calls += other.calls
         self.failures += other.failures
         _add_counts(self.first_token, other.first_token)
@@ -78,7 +77,7 @@
 
 
 class CellMessage(BaseModel):
-    """One cell of a batch, on the wire."""
+    """Wire format of one cell."""
 
     model_config = ConfigDict(frozen=True, extra='ignore')
 
@@ -94,9 +93,9 @@
 
 
 class BatchMessage(BaseModel):
-    """What a sender counted between two of its steps.
+    """Counts of one period from one sender.
 
-    Old and new version of one period are in one batch, so that they stay
+    A batch holds both the old and the new version's counts, so that they stay
     paired however late it arrives.
     """
 
@@ -107,14 +106,14 @@
 
 
 class AggregationLevel(IntEnum):
-    """Whose calls a batch counts."""
+    """Whether a batch covers one daemon or its failure domain."""
 
     DAEMON = 0
     FAILURE_DOMAIN = 1
 
 
 class EvidenceMessage(PeerMessage):
-    """The sender's latest batches; each is sent several times."""
+    """The sender's latest batches; each batch is sent several times."""
 
     kind: ClassVar[str] = 'evidence-news'
 
@@ -130,7 +129,7 @@
 def find_band(load: float) -> LoadBand:
     """Return the band of a server's load.
 
-    :param load: calls in work as a part of what it works on at once.
+    :param load: calls in progress as a fraction of the server's capacity.
     """
     return LoadBand(bisect_right(BAND_LIMITS, load))
 
@@ -141,7 +140,7 @@
 
 
 def make_batch(sequence: int, cells: dict[CellKey, CallCounts]) -> BatchMessage:
-    """Put counts into their form on the wire."""
+    """Return counts in their wire format."""
     return BatchMessage(
         sequence=sequence,
         cells=tuple(
@@ -158,7 +157,7 @@
 
 
 def parse_batch(batch: BatchMessage) -> dict[CellKey, CallCounts]:
-    """Take counts from their form on the wire."""
+    """Return the counts of a batch in wire format."""
     return {
         CellKey(
             cell.deployment,
@@ -179,6 +178,6 @@
 def add_cells(
     total: dict[CellKey, CallCounts], added: dict[CellKey, CallCounts]
 ) -> None:
-    """Add one set of counts to another."""
+    """Add the counts of ``part`` to ``total``."""
     for key, counts in added.items():
         total.setdefault(key, CallCounts()).add(counts)
--- a/libs/rollout/fireflyhitch_rollout/configuration_changes.py
+++ b/libs/rollout/fireflyhitch_rollout/configuration_changes.py
@@ -1,14 +1,14 @@
-"""What a change of the operators' configuration does to a move: pure functions.
+"""The effect of configuration changes on a move, as pure functions.
 
-Each conflicting change in the middle of a move has one result:
+A change during a move that conflicts with it has one of these results:
 
-- move taken out: undone, cancelled;
-- another version named, or another current version: undone, replaced, and the
-  move to the new one begins;
-- the new version made the current one: done, confirmed by the operator;
-- date put off: the move goes on; date brought forward: the move goes on in the
-  time left, or is undone if its way back no longer fits;
-- a version that was taken back for a fault named again: undone at once.
+- the move is removed: undone, cancelled;
+- another target or current version is named: undone, replaced, and the move to
+  the new target starts;
+- the new version is made the current one: done, confirmed by the operator;
+- the deadline is postponed: the move continues; it is brought forward: the move
+  continues in the remaining time, or is undone if a rollback no longer fits;
+- a version that was withdrawn for a fault is named again: undone immediately.
 """
 
 from datetime import datetime, timedelta
@@ -28,11 +28,11 @@
     now: datetime,
     rollback_time: timedelta,
 ) -> MoveRecord | None:
-    """Return the move's record under a configuration.
+    """Return the record after applying a configuration.
 
-    :param record: the latest move, if there was one.
-    :param configured: the configuration's revision.
-    :param rollback_time: how long before its date a move can be taken back.
+    :param record: the latest move, if any.
+    :param configured: revision of the configuration.
+    :param rollback_time: time that a rollback takes.
     """
     if record is None:
         return _begin_move(None, deployment, configured, now)
@@ -45,10 +45,10 @@
 
 
 def find_base_version(record: MoveRecord | None, deployment: Deployment) -> VersionId:
-    """Return the version that serves what no move shifts.
+    """Return the version that serves the traffic that no move shifts.
 
-    The configuration may go on to name the old version as the current one
-    after a move was done; only when it names another is it obeyed.
+    The configuration may still name the old version as the current one after a
+    move is done; it takes effect again only once it names another version.
     """
     if record is None or deployment.version != record.named:
         return deployment.version
@@ -91,7 +91,7 @@
     if move is None or move.to_version == base or _is_same(record, move):
         return record
     withdrawn = record.withdrawn if record else ()
-    # Holders' clocks differ; a later move must not seem to be the earlier one.
+    # The clocks of duty holders differ, but records are ordered by their start.
     started = max(now, record.started + MIN_START_GAP) if record else now
     begun = MoveRecord(
         deployment=deployment.name,
--- a/libs/rollout/fireflyhitch_rollout/evidence.py
+++ b/libs/rollout/fireflyhitch_rollout/evidence.py
@@ -1,4 +1,4 @@
-"""Collects what calls met, passes it between daemons, and judges it."""
+"""Collects call results, exchanges them between daemons and evaluates them."""
 
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
@@ -31,46 +31,46 @@
 )
 from fireflyhitch_rollout.sequential_test import SequentialTest, Verdict
 
-# Each batch goes out this often, so that it is lost only with as many messages.
+# Number of messages that repeat each batch; it is lost only if all of them are.
 SENDS_PER_BATCH = 3
 SEND_INTERVAL_SECONDS = 1.0
 AGGREGATORS_PER_DOMAIN = 2
 DEDUPLICATION_WINDOW = 64
-# Calls that one crash breaks off together are one piece of evidence.
+# Calls that fail together in one crash count as one failure.
 FAILURE_DEDUPLICATION_SECONDS = 0.4
-# A server that has just begun has a cold prefix cache, which is no fault; it
-# fills by calls, of which each daemon sees its part.
+# A new server is slow until its prefix cache is warm, which is not a fault. The
+# cache fills with calls, of which each daemon sees only its part.
 WARMUP_CALLS = 60
 MIN_WARMUP_CALLS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """The two versions that are compared for a deployment."""
+    """The two versions of a deployment that are compared."""
 
     old: VersionId
     new: VersionId
 
 
 class EvidenceBook:
-    """Takes one record a call; ``step`` passes them on and judges.
+    """Collects one record per call; ``step`` sends and evaluates them.
 
-    Each daemon sends its counts to the carriers of its failure domain; the
-    first carrier sends the domain's sum to the carriers of the others. So a
-    daemon's traffic does not grow with the number of daemons elsewhere.
+    Each daemon sends its counts to the aggregators of its failure domain, and the
+    first aggregator sends the domain's total to those of other domains. A daemon's
+    traffic so does not grow with the number of daemons in other domains.
     """
 
     def __init__(
         self, local_daemon: Daemon, messenger: PeerMessenger, clock: Clock
     ) -> None:
-        """Make a book that watches no deployment yet."""
+        """Create a collector without trials."""
         self._local_daemon = local_daemon
         self._messenger = messenger
         self._clock = clock
         self._lock = Lock()
         self._trials: dict[DeploymentId, Trial] = {}
-        self._judges: dict[DeploymentId, SequentialTest] = {}
-        self._unjudged: dict[CellKey, CallCounts] = {}
+        self._tests: dict[DeploymentId, SequentialTest] = {}
+        self._unprocessed: dict[CellKey, CallCounts] = {}
         self._received: dict[CellKey, CallCounts] = {}
         self._domain_counts: dict[CellKey, CallCounts] = {}
         self._unsent: dict[CellKey, CallCounts] = {}
@@ -96,13 +96,13 @@
         between_tokens: float | None = None,
         load: float = 0,
     ) -> None:
-        """Count a call that ended, or failed, at a backend server.
+        """Count a call that completed or failed at a backend server.
 
-        Cancelled calls and refusals by this daemon itself are not recorded.
+        Cancelled calls and calls that this daemon rejected are not recorded.
 
-        :param first_token: seconds to the first token or byte; ``None`` if none.
+        :param first_token: seconds to the first token or byte, if one arrived.
         :param between_tokens: mean seconds between tokens, if there were several.
-        :param load: the server's calls in work as a part of its capacity.
+        :param load: the server's calls in progress as a fraction of its capacity.
         """
         if call.deployment not in self._trials:
             return
@@ -117,58 +117,58 @@
                 find_band(load),
                 server.failure_domain,
             )
-            counts = self._unjudged.get(key)
+            counts = self._unprocessed.get(key)
             if counts is None:
                 counts = CallCounts()
-                self._unjudged[key] = counts
+                self._unprocessed[key] = counts
             _count_call(
                 counts, ok, self._is_warm(server.server_id), first_token, between_tokens
             )
 
     def set_trials(self, trials: Mapping[DeploymentId, Trial]) -> None:
-        """Say which deployments are on trial; the others are not recorded."""
+        """Set the compared versions; other deployments are not recorded."""
         with self._lock:
             for deployment, trial in trials.items():
                 if self._trials.get(deployment) != trial:
-                    self._judges[deployment] = SequentialTest(trial.old, trial.new)
+                    self._tests[deployment] = SequentialTest(trial.old, trial.new)
             self._trials = dict(trials)
-            for removed in self._judges.keys() - trials.keys():
-                self._judges.pop(removed)
+            for removed in self._tests.keys() - trials.keys():
+                self._tests.pop(removed)
 
     def mark_leaving(self, servers: Iterable[BackendServerId]) -> None:
-        """Leave out failures at servers that are being taken away."""
+        """Set the leaving servers, whose failures are not counted."""
         self._leaving = frozenset(servers)
 
     def set_holders(self, holders: Iterable[DaemonId]) -> None:
-        """Say who decides on moves, so that these daemons get all evidence."""
+        """Set the holders of move duties, which receive all evidence."""
         self._holders = frozenset(holders)
 
     def step(self) -> dict[DeploymentId, Verdict]:
-        """Pass on what is new and return the faults that it shows."""
+        """Send and evaluate new counts; return the faults that they show."""
         with self._lock:
-            own = self._unjudged
+            own = self._unprocessed
             received = self._received
-            self._unjudged = {}
+            self._unprocessed = {}
             self._received = {}
-            judges = dict(self._judges)
+            tests = dict(self._tests)
         add_cells(self._unsent, own)
         self._send_when_due()
         add_cells(received, own)
         verdicts: dict[DeploymentId, Verdict] = {}
-        for deployment, judge in judges.items():
+        for deployment, test in tests.items():
             cells = {
                 key: counts
                 for key, counts in received.items()
                 if key.deployment == deployment
             }
-            verdict = judge.add_batch(cells)
+            verdict = test.add_batch(cells)
             if verdict is not None:
                 verdicts[deployment] = verdict
         return verdicts
 
     def find_judge(self, deployment: DeploymentId) -> SequentialTest | None:
-        """Return what is known of a deployment on trial."""
-        return self._judges.get(deployment)
+        """Return the test of a deployment on trial."""
+        return self._tests.get(deployment)
 
     def _is_excluded(self, server: BackendServerId, ok: bool, now: float) -> bool:
         if ok:
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -1,4 +1,4 @@
-"""Keeps the moves of all deployments at one daemon."""
+"""Manages the version moves of all deployments at one daemon."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -52,13 +52,13 @@
 
 DUTY_PREFIX = 'moves/'
 READ_INTERVAL_SECONDS = 30.0
-# How often a record or withdrawal that does not change is told again.
+# Interval at which unchanged records and withdrawals are sent again.
 RESEND_SECONDS = 5.0
 
 
 @dataclass(slots=True)
 class _SendTimes:
-    """When withdrawals and records were last told, in monotonic seconds."""
+    """Monotonic seconds at which withdrawals and records were last sent."""
 
     records: dict[DeploymentId, float] = field(default_factory=dict)
     withdrawals: dict[tuple[DeploymentId, VersionId], float] = field(
@@ -67,10 +67,10 @@
 
 
 class MoveKeeper:
-    """Takes part in all moves; ``step`` is called every half second or so.
+    """Manages moves; call ``step`` about every half second.
 
-    The holder of the duty ``moves/{deployment}`` raises shares and ends moves
-    in the store; each daemon takes back a faulty version and keeps the date.
+    The holder of the duty ``moves/{deployment}`` raises shares and ends moves in
+    the store. Every daemon withdraws a faulty version and enforces the deadline.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         picker: VersionPicker,
         clock: Clock,
     ) -> None:
-        """Make a keeper without moves; the picker is updated by it alone."""
+        """Create a manager without moves; nothing else may update the picker."""
         self.pace = Pace()
         self._local_daemon = local_daemon
         self._records = MoveRecordStore(store)
@@ -105,7 +105,7 @@
         messenger.handle(WithdrawalMessage, self._receive_withdrawal)
 
     def configure(self, configuration: Configuration, revision: int) -> None:
-        """Follow a configuration; one of a lower revision is passed over."""
+        """Apply a configuration unless its revision is not newer."""
         with self._lock:
             if revision <= self._revision:
                 return
@@ -116,17 +116,17 @@
             self._apply_shares()
 
     def list_duties(self) -> tuple[DutyId, ...]:
-        """Return the duties that the moves need, for the duty keeper."""
+        """Return the duties for moves, one for each deployment."""
         return tuple(find_duty(deployment) for deployment in self._deployments)
 
     def observe(self, supplies: Mapping[DeploymentId, Supply]) -> None:
-        """Say what there is to serve with; to be called when it changes."""
+        """Set the available servers; call it whenever they change."""
         with self._lock:
             self._supplies = dict(supplies)
             self._apply_shares()
 
     def step(self) -> None:
-        """Judge the evidence, advance what this daemon holds, keep the dates."""
+        """Evaluate the evidence, advance the moves held here, enforce deadlines."""
         for deployment, verdict in self._evidence.step().items():
             record = self._records.find(deployment)
             if record is not None and not record.has_ended:
@@ -141,7 +141,7 @@
     def withdraw(
         self, deployment: DeploymentId, version: VersionId, evidence: Sequence[str]
     ) -> None:
-        """Take a version back for a fault, here at once and then everywhere."""
+        """Withdraw a version for a fault: locally at once, then at all daemons."""
         self._picker.withdraw(deployment, version)
         with self._lock:
             self._record_withdrawal(deployment, version, tuple(evidence))
@@ -155,14 +155,14 @@
             return tuple(report for report in reports if report is not None)
 
     def list_needs(self, deployment: DeploymentId) -> tuple[VersionNeed, ...]:
-        """Return what the fleet has to hold ready of each version."""
+        """Return the capacity that the fleet must keep ready for each version."""
         with self._lock:
             record = self._records.find(deployment)
             base = find_base_version(record, self._deployments[deployment])
             return find_needs(record, base, self.pace)
 
     def _advance_record(self, name: DeploymentId, deployment: Deployment) -> None:
-        """Bring the store's record on, as far as this daemon may."""
+        """Advance the stored record as far as this daemon is allowed to."""
         fencing = self._duties.holds(find_duty(name))
         if fencing is None and not self._has_unsaved_withdrawal(name):
             return
@@ -180,8 +180,8 @@
         self._write(record, previous, fencing)
 
     def _has_unsaved_withdrawal(self, name: DeploymentId) -> bool:
-        # Only the daemon that found a fault writes it; all that hear of it
-        # would be as many writes as there are daemons.
+        # Only the daemon that found a fault writes the withdrawal. If receivers
+        # did too, there would be as many writes as daemons.
         return any(
             deployment == name
             and not self._records.has_stored_withdrawal(deployment, version)
@@ -199,19 +199,19 @@
         if record is None or record.has_ended:
             return record
         supply = self._supplies.get(deployment.name, Supply())
-        judge = self._evidence.find_judge(deployment.name)
+        test = self._evidence.find_judge(deployment.name)
         conditions = MoveConditions(
             now=now,
             rollback_deadline=record.move_by - rollback_time,
             finish_by=record.move_by - find_rollback_time(0, 1, supply.start_time),
             capacity=supply.find_capacity(record.to_version),
             old_servers=len(supply.list_version(record.from_version)),
-            proven=judge is not None and judge.has_enough_calls(self.pace.least_calls),
-            phase_calls=self._phases.count_calls(record, judge),
+            proven=test is not None and test.has_enough_calls(self.pace.least_calls),
+            phase_calls=self._phases.count_calls(record, test),
         )
         record = advance(record, conditions, self.pace)
-        if record.has_ended and judge is not None:
-            record = record.model_copy(update={'evidence': judge.describe()})
+        if record.has_ended and test is not None:
+            record = record.model_copy(update={'evidence': test.describe()})
         return record
 
     def _write(
@@ -220,14 +220,14 @@
         previous: MoveRecord | None,
         fencing: FencingNumber | None,
     ) -> None:
-        is_raise = self._raises_share(record, previous)
+        is_raise = self._increases_share(record, previous)
         invariant(
             not is_raise or self._duties.holds(find_duty(record.deployment)) == fencing,
             Invariant.SHARE_NEEDS_LEASE,
             f'{record.deployment} to {record.to_version}',
             step=Step.PLAN,
         )
-        # Without the lease only a withdrawal is written.
+        # Without the lease only withdrawals are written.
         if is_raise and fencing is None:
             return
         if not self._records.write(record):
@@ -237,10 +237,10 @@
             version=record.to_version,
             state=record.state.value,
             reason=record.reason.value if record.reason else None,
-        ).info('move written')
+        ).info('move record written')
         self._send_record(record)
 
-    def _raises_share(self, record: MoveRecord, previous: MoveRecord | None) -> bool:
+    def _increases_share(self, record: MoveRecord, previous: MoveRecord | None) -> bool:
         if record.state is MoveState.UNDONE:
             return False
         if previous is None or previous.move_key != record.move_key:
@@ -300,7 +300,7 @@
         self._messenger.spread(message, Scope.EVERYWHERE)
 
     def _resend_withdrawals(self) -> None:
-        """Tell again what was withdrawn here, for daemons that were cut off."""
+        """Send local withdrawals again, for daemons that were partitioned."""
         now = self._clock.monotonic()
         for (deployment, version), sent_at in tuple(self._sent_at.withdrawals.items()):
             record = self._records.find(deployment)
@@ -323,7 +323,7 @@
         return find_rollback_time(count, supply.needed, supply.start_time)
 
     def _apply_shares(self) -> None:
-        """Put the shares of all deployments in force at this daemon."""
+        """Recompute and apply the local shares of all deployments."""
         shares = {}
         trials = {}
         for name, deployment in self._deployments.items():
@@ -336,10 +336,10 @@
         self._evidence.set_holders(self._holders.values())
 
     def _find_effective_record(self, deployment: Deployment) -> MoveRecord | None:
-        """Return the record with what this daemon may lower by itself.
+        """Return the record, ended locally where this daemon may do so alone.
 
-        That is a move which the operators took out or replaced, and one whose
-        last return has come without word that it is done.
+        That applies to a move that operators removed or replaced, and to one that
+        has reached its rollback deadline and is not known to be done.
         """
         record = self._records.find(deployment.name)
         if record is None or record.has_ended:
@@ -384,8 +384,8 @@
         record = self._find_effective_record(deployment)
         if record is None:
             return None
-        judge = self._evidence.find_judge(name)
-        described = judge.describe() if judge and not record.has_ended else ()
+        test = self._evidence.find_judge(name)
+        described = test.describe() if test and not record.has_ended else ()
         shares = self._picker.find(name)
         share = shares.share if shares else 0
         return MoveReport(
@@ -402,5 +402,5 @@
 
 
 def find_duty(deployment: DeploymentId) -> DutyId:
-    """Return the duty whose holder leads a deployment's moves."""
+    """Return the id of the duty whose holder manages a deployment's moves."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
--- a/libs/rollout/fireflyhitch_rollout/phase_tracker.py
+++ b/libs/rollout/fireflyhitch_rollout/phase_tracker.py
@@ -1,4 +1,4 @@
-"""How long, and with how many calls, a move has been in its present phase."""
+"""Tracks the duration and the number of calls of each move's current phase."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -8,37 +8,38 @@
 from fireflyhitch_rollout.records import MoveRecord
 from fireflyhitch_rollout.sequential_test import SequentialTest
 
-# A burst ends by the holder's word; this is for when that word does not come.
+# The duty holder ends a burst; a daemon that does not receive the end waits this
+# much longer.
 BURST_GRACE = timedelta(seconds=3)
 
 
 @dataclass(frozen=True, slots=True)
 class _PhaseStart:
-    """A phase and what a count was when it was first seen."""
+    """A phase and the value of a counter when the phase was first seen."""
 
     phase: tuple[object, ...]
     value: float
 
 
 class PhaseTracker:
-    """Remembers when, and at how many calls, each phase was first seen here."""
+    """Records the time and the call count at which each phase was first seen."""
 
     def __init__(self, clock: Clock) -> None:
-        """Make it without phases."""
+        """Create a tracker without phases."""
         self._clock = clock
         self._start_times: dict[DeploymentId, _PhaseStart] = {}
         self._start_calls: dict[DeploymentId, _PhaseStart] = {}
 
-    def count_calls(self, record: MoveRecord, judge: SequentialTest | None) -> int:
-        """Return the new version's calls since the phase was first seen."""
-        calls = judge.count_new() if judge else 0
+    def count_calls(self, record: MoveRecord, test: SequentialTest | None) -> int:
+        """Return the calls of the new version since the phase was first seen."""
+        calls = test.count_new() if test else 0
         return calls - int(_find_start(self._start_calls, record, calls))
 
     def is_overdue(self, record: MoveRecord, burst_length: timedelta) -> bool:
-        """Tell whether a burst lasts longer than it may.
+        """Return whether a burst has exceeded its duration.
 
-        A daemon that is cut off in a burst does not hear of its end, and would
-        go on to expose more than the bound.
+        A daemon that is partitioned during a burst does not receive its end and
+        would otherwise exceed the exposure limit.
         """
         now = self._clock.monotonic()
         began = _find_start(self._start_times, record, now)
--- a/libs/rollout/fireflyhitch_rollout/record_store.py
+++ b/libs/rollout/fireflyhitch_rollout/record_store.py
@@ -1,4 +1,4 @@
-"""Moves in the key-value service, and what this daemon knows of them."""
+"""Move records in the key-value store, merged with records from peers."""
 
 from dataclasses import dataclass
 
@@ -21,20 +21,20 @@
 
 
 class MoveRecordStore:
-    """Keeps the merge of all that was read, written and heard of."""
+    """Holds the merge of all records read, written and received."""
 
     def __init__(self, store: KeyValueStore) -> None:
-        """Make an archive that has read nothing."""
+        """Create an empty store that has not read anything."""
         self._store = store
         self._entries: dict[DeploymentId, _Entry] = {}
 
     def find(self, deployment: DeploymentId) -> MoveRecord | None:
-        """Return the record that holds, as far as known."""
+        """Return the merged record of a deployment."""
         entry = self._entries.get(deployment)
         return entry.record if entry else None
 
     def merge(self, record: MoveRecord) -> MoveRecord:
-        """Take in a record from anywhere and return what holds."""
+        """Merge a record from any source and return the result."""
         entry = self._entries.setdefault(record.deployment, _Entry())
         previous = entry.record
         entry.record = record if previous is None else merge_records(previous, record)
@@ -48,7 +48,7 @@
         try:
             listing = self._store.get_prefix(KEY_PREFIX)
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('moves not read')
+            logger.bind(step=error.step.value).warning('failed to read moves')
             return False
         for item in listing.items:
             self._apply(DeploymentId(item.key.removeprefix(KEY_PREFIX)), item)
@@ -62,37 +62,37 @@
         try:
             current = self._store.get(_key(deployment))
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('move not read')
+            logger.bind(step=error.step.value).warning('failed to read move')
             return False
         self._apply(deployment, current)
         return True
 
     def has_revision(self, deployment: DeploymentId) -> bool:
-        """Tell whether the store's revision of a move is known."""
+        """Return whether the key's revision, needed for a write, is known."""
         entry = self._entries.get(deployment)
         return entry is not None and entry.revision is not None
 
     def has_stored_withdrawal(
         self, deployment: DeploymentId, version: VersionId
     ) -> bool:
-        """Tell whether the store has a version down as withdrawn."""
+        """Return whether the stored record marks a version as withdrawn."""
         entry = self._entries.get(deployment)
         if entry is None or entry.stored is None:
             return False
         return version in entry.stored.withdrawn
 
     def is_stored(self, deployment: DeploymentId) -> bool:
-        """Tell whether the store, as last read, has all that is known."""
+        """Return whether the record last read or written equals the merged one."""
         entry = self._entries.get(deployment)
         return entry is None or entry.record == entry.stored
 
     def write(self, record: MoveRecord) -> bool:
-        """Write a record if the store holds what was last read.
+        """Write a record if the key was not changed since it was last read.
 
-        An answer that was lost is settled by reading again before the next
-        write: the record is found there, or the write had no effect.
+        After a lost response the key is read again before the next write, which
+        shows whether the write took effect.
 
-        :returns: whether it is certainly in the store.
+        :returns: whether the record is known to be stored.
         """
         entry = self._entries.setdefault(record.deployment, _Entry())
         if entry.revision is None:
@@ -103,7 +103,7 @@
         try:
             written = self._store.put_if(_key(record.deployment), content, expected)
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('move not written')
+            logger.bind(step=error.step.value).warning('failed to write move')
             return False
         if isinstance(written, Conflict):
             self._apply(record.deployment, written.current)
@@ -122,7 +122,7 @@
             entry.stored = MoveRecord.model_validate_json(current.value)
             self.merge(entry.stored)
         except ValidationError:
-            logger.bind(deployment=deployment).error('move not understood')
+            logger.bind(deployment=deployment).error('invalid move record')
 
 
 def _key(deployment: DeploymentId) -> str:
--- a/libs/rollout/fireflyhitch_rollout/records.py
+++ b/libs/rollout/fireflyhitch_rollout/records.py
@@ -1,4 +1,4 @@
-"""A move's state as it is stored, spread and reported."""
+"""The state of a version move, as stored, broadcast and reported."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -12,7 +12,10 @@
 
 
 class MoveState(Enum):
-    """How far a move is; it only goes forward, and ``UNDONE`` is final."""
+    """The phase of a move; it only advances, and ``UNDONE`` is final.
+
+    ``UNDONE`` means that the move was rolled back or cancelled.
+    """
 
     STARTING = 'starting'
     TRIAL = 'trial'
@@ -22,7 +25,7 @@
 
 
 class Reason(Enum):
-    """Why a move ended."""
+    """Why a move ended; the values are shown to operators."""
 
     PROVEN = 'evidence good and all traffic moved'
     FAULT = 'evidence shows a fault'
@@ -41,18 +44,18 @@
 
 
 class MoveRecord(BaseModel):
-    """A deployment's latest move.
-
-    :param named: the version that the configuration names as the current one.
-    :param settled: the version that serves after an end that operators changed.
-    :param configured: revision of the configuration that it follows.
-    :param started: wall time at which the duty's holder began the move.
-    :param phase_began: wall time at which the state or step was entered.
-    :param step: index into the shares while shifting.
-    :param burst: grows at the start and at the end of each burst; odd within one.
-    :param fencing: fencing number under which it was last written.
-    :param evidence: the evidence at the end, for people.
-    :param withdrawn: versions taken back for a fault, which get no work again.
+    """The latest move of a deployment.
+
+    :param named: current version according to the configuration.
+    :param settled: version that operators made current after the move ended.
+    :param configured: revision of the configuration that the record reflects.
+    :param started: wall clock time at which the duty holder started the move.
+    :param phase_began: wall clock time of the last change of state, step or burst.
+    :param step: index into the configured shares while shifting.
+    :param burst: incremented at the start and end of each burst; odd during one.
+    :param fencing: fencing number under which the record was last written.
+    :param evidence: human-readable evidence at the end of the move.
+    :param withdrawn: versions rolled back for a fault; they get no requests again.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -76,24 +79,24 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the move is done or undone."""
+        """Whether the move has completed or was rolled back."""
         return self.state in {MoveState.DONE, MoveState.UNDONE}
 
     @property
     def serving_version(self) -> VersionId:
-        """The version that serves what the move does not shift."""
+        """The version that serves the traffic that the move does not shift."""
         if self.settled is not None:
             return self.settled
         return self.to_version if self.state is MoveState.DONE else self.from_version
 
     @property
     def move_key(self) -> tuple[str, datetime]:
-        """What tells one move of a deployment from another."""
+        """The key that distinguishes the moves of one deployment."""
         return (self.to_version, self.started)
 
 
 class MoveMessage(PeerMessage):
-    """The holder's record, confirmed by the store when it was sent."""
+    """The duty holder's record, as written to the store."""
 
     kind: ClassVar[str] = 'move-news'
 
@@ -101,7 +104,7 @@
 
 
 class WithdrawalMessage(PeerMessage):
-    """A version that a daemon has taken back for a fault."""
+    """A version that a daemon has withdrawn for a fault."""
 
     kind: ClassVar[str] = 'withdrawal-news'
 
@@ -112,11 +115,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveReport:
-    """A move for operators.
+    """The state of a move as shown to operators.
 
-    :param share: share of traffic that the new version gets now.
-    :param last_return: the latest time at which the move can still be taken
-        back by its date.
+    :param share: current share of the new version, 0 to 1.
+    :param last_return: latest time at which a rollback still finishes by
+        ``move_by``.
     :param evidence: one line for each route with evidence.
     """
 
@@ -132,10 +135,10 @@
 
 
 def merge_records(one: MoveRecord, other: MoveRecord) -> MoveRecord:
-    """Return the record that holds; the result does not depend on the order.
+    """Return the merge of two records; the merge is commutative.
 
-    Of two moves the later configured one holds. Within one move ``UNDONE``
-    wins, then the further one. Versions withdrawn in either stay withdrawn.
+    The move that started later wins. Within one move ``UNDONE`` wins, then the
+    more advanced record. Versions withdrawn in either stay withdrawn.
     """
     ahead = max(one, other, key=_rank)
     withdrawn = tuple(sorted({*one.withdrawn, *other.withdrawn}))
--- a/libs/rollout/fireflyhitch_rollout/schedule.py
+++ b/libs/rollout/fireflyhitch_rollout/schedule.py
@@ -1,35 +1,37 @@
-"""When a move goes on, when it ends, and what share it gives: pure functions."""
+"""Schedule of a move: its phases, shares and end, as pure functions."""
 
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
 from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
 
-# From a withdrawal until every daemon that can be reached follows it.
+# Time until every reachable daemon applies a withdrawal.
 PROPAGATION_TIME = timedelta(seconds=10)
-# How far a burst goes above the usual load, as the traffic's peaks do.
+# Load during a burst relative to the usual load, to cover traffic peaks.
 PEAK_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """How a move uses the time until its date.
-
-    The base share and the bursts together expose 1.6% of the traffic while
-    there is no verdict, which leaves room below the 2% that is promised.
-
-    :param trial_fraction: part of the time that the trial takes; faults that come
-        late show in it, at a small share.
-    :param finish_fraction: part of the time at which the move aims to be done; the
-        rest is for reclaim waves, refused starts and outages near the end.
-    :param max_duration: the longest that a move takes, however far off its date is.
-    :param base_share: share of the traffic during the trial.
-    :param burst_part: part of the traffic that bursts take over their period.
-    :param max_burst_share: most that a burst takes.
-    :param steps: shares after the trial. The last leaves the old version half,
-        without which a shock to both would look like a fault.
+    """How a move uses the time until its deadline.
+
+    The base share and the bursts together expose 1.6% of the traffic until there
+    is a verdict, below the guaranteed maximum of 2%.
+
+    :param trial_fraction: fraction of the time used by the trial; late faults
+        show up in it, at a small share.
+    :param finish_fraction: fraction of the time after which the move should be
+        done; the rest is slack for reclaim waves, refused starts and outages.
+    :param max_duration: maximum duration of a move, however late its deadline.
+    :param base_share: traffic share during the trial.
+    :param burst_part: fraction of the traffic that bursts take, averaged over
+        ``burst_period``.
+    :param max_burst_share: maximum traffic share during a burst.
+    :param steps: shares after the trial. The last one leaves half of the traffic
+        on the old version: without it, a disturbance of both versions would look
+        like a fault of the new one.
     :param least_calls: calls that the new version needs before the trial ends.
-    :param step_calls: calls of the new version that each step needs.
+    :param step_calls: calls that the new version needs in each step.
     """
 
     trial_fraction: float = 0.6
@@ -46,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveConditions:
-    """What a move's next step depends on.
-
-    :param rollback_deadline: the latest time for taking the move back.
-    :param finish_by: the last return if old servers were lost meanwhile, which
-        the move aims at.
-    :param capacity: part of the traffic that the new version's ready servers
-        can carry.
-    :param old_servers: servers that carry the whole traffic.
-    :param proven: whether each route had enough calls on the new version.
-    :param phase_calls: the new version's calls since the phase began.
+    """Input to the next step of a move.
+
+    :param rollback_deadline: latest time to start a rollback.
+    :param finish_by: rollback deadline if old servers had to be started first;
+        the target time of the move.
+    :param capacity: fraction of the traffic that the ready servers of the new
+        version can carry.
+    :param old_servers: number of ready servers of the old version.
+    :param proven: whether the new version had enough calls on each route.
+    :param phase_calls: calls of the new version since the phase began.
     """
 
     now: datetime
@@ -70,11 +72,11 @@
 def find_rollback_time(
     old_servers: int, needed: int, start_time: timedelta
 ) -> timedelta:
-    """Return how long before its date a move can be taken back at the latest.
+    """Return the time that a rollback takes.
 
-    :param old_servers: servers of the old version that are ready.
-    :param needed: servers that carry the present traffic.
-    :param start_time: from ordering a server to its being ready.
+    :param old_servers: number of ready servers of the old version.
+    :param needed: number of servers that the present traffic needs.
+    :param start_time: time from ordering a server until it is ready.
     """
     if old_servers >= needed:
         return PROPAGATION_TIME
@@ -82,10 +84,10 @@
 
 
 def advance(record: MoveRecord, conditions: MoveConditions, pace: Pace) -> MoveRecord:
-    """Return the record after what is due now, or the same one.
+    """Return the record after the transition that is due, or the same record.
 
-    A move that is not done when its last return comes is undone, whatever
-    the evidence says: later it could no longer be taken back by its date.
+    A move that is not done at its rollback deadline is undone regardless of the
+    evidence: later, a rollback could no longer finish by the move's deadline.
     """
     if record.has_ended:
         return record
@@ -99,12 +101,12 @@
 
 
 def end_move(record: MoveRecord, state: MoveState, reason: Reason) -> MoveRecord:
-    """Return the record of the move's end."""
+    """Return the record in a final state."""
     return record.model_copy(update={'state': state, 'reason': reason})
 
 
 def find_share(record: MoveRecord, old_servers: int, pace: Pace) -> float:
-    """Return the new version's share that a record stands for."""
+    """Return the new version's traffic share according to a record."""
     if record.state is MoveState.TRIAL:
         if record.burst % 2:
             return find_burst_share(old_servers, pace)
@@ -115,13 +117,13 @@
 
 
 def find_burst_share(old_servers: int, pace: Pace) -> float:
-    """Return the share that loads one new server as the old ones are loaded."""
+    """Return the share that loads one new server like an old one at its peak."""
     usual = min(pace.max_burst_share, PEAK_FACTOR / max(old_servers, 1))
     return max(usual, pace.base_share)
 
 
 def find_burst_length(old_servers: int, pace: Pace) -> timedelta:
-    """Return how long a burst may last, so that its calls stay within bounds."""
+    """Return the burst duration that keeps exposure within ``burst_part``."""
     share = find_burst_share(old_servers, pace)
     return pace.burst_period * pace.burst_part / share
 
--- a/libs/rollout/fireflyhitch_rollout/sequential_test.py
+++ b/libs/rollout/fireflyhitch_rollout/sequential_test.py
@@ -1,12 +1,12 @@
-"""The sequential test of a new version against the old one.
+"""Sequential test of a new version against the old one.
 
-For each group of calls a Shiryaev-Roberts statistic is kept: after each batch
+For each group of calls a Shiryaev-Roberts statistic is updated with each batch:
 ``R = (R + 1) * L``, where ``L`` is the likelihood ratio of "the new version is
-worse" against "it is as the old one was in the same period". Its mean after
-``N`` updates is at most ``N`` if the version is good, so that a good version
-reaches ``THRESHOLD`` within ``N`` updates with a probability of at most
-``N / THRESHOLD``, whenever one looks. Unlike a test that adds up all evidence,
-it forgets a good past, and so finds a fault that comes late as fast.
+worse" to "it equals the old version in the same period". For a good version its
+mean after ``N`` updates is at most ``N``, so the probability that it reaches
+``THRESHOLD`` within ``N`` updates is at most ``N / THRESHOLD``, however often it
+is checked. Unlike a test that accumulates all evidence, it discounts a good past
+and detects a late fault as fast as an early one.
 """
 
 import math
@@ -19,16 +19,16 @@
 from fireflyhitch_rollout.baselines import FailureBaseline, LatencyBaseline, RecentRate
 from fireflyhitch_rollout.call_counts import CallCounts, CellKey, LoadBand, Signal
 
-# A move makes some 10,000 updates over all groups, by the moves benchmark; so
-# at most 1 good version in 1,000 is taken back by chance.
+# In the moves benchmark a move makes about 10,000 updates over all groups, so at
+# most 1 good version in 1,000 is rolled back by chance.
 THRESHOLD = 1e7
-# Worse means that this part of the calls that would be good turns bad.
+# Alternative hypotheses: the fraction of otherwise good calls that turn bad.
 ALTERNATIVES = (0.04, 0.12, 0.35, 0.8)
 MAX_LOG_RATIO = 600.0
 MAX_BASE_RATE = 0.95
-# Routes with less than this part of the calls cannot hold up a move.
+# Routes with a smaller fraction of the calls cannot delay a move.
 MINOR_ROUTE_FRACTION = 0.1
-# As many failures as the threshold takes where every call fails.
+# Number of failures that reach the threshold if every call fails.
 MIN_ROUTE_CALLS = 5
 ANY_ROUTE = '*'
 LATENCY_SIGNALS = (Signal.FIRST_TOKEN, Signal.BETWEEN_TOKENS)
@@ -37,9 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A fault that the evidence shows.
+    """A detected fault of the new version.
 
-    :param evidence: the statistic that passed the threshold, for people.
+    :param evidence: human-readable value of the statistic that reached the
+        threshold.
     """
 
     signal: Signal
@@ -65,10 +66,10 @@
 
 
 class SequentialTest:
-    """Weighs the batches of one move."""
+    """Tests the batches of one move."""
 
     def __init__(self, old: VersionId, new: VersionId) -> None:
-        """Make a judge without evidence."""
+        """Create a test without evidence."""
         self.updates = 0
         self._old = old
         self._new = new
@@ -86,9 +87,9 @@
         self._new_failures: Counter[str] = Counter()
 
     def add_batch(self, cells: Mapping[CellKey, CallCounts]) -> Verdict | None:
-        """Take in a batch of paired counts.
+        """Add a batch of paired counts.
 
-        :returns: the fault shown, now or earlier.
+        :returns: the fault detected now or earlier, if any.
         """
         for key, counts in cells.items():
             if key.version == self._old:
@@ -103,7 +104,7 @@
         return self._verdict
 
     def count_calls(self, route: str, min_band: LoadBand = LoadBand.IDLE) -> int:
-        """Return how many calls of a route the new version had at some load."""
+        """Return the new version's calls on a route, at ``min_band`` or above."""
         return sum(
             count
             for (other, band), count in self._new_calls.items()
@@ -111,20 +112,20 @@
         )
 
     def count_new(self) -> int:
-        """Return how many calls the new version had."""
+        """Return the number of calls of the new version."""
         return self._new_calls.total()
 
     def list_major_routes(self) -> list[str]:
-        """Return the routes that have more than a minor part of the calls."""
+        """Return the routes with at least ``MINOR_ROUTE_FRACTION`` of the calls."""
         min_calls = MINOR_ROUTE_FRACTION * self._old_calls.total()
         return sorted(
             route for route, calls in self._old_calls.items() if calls >= min_calls
         )
 
     def has_enough_calls(self, least_calls: int) -> bool:
-        """Tell whether each route that is not minor was tried, also under load.
+        """Return whether all major routes were tried, some calls under load.
 
-        :param least_calls: calls of the new version that are needed in all.
+        :param least_calls: minimum number of calls of the new version in total.
         """
         routes = self.list_major_routes()
         loaded = sum(self.count_calls(route, LoadBand.USUAL) for route in routes)
@@ -135,11 +136,11 @@
         return all(self.count_calls(route) >= MIN_ROUTE_CALLS for route in routes)
 
     def count_old_loaded(self) -> int:
-        """Return how many of the old version's calls met usual load or more."""
+        """Return the old version's calls at usual load or more."""
         return self._old_calls_loaded
 
     def describe(self) -> tuple[str, ...]:
-        """Return a line for each route, for people."""
+        """Return a human-readable line for each route."""
         lines = [
             f'{route}: {self.count_calls(route)} calls to the new version, '
             f'{self._new_failures[route]} failed, '
@@ -194,8 +195,8 @@
         ratios = _find_log_ratios(counts.failures, counts.calls, expected)
         _add_log_ratios(log_ratios, Signal.FAILURE, key, ratios)
         if key.band is LoadBand.OVERFULL:
-            # This band has no upper limit: how long calls wait there says how
-            # overloaded the server was, not how good its version is.
+            # This band has no upper bound, so latencies in it reflect how
+            # overloaded the server was rather than its version.
             return
         for signal in LATENCY_SIGNALS:
             baseline = self._latency_baselines.get((signal, kind), LatencyBaseline())
@@ -229,7 +230,7 @@
 
 
 def _count_slow(latencies: Mapping[int, int], limit: int) -> tuple[int, int]:
-    """Return all calls, and those above a bucket."""
+    """Return the number of calls in total and above a bucket."""
     slow = sum(count for bucket, count in latencies.items() if bucket > limit)
     return sum(latencies.values()), slow
 
@@ -252,15 +253,15 @@
 
 
 def _list_groups(signal: Signal, key: CellKey) -> Iterator[_Group]:
-    # A fault on one route, or only under load, drowns in the sum over all;
-    # a fault everywhere shows soonest in the sum.
+    # A fault on one route or only under load is diluted in the total, but a
+    # fault everywhere is detected earliest there.
     yield _Group(signal, key.route, key.band)
     yield _Group(signal, key.route, None)
     yield _Group(signal, ANY_ROUTE, None)
 
 
 def _find_log_ratios(bad: int, calls: int, expected: float) -> list[float]:
-    """Return the logarithm of the likelihood ratio for each alternative."""
+    """Return the log likelihood ratio for each alternative."""
     base_rate = min(expected, MAX_BASE_RATE)
     ratios = []
     for worse_fraction in ALTERNATIVES:
--- a/libs/rollout/fireflyhitch_rollout/shares.py
+++ b/libs/rollout/fireflyhitch_rollout/shares.py
@@ -1,4 +1,4 @@
-"""Which version, and which of its servers, a request goes to."""
+"""Selection of the version, and of its servers, for a request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionShares:
-    """How a deployment's requests are divided at this time.
+    """The current traffic split of a deployment.
 
-    :param old: the version that gets the rest.
-    :param new: the version on trial, if any.
-    :param share: part of the requests that the new version gets, 0 to 1.
-    :param servers: the new version's servers that take that part; empty for
+    :param old: version that gets the remaining requests.
+    :param new: version that is being rolled out, if any.
+    :param share: fraction of the requests that the new version gets, 0 to 1.
+    :param servers: servers of the new version that get its share; empty for
         all of them.
     """
 
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionPick:
-    """Where a request goes.
+    """The version and the preferred servers for a request.
 
-    :param servers: these of the version's servers before its others, which are
-        for when none of these can take it; empty for all alike.
+    :param servers: preferred servers of the version; its others are used only
+        if none of these can take the request. Empty for no preference.
     """
 
     version: VersionId
@@ -50,19 +50,19 @@
 
 
 class VersionPicker:
-    """Holds the shares; ``pick`` reads one immutable snapshot without a lock."""
+    """Holds the traffic shares; ``pick`` reads an immutable snapshot lock-free."""
 
     def __init__(self) -> None:
         self._lock = Lock()
         self._snapshot = _Snapshot()
 
     def pick(self, call: Call) -> VersionPick:
-        """Choose by the request's hash, so that a retry meets the same version.
+        """Choose a version by the request's hash, so that retries get the same one.
 
-        The hash does not change with the share: when it grows, the requests
+        The hash does not depend on the share: when the share grows, requests
         that were on the new version stay there.
 
-        :raises InvariantError: if the choice fell on a withdrawn version.
+        :raises InvariantError: if a withdrawn version was chosen.
         :raises KeyError: if the deployment is not configured.
         """
         snapshot = self._snapshot
@@ -83,33 +83,33 @@
         return self._snapshot.shares.get(deployment)
 
     def update(self, shares: Mapping[DeploymentId, VersionShares]) -> None:
-        """Put all shares in force; withdrawn versions get none whatever it says."""
+        """Replace all shares; withdrawn versions get none in any case."""
         with self._lock:
             withdrawn = self._snapshot.withdrawn
             self._snapshot = _Snapshot(_drop_withdrawn(shares, withdrawn), withdrawn)
 
     def withdraw(self, deployment: DeploymentId, version: VersionId) -> None:
-        """Give a version no new work from now on."""
+        """Stop sending new requests to a version."""
         with self._lock:
             withdrawn = self._snapshot.withdrawn | {(deployment, version)}
             shares = _drop_withdrawn(self._snapshot.shares, withdrawn)
             self._snapshot = _Snapshot(shares, withdrawn)
 
     def is_withdrawn(self, deployment: DeploymentId, version: VersionId) -> bool:
-        """Tell whether a version was withdrawn here."""
+        """Return whether a version was withdrawn at this daemon."""
         return (deployment, version) in self._snapshot.withdrawn
 
 
 def choose_servers(
     servers: tuple[BackendServer, ...], old_count: int, share: float
 ) -> tuple[BackendServerId, ...]:
-    """Choose the few servers on which a share makes the load of a usual server.
+    """Choose as many servers as the share loads to the usual level.
 
-    Spread over all of its servers, a small share would never load one of them,
-    and a version that fails only under load would pass.
+    Spread over all servers, a small share would not load any of them, and a
+    version that fails only under load would pass.
 
-    :param servers: the new version's servers that are ready.
-    :param old_count: how many servers carry the whole traffic at present.
+    :param servers: ready servers of the new version.
+    :param old_count: number of servers that carry all traffic at present.
     """
     if not servers:
         return ()
--- a/libs/rollout/fireflyhitch_rollout/supplies.py
+++ b/libs/rollout/fireflyhitch_rollout/supplies.py
@@ -1,4 +1,4 @@
-"""What a deployment has to serve with, and what its move needs of the fleet."""
+"""Servers available to a deployment and the servers that its move needs."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Supply:
-    """What a deployment has to serve with, from the instance list and the fleet.
+    """Servers available to a deployment, from the instance list and the fleet.
 
-    :param servers: those that are ready and not leaving, of all versions.
-    :param needed: how many servers carry the present traffic.
-    :param start_time: from ordering an instance until it is ready, as measured,
-        with the wait for the weight store.
+    :param servers: servers of all versions that are ready and not leaving.
+    :param needed: number of servers that the present traffic needs.
+    :param start_time: measured time from ordering an instance until it is ready,
+        including the wait for the weight store.
     """
 
     servers: tuple[BackendServer, ...] = ()
@@ -31,21 +31,21 @@
         return tuple(server for server in self.servers if server.version == version)
 
     def find_capacity(self, version: VersionId) -> float:
-        """Return the part of the traffic that a version's servers can carry."""
+        """Return the fraction of the traffic that a version's servers can carry."""
         return len(self.list_version(version)) / max(self.needed, 1)
 
 
 def find_needs(
     record: MoveRecord | None, base: VersionId, pace: Pace
 ) -> tuple[VersionNeed, ...]:
-    """Return what a deployment needs of each version.
+    """Return the servers that a deployment needs of each version.
 
-    While a move is on, the old version keeps room for all of the traffic, and
-    the new one is made ready ahead of its steps.
+    During a move the old version keeps capacity for all traffic, and servers of
+    the new version are started ahead of its steps.
     """
     if record is None or record.has_ended:
         return (VersionNeed(base, 1),)
-    # Servers take minutes to start, as long as a step; so all are ordered when
-    # the first step begins.
+    # Starting a server takes minutes, as long as a step, so all servers are
+    # ordered when the first step begins.
     fraction = 1.0 if record.state is MoveState.SHIFTING else pace.steps[1]
     return (VersionNeed(base, 1, keep=True), VersionNeed(record.to_version, fraction))
--- a/libs/rollout/fireflyhitch_rollout/wall_clock.py
+++ b/libs/rollout/fireflyhitch_rollout/wall_clock.py
@@ -1,27 +1,27 @@
-"""Wall time that a short jump of the clock does not move."""
+"""Wall clock time that ignores short jumps of the system clock."""
 
 from datetime import datetime, timedelta
 
 from fireflyhitch_model.clock import Clock
 
-# A jump is a date missed or a trial cut short. Clocks that are set right and
-# clocks that are set wrong look the same at first; one that stays is believed.
+# A jump could make a move miss its deadline or cut its trial short. A correction
+# and an error look alike at first, so a jump is accepted only once it persists.
 MAX_DRIFT = timedelta(seconds=1)
 ACCEPT_JUMP_SECONDS = 60.0
 
 
 class StableWallClock:
-    """Carries the wall time on by the monotonic clock."""
+    """Extrapolates wall clock time with the monotonic clock."""
 
     def __init__(self, clock: Clock) -> None:
-        """Begin with the wall time of now."""
+        """Start from the current wall clock time."""
         self._clock = clock
         self._base_wall = clock.now()
         self._base_monotonic = clock.monotonic()
         self._jump_seen: float | None = None
 
     def now(self) -> datetime:
-        """Return the wall time, in UTC."""
+        """Return the wall clock time, in UTC."""
         elapsed = self._clock.monotonic()
         carried_on = self._base_wall + timedelta(seconds=elapsed - self._base_monotonic)
         wall = self._clock.now()
--- a/libs/rollout/tests/conftest.py
+++ b/libs/rollout/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Daemons with a store, a network and a clock of their own, for move tests."""
+"""Fixtures for move tests: daemons with an in-memory store and network."""
 
 import math
 from datetime import timedelta
@@ -58,30 +58,30 @@
 
 
 class Node:
-    """One daemon's part in the moves."""
+    """The components of one daemon that take part in moves."""
 
-    def __init__(self, number, site):
+    def __init__(self, number, cluster):
         local_daemon = Daemon(f'd{number}', DOMAINS[number % len(DOMAINS)], '', '')
-        self.messenger = site.network.join(local_daemon)
+        self.messenger = cluster.network.join(local_daemon)
         self.duties = DutyKeeper(
-            site.store, site.clock, local_daemon.daemon_id, self.messenger.live
+            cluster.store, cluster.clock, local_daemon.daemon_id, self.messenger.live
         )
-        self.book = EvidenceBook(local_daemon, self.messenger, site.clock)
+        self.collector = EvidenceBook(local_daemon, self.messenger, cluster.clock)
         self.picker = VersionPicker()
-        self.keeper = MoveKeeper(
+        self.manager = MoveKeeper(
             local_daemon,
-            site.store,
+            cluster.store,
             self.messenger,
             self.duties,
-            self.book,
+            self.collector,
             self.picker,
-            site.clock,
+            cluster.clock,
         )
 
     def step(self):
-        self.duties.set_duties(self.keeper.list_duties())
+        self.duties.set_duties(self.manager.list_duties())
         self.duties.step()
-        self.keeper.step()
+        self.manager.step()
 
     @property
     def share(self):
@@ -89,11 +89,11 @@
 
     @property
     def report(self):
-        return self.keeper.moves()[0]
+        return self.manager.moves()[0]
 
 
-class Site:
-    """Three daemons in three failure domains, and what they rest on."""
+class Cluster:
+    """Three daemons in three failure domains with a store, network and clock."""
 
     def __init__(self, daemons=3):
         self.clock = ManualClock()
@@ -114,7 +114,7 @@
         self.deployment = self.deployment.model_copy(update=changes)
         configuration = Configuration(deployments=(self.deployment,), customers=())
         for node in nodes or self.nodes:
-            node.keeper.configure(configuration, self.revision)
+            node.manager.configure(configuration, self.revision)
 
     def move(self, version='v2', minutes=60, nodes=None):
         move_by = self.clock.now() + timedelta(minutes=minutes)
@@ -124,7 +124,7 @@
         servers = [make_server(number, 'v1') for number in range(old)]
         servers += [make_server(number, 'v2') for number in range(new)]
         for node in self.nodes:
-            node.keeper.observe({NAME: Supply(tuple(servers), needed)})
+            node.manager.observe({NAME: Supply(tuple(servers), needed)})
 
     def step(self, seconds=1.0, calls=6, nodes=None):
         self.clock.advance(timedelta(seconds=seconds))
@@ -142,10 +142,10 @@
         call = make_call(self.calls)
         version = node.picker.pick(call).version
         server = make_server(self.calls % 5, version)
-        # The fault rate's calls fail at regular distances: no randomness.
+        # Failures are evenly spaced rather than random.
         phase = math.fmod(self.calls * self.fault_rate, 1)
         fails = version == 'v2' and phase < self.fault_rate
-        node.book.record(call, server, ok=not fails, first_token=0.3, load=0.6)
+        node.collector.record(call, server, ok=not fails, first_token=0.3, load=0.6)
         return version
 
     def states(self):
@@ -153,10 +153,10 @@
 
 
 @pytest.fixture
-def site():
-    return Site()
+def cluster():
+    return Cluster()
 
 
 @pytest.fixture
-def site_type():
-    return Site
+def cluster_type():
+    return Cluster
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of what counts as evidence, and of who gets it."""
+"""Tests of which calls are counted and which daemons receive the counts."""
 
 from datetime import timedelta
 
@@ -32,85 +32,85 @@
 CALL = Call('r1', 'bakery', NAME, 'chat', Priority.NORMAL, 10, 10, (), 0, 60)
 
 
-class Ring:
-    """Daemons of three failure domains, four in each."""
+class Cluster:
+    """Twelve daemons in three failure domains."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.network = MemoryPeerNetwork()
-        self.books = []
+        self.collectors = []
         for number in range(12):
             local_daemon = Daemon(f'd{number}', f'domain-{number % 3}', '', '')
             messenger = self.network.join(local_daemon)
-            self.books.append(EvidenceBook(local_daemon, messenger, self.clock))
-        for book in self.books:
-            book.set_trials({NAME: Trial('v1', 'v2')})
+            self.collectors.append(EvidenceBook(local_daemon, messenger, self.clock))
+        for collector in self.collectors:
+            collector.set_trials({NAME: Trial('v1', 'v2')})
 
     def run(self, seconds=3):
         for _ in range(seconds):
             self.clock.advance(timedelta(seconds=1))
-            for book in self.books:
-                book.step()
+            for collector in self.collectors:
+                collector.step()
 
     def counts(self):
-        return [book.find_judge(NAME).count_new() for book in self.books]
+        return [collector.find_judge(NAME).count_new() for collector in self.collectors]
 
 
 @pytest.fixture
-def ring():
-    return Ring()
+def cluster():
+    return Cluster()
 
 
 class TestRecord:
-    """What is counted."""
+    """Which calls are counted."""
 
-    def test_calls_broken_off_by_one_crash_count_once(self, ring):
-        """A server crashes with eight calls in work, which all fail at once."""
+    def test_calls_failed_by_one_crash_count_once(self, cluster):
+        """A server crashes with eight calls in progress, which all fail at once."""
         for _ in range(8):
-            ring.books[0].record(CALL, make_server(), ok=False)
-        ring.run()
-        assert max(ring.counts()) == 1
-
-    def test_failures_at_a_leaving_server_do_not_count(self, ring):
-        ring.books[0].mark_leaving(['s1'])
-        ring.books[0].record(CALL, make_server(), ok=False)
-        ring.run()
-        assert max(ring.counts()) == 0
-
-    def test_deployment_without_a_move_is_not_recorded(self, ring):
-        ring.books[0].set_trials({})
-        ring.books[0].record(CALL, make_server(), ok=False)
-        ring.books[0].set_trials({NAME: Trial('v1', 'v2')})
-        ring.run()
-        assert max(ring.counts()) == 0
-
-
-class TestSpread:
-    """Who gets the counts."""
-
-    def test_two_daemons_a_domain_know_all_and_nobody_counts_twice(self, ring):
-        for book in ring.books:
-            book.record(CALL, make_server(), ok=True)
-        ring.run()
-        counts = ring.counts()
+            cluster.collectors[0].record(CALL, make_server(), ok=False)
+        cluster.run()
+        assert max(cluster.counts()) == 1
+
+    def test_failures_at_a_leaving_server_do_not_count(self, cluster):
+        cluster.collectors[0].mark_leaving(['s1'])
+        cluster.collectors[0].record(CALL, make_server(), ok=False)
+        cluster.run()
+        assert max(cluster.counts()) == 0
+
+    def test_deployment_without_a_move_is_not_recorded(self, cluster):
+        cluster.collectors[0].set_trials({})
+        cluster.collectors[0].record(CALL, make_server(), ok=False)
+        cluster.collectors[0].set_trials({NAME: Trial('v1', 'v2')})
+        cluster.run()
+        assert max(cluster.counts()) == 0
+
+
+class TestDistribution:
+    """Which daemons receive the counts."""
+
+    def test_two_daemons_per_domain_get_all_counts_once(self, cluster):
+        for collector in cluster.collectors:
+            collector.record(CALL, make_server(), ok=True)
+        cluster.run()
+        counts = cluster.counts()
         assert (counts.count(1), counts.count(12)) == (6, 6)
 
-    def test_lost_message_is_made_up_by_the_next(self, ring):
-        """All links of one second are cut; the batch comes with the next one."""
-        for book in ring.books:
-            book.record(CALL, make_server(), ok=True)
-        names = list(ring.network.messengers)
+    def test_next_message_replaces_a_lost_one(self, cluster):
+        """All links fail for a second; the next message repeats the batch."""
+        for collector in cluster.collectors:
+            collector.record(CALL, make_server(), ok=True)
+        names = list(cluster.network.messengers)
         for one in names:
             for other in names:
-                ring.network.separate(one, other)
-        ring.run(1)
-        ring.network.cut.clear()
-        ring.run(3)
-        assert ring.counts().count(12) == 6
-
-    def test_holder_of_the_duty_gets_all(self, ring):
-        for book in ring.books:
-            book.set_holders(['d5'])
-            book.record(CALL, make_server(), ok=True)
-        ring.run()
-        assert ring.counts()[5] == 12
+                cluster.network.separate(one, other)
+        cluster.run(1)
+        cluster.network.cut.clear()
+        cluster.run(3)
+        assert cluster.counts().count(12) == 6
+
+    def test_duty_holder_gets_all_counts(self, cluster):
+        for collector in cluster.collectors:
+            collector.set_holders(['d5'])
+            collector.record(CALL, make_server(), ok=True)
+        cluster.run()
+        assert cluster.counts()[5] == 12
--- a/libs/rollout/tests/test_machine.py
+++ b/libs/rollout/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over moves: faults, operators and time in any order."""
+"""Stateful test of moves: faults, operator changes and time in any order."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -32,15 +32,15 @@
 
 
 class MoveMachine(RuleBasedStateMachine):
-    """Three daemons; the checks hold after every rule.
+    """Three daemons, checked after every rule.
 
-    - A daemon's share is never above what the store's records have allowed.
-    - A version that a daemon has withdrawn gets no share there again.
-    - After the date no daemon gives a share to a move that is not done.
-    - The store's record goes forward only, within one move.
+    - A daemon's share never exceeds what the stored records have allowed.
+    - A version that a daemon has withdrawn never gets a share there again.
+    - After the deadline no daemon gives a share to a move that is not done.
+    - Within one move the stored record only advances.
     """
 
-    make_site = None
+    make_cluster = None
 
     def __init__(self):
         super().__init__()
@@ -48,12 +48,12 @@
         logger.disable('fireflyhitch_rollout')
         logger.disable('fireflyhitch_fleet')
         self.violations = count_violations()
-        self.site = self.make_site()
+        self.cluster = self.make_cluster()
         self.withdrawn = set()
         self.best = None
         self.allowed = {}
-        for node in self.site.nodes:
-            node.keeper.pace = SHORT_PACE
+        for node in self.cluster.nodes:
+            node.manager.pace = SHORT_PACE
 
     def teardown(self):
         logger.enable('fireflyhitch_rollout')
@@ -61,56 +61,56 @@
 
     @rule(seconds=st.sampled_from((4, 20, 40)), nodes=st.sampled_from((3, 3, 2, 1)))
     def run(self, seconds, nodes):
-        """Let some daemons run; the others are paused meanwhile."""
+        """Run some daemons while the others are paused."""
         for _ in range(seconds // 2):
-            self.site.step(2, calls=3, nodes=self.site.nodes[:nodes])
-            self.check_shares(self.site.nodes[:nodes])
+            self.cluster.step(2, calls=3, nodes=self.cluster.nodes[:nodes])
+            self.check_shares(self.cluster.nodes[:nodes])
 
     @rule(version=st.sampled_from(('v2', 'v2', 'v3')), minutes=st.sampled_from((2, 6)))
     def name_move(self, version, minutes):
-        self.site.move(version, minutes)
+        self.cluster.move(version, minutes)
 
     @rule(ahead=st.integers(1, 2))
-    def race(self, ahead):
-        """One operator's change reaches only some of the daemons."""
-        self.site.configure(nodes=self.site.nodes[:ahead], move=None)
+    def cancel_at_some(self, ahead):
+        """Cancel the move at only some of the daemons."""
+        self.cluster.configure(nodes=self.cluster.nodes[:ahead], move=None)
 
     @rule(rate=st.sampled_from((0, 0, 0.4, 1)))
-    def turn_bad(self, rate):
-        self.site.fault_rate = rate
+    def set_fault_rate(self, rate):
+        self.cluster.fault_rate = rate
 
     @rule(fault=st.sampled_from((Fault.NONE, Fault.LOST_ANSWER, Fault.LOST_REQUEST)))
-    def turn_store(self, fault):
-        self.site.store.faults.lift()
-        self.site.store.faults.stand('*', fault)
+    def set_store_fault(self, fault):
+        self.cluster.store.faults.lift()
+        self.cluster.store.faults.stand('*', fault)
 
     @rule(cut=st.booleans())
     def partition(self, cut):
-        self.site.network.cut.clear()
+        self.cluster.network.cut.clear()
         if cut:
             for other in ('d1', 'd2'):
-                self.site.network.separate('d0', other)
+                self.cluster.network.separate('d0', other)
 
     @rule(new=st.sampled_from((0, 1, 5)))
     def reclaim(self, new):
-        self.site.supply(5, new)
+        self.cluster.supply(5, new)
 
     @invariant()
-    def record_goes_forward(self):
+    def record_only_advances(self):
         record = self.read_record()
         if record is None:
             return
-        place = (record.started, STATE_RANK[record.state], record.step)
-        assert self.best is None or place >= self.best
-        self.best = place
+        progress = (record.started, STATE_RANK[record.state], record.step)
+        assert self.best is None or progress >= self.best
+        self.best = progress
 
     @invariant()
-    def program_kept_its_promises(self):
+    def no_invariant_was_violated(self):
         assert count_violations() == self.violations
 
     def check_shares(self, nodes):
-        self.note_allowed()
-        now = self.site.clock.now()
+        self.update_allowed()
+        now = self.cluster.clock.now()
         for node in nodes:
             shares = node.picker.find('answers')
             for version in ('v2', 'v3'):
@@ -122,38 +122,38 @@
             assert shares.share == 0 or now < node.report.move_by
             assert shares.share <= self.allowed.get(shares.new, 0)
 
-    def note_allowed(self):
-        """Note the greatest share of a version that the store has had.
+    def update_allowed(self):
+        """Update the greatest share of a version that the store has allowed.
 
-        A daemon that is cut off keeps the share it knew, so that an earlier
-        and greater one, of a burst, is allowed as well.
+        A partitioned daemon keeps its last share, so an earlier and greater one,
+        of a burst, is allowed as well.
         """
         record = self.read_record()
         if record is not None:
             share = find_share(record, 5, SHORT_PACE)
-            known = self.allowed.get(record.to_version, 0)
-            self.allowed[record.to_version] = max(known, share)
+            previous = self.allowed.get(record.to_version, 0)
+            self.allowed[record.to_version] = max(previous, share)
 
     def read_record(self):
-        values, _ = self.site.store.dump()
+        values, _ = self.cluster.store.dump()
         stored = values.get('moves/answers')
         return MoveRecord.model_validate_json(stored.value) if stored else None
 
 
 class TestAnyOrder:
-    """Promises that hold whatever happens in whatever order."""
+    """Invariants that hold for any order of events."""
 
-    def test_promises_hold(self, site_type):
-        """Pauses, partitions, outages and operators come in any order.
+    def test_invariants_hold(self, cluster_type):
+        """Pauses, partitions, outages and operator changes come in any order.
 
-        Shares only move as the store's record allows, withdrawn versions stay
-        withdrawn, and each move ends by its date at each running daemon.
+        Shares stay within what the stored record allows, withdrawn versions stay
+        withdrawn, and each move ends by its deadline at each running daemon.
         """
-        MoveMachine.make_site = site_type
+        MoveMachine.make_cluster = cluster_type
         run_state_machine_as_test(MoveMachine, settings=BOUNDED)
 
-    def test_move_ends_done_or_undone(self, site_type):
-        site = site_type()
-        site.move(minutes=2)
-        site.run(180)
-        assert MoveState(site.states().pop()) in {MoveState.DONE, MoveState.UNDONE}
+    def test_move_ends_done_or_undone(self, cluster_type):
+        cluster = cluster_type()
+        cluster.move(minutes=2)
+        cluster.run(180)
+        assert MoveState(cluster.states().pop()) in {MoveState.DONE, MoveState.UNDONE}
--- a/libs/rollout/tests/test_short_moves.py
+++ b/libs/rollout/tests/test_short_moves.py
@@ -1,4 +1,4 @@
-"""Tests of moves that are judged by a few dozen answers, by played moves."""
+"""Tests of moves that are decided by a few dozen answers, by simulation."""
 
 import random
 
@@ -17,14 +17,14 @@
 SECONDS = 12.0
 
 
-def play(
-    draw: random.Random, failing: float, from_second: float = 0
+def simulate(
+    rng: random.Random, failing: float, from_second: float = 0
 ) -> tuple[str, int]:
-    """Play a move of 12 s at 30 requests a second.
+    """Simulate a move of 12 s at 30 requests a second.
 
-    :param failing: part of the new version's answers that fail beyond the usual.
-    :param from_second: at which the fault begins.
-    :returns: how it ended, and how many requests the new version got.
+    :param failing: additional failure rate of the new version.
+    :param from_second: second at which the fault begins.
+    :returns: how the move ended, and the number of requests to the new version.
     """
     old = Answers()
     new = Answers()
@@ -35,9 +35,9 @@
         end = find_end(evidence, now, SECONDS)
         if end is not None:
             return end.value, new.calls
-        failed = draw.random() < RATE
-        if draw.random() < find_share(evidence, 0.1):
-            bad = now >= from_second and draw.random() < failing
+        failed = rng.random() < RATE
+        if rng.random() < find_share(evidence, 0.1):
+            bad = now >= from_second and rng.random() < failing
             new = new.add(Answers(1, int(failed or bad)))
         else:
             old = old.add(Answers(1, int(failed)))
@@ -45,33 +45,33 @@
 
 class TestMoves:
     def test_good_versions_are_completed(self) -> None:
-        draw = random.Random(1)  # noqa: S311
-        ends = [play(draw, 0)[0] for _ in range(200)]
+        rng = random.Random(1)  # noqa: S311
+        ends = [simulate(rng, 0)[0] for _ in range(200)]
         assert ends.count('completed') >= 190
 
     @pytest.mark.parametrize('failing', [0.5, 0.8, 1])
-    def test_bad_versions_are_taken_back_after_few_requests(
+    def test_bad_versions_are_rolled_back_after_few_requests(
         self, failing: float
     ) -> None:
-        draw = random.Random(2)  # noqa: S311
-        played = [play(draw, failing) for _ in range(100)]
-        assert sum(end == 'taken-back' for end, _ in played) >= 85
-        # The platform allows a tenth of the requests and 50 more: 86 of 360.
-        assert max(calls for _, calls in played) <= 86
-
-    def test_a_fault_that_comes_late_is_mostly_found(self) -> None:
-        draw = random.Random(3)  # noqa: S311
-        ends = [play(draw, 1, from_second=4)[0] for _ in range(100)]
+        rng = random.Random(2)  # noqa: S311
+        results = [simulate(rng, failing) for _ in range(100)]
+        assert sum(end == 'taken-back' for end, _ in results) >= 85
+        # The platform allows a tenth of the requests plus 50: 86 of 360.
+        assert max(calls for _, calls in results) <= 86
+
+    def test_late_faults_are_usually_found(self) -> None:
+        rng = random.Random(3)  # noqa: S311
+        ends = [simulate(rng, 1, from_second=4)[0] for _ in range(100)]
         assert ends.count('taken-back') >= 60
 
 
 class TestVerdict:
-    def test_three_failures_of_a_clean_service_are_enough(self) -> None:
+    def test_three_failures_against_a_clean_history_are_a_fault(self) -> None:
         old = {'r': Answers(100, 0)}
         assert find_fault(MoveEvidence(old, {'r': Answers(3, 3)})) is not None
         assert find_fault(MoveEvidence(old, {'r': Answers(2, 2)})) is None
 
-    def test_a_fault_on_one_route_is_not_hidden_by_the_others(self) -> None:
+    def test_fault_on_one_route_is_not_hidden_by_the_others(self) -> None:
         old = {'a': Answers(500, 10), 'b': Answers(50, 1)}
         new = {'a': Answers(300, 6), 'b': Answers(6, 5)}
         assert 'b:' in (find_fault(MoveEvidence(old, new)) or '')
@@ -80,7 +80,7 @@
         old = {'r': Answers(100, 0, 1)}
         assert find_fault(MoveEvidence(old, {'r': Answers(8, 0, 6)})) is not None
 
-    def test_too_little_to_judge_is_taken_back_by_its_date(self) -> None:
+    def test_too_little_evidence_is_rolled_back_by_the_deadline(self) -> None:
         evidence = MoveEvidence({'r': Answers(100, 0)}, {'r': Answers(2, 0)})
         assert find_end(evidence, 9.5, SECONDS) is None
         assert find_end(evidence, 10.1, SECONDS) is MoveEnd.TAKEN_BACK
