--- a/libs/fleet/fireflyhitch_fleet/__init__.py
+++ b/libs/fleet/fireflyhitch_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: buying and replacing instances by fenced orders."""
+"""Capacity management: ordering and replacing instances under a lease."""
--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -1,4 +1,4 @@
-"""Buys and gives back instances, for the deployments whose duty is held here."""
+"""Starts and stops instances for the deployments whose duty is held locally."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -26,16 +26,15 @@
 
 DUTY_PREFIX = 'capacity/'
 SECONDS_PER_HOUR = 3600.0
-# A plan with less has to stand for so long before anything is stopped, so that
-# a dip in the load does not cost loads of weights.
+# Instances are stopped only after being surplus for this long, so that a dip in the
+# load does not cause weights to be loaded again.
 SURPLUS_SECONDS = 300.0
 
 
 class CapacityKeeper:
-    """Plans and buys under the lease; ``step`` is called every ten seconds or so.
+    """Plans and orders instances under a lease; call ``step`` about every 10 s.
 
-    Without the store or the cloud nothing is started or stopped: what serves
-    goes on serving.
+    While the store or the cloud is unavailable, nothing is started or stopped.
     """
 
     def __init__(
@@ -46,7 +45,7 @@
         weights: WeightStore,
         clock: Clock,
     ) -> None:
-        """Make a keeper that has bought nothing."""
+        """Create a manager without pending starts."""
         self._duties = duties
         self._cloud = cloud
         self._instances = instances
@@ -57,17 +56,17 @@
         self._surplus_since: dict[tuple[DeploymentId, str], float] = {}
 
     def list_duties(self, deployments: Iterable[DeploymentId]) -> tuple[DutyId, ...]:
-        """Return the duties for the duty keeper."""
+        """Return the capacity duties of deployments."""
         return tuple(find_duty(deployment) for deployment in deployments)
 
     def find_start_time(self, deployment: DeploymentId) -> timedelta:
-        """Return how long a start takes, as measured, with the wait for weights."""
+        """Return the measured start time, including the wait for weights."""
         return timedelta(seconds=self._pending_starts.find_start_seconds(deployment))
 
     def step(self, needs: Iterable[DeploymentNeed]) -> dict[DeploymentId, list[Plan]]:
-        """Plan and act for the deployments whose duty is held.
+        """Plan and apply plans for the deployments whose duty is held.
 
-        :returns: the plans, for the status page.
+        :returns: the plans by deployment, for the status page.
         """
         held = [need for need in needs if self._holds(need.deployment.name)]
         if not held:
@@ -98,12 +97,12 @@
                 self._start(need, plan)
                 self._stop(need, version, plan, instances)
             except PlatformError as error:
-                logger.bind(step=error.step.value).warning('plan not carried out')
+                logger.bind(step=error.step.value).warning('plan not applied')
         self._stop_unneeded(need, instances)
         return plans
 
     def _stop_unneeded(self, need: DeploymentNeed, instances: list[Instance]) -> None:
-        """Give back what runs in versions that nobody needs any more."""
+        """Stop instances of versions that are no longer needed."""
         name = need.deployment.name
         needed = {version.version for version in need.versions}
         for instance in instances:
@@ -141,7 +140,7 @@
         name = need.deployment.name
         for placement, count in plan.starts.items():
             for _ in range(count):
-                # Each start may take long; the lease can have run out since.
+                # A start may take long, and the lease may have expired meanwhile.
                 fencing = self._duties.holds(find_duty(name))
                 if fencing is None:
                     return
@@ -172,13 +171,13 @@
         invariant(
             not version.keep,
             Invariant.MOVE_ENDS,
-            f"{plan.version} is a move's way back",
+            f'{plan.version} is needed for a rollback',
             step=Step.PLAN,
         )
-        for instances_to_stop in _choose_stops(plan.stops, need, version, instances):
+        for instance_id in _choose_stops(plan.stops, need, version, instances):
             if not self._holds(need.deployment.name):
                 return
-            self._stop_instance(instances_to_stop)
+            self._stop_instance(instance_id)
 
     def _is_lasting_surplus(self, deployment: DeploymentId, name: str) -> bool:
         now = self._clock.monotonic()
@@ -189,11 +188,13 @@
         try:
             self._cloud.stop(instance)
         except PlatformError as error:
-            logger.bind(step=error.step.value, peer=instance).warning('not stopped')
+            logger.bind(step=error.step.value, peer=instance).warning(
+                'instance not stopped'
+            )
 
 
 def find_duty(deployment: DeploymentId) -> DutyId:
-    """Return the duty whose holder buys a deployment's instances."""
+    """Return the id of the duty whose holder orders a deployment's instances."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
 
 
--- a/libs/fleet/fireflyhitch_fleet/duties.py
+++ b/libs/fleet/fireflyhitch_fleet/duties.py
@@ -1,4 +1,7 @@
-"""Duties by lease: at most one daemon plans or moves a deployment at a time."""
+"""Duties under a lease: tasks that at most one daemon performs at a time.
+
+Planning a deployment's capacity and managing its version move are such duties.
+"""
 
 import secrets
 import threading
@@ -27,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """How long a duty is held and how often it is renewed.
+    """Durations and number of candidates of a lease.
 
-    :param duration: how long the store keeps the key without a renewal.
-    :param margin: how long before that the holder stops by its own clock; it
-        covers what two clocks drift apart in one duration.
+    :param duration: time that the store keeps the key without a renewal.
+    :param margin: time before expiry at which the holder stops by its own clock;
+        covers the drift between two clocks within one duration.
     :param renewal: time between renewals.
-    :param candidates: how many daemons try to take a duty that nobody holds,
-        so that the rate of reads does not grow with the number of daemons.
+    :param candidates: number of daemons that try to take a free duty; limited so
+        that the rate of reads does not grow with the number of daemons.
     """
 
     duration: timedelta = timedelta(seconds=9)
@@ -48,8 +51,8 @@
     """A duty that this daemon holds.
 
     :param fencing: creation revision of the duty's key.
-    :param since: monotonic seconds at which the key was seen to be ours.
-    :param until: monotonic seconds at which this daemon stops by itself.
+    :param since: monotonic seconds at which this daemon saw that it owns the key.
+    :param until: monotonic seconds at which this daemon stops acting on the duty.
     """
 
     fencing: FencingNumber
@@ -67,7 +70,7 @@
 
 
 class DutyKeeper:
-    """Takes, renews and gives up duties; ``holds`` may be asked by any thread."""
+    """Acquires, renews and releases duties; ``holds`` is thread-safe."""
 
     def __init__(
         self,
@@ -77,9 +80,9 @@
         live: Callable[[], tuple[Daemon, ...]],
         terms: LeaseTerms | None = None,
     ) -> None:
-        """Make a keeper that holds nothing yet.
+        """Create a manager that holds no duties.
 
-        :param live: the daemons thought alive, this one included.
+        :param live: returns the daemons considered alive, including this one.
         """
         self.terms = terms or LeaseTerms()
         self._store = store
@@ -93,7 +96,7 @@
         self._thread: threading.Thread | None = None
 
     def set_duties(self, duties: Iterable[DutyId]) -> None:
-        """Say which duties there are, from the configuration in force."""
+        """Set the duties to acquire, from the configuration in force."""
         self._duties = tuple(duties)
 
     def holds(self, duty: DutyId) -> FencingNumber | None:
@@ -102,7 +105,7 @@
         return held.fencing if held else None
 
     def find(self, duty: DutyId) -> HeldDuty | None:
-        """Return since and until when this daemon holds a duty, if it does."""
+        """Return a duty if this daemon holds it."""
         claim = self._claims.get(duty)
         if claim is None or claim.held is None:
             return None
@@ -111,12 +114,12 @@
         return claim.held
 
     def start(self) -> None:
-        """Call ``step`` from a thread of its own until ``stop``."""
+        """Call ``step`` periodically from a new thread until ``stop``."""
         self._thread = threading.Thread(target=self._run, name='duties', daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """Give up all duties, so that others can take them at once."""
+        """Release all duties, so that others can acquire them at once."""
         self._stopped.set()
         if self._thread is not None:
             self._thread.join()
@@ -124,7 +127,7 @@
             self._give_up(duty)
 
     def step(self) -> None:
-        """Renew what is due, take what is free, give up what is gone."""
+        """Renew held duties, acquire free ones and release removed ones."""
         for removed in self._claims.keys() - set(self._duties):
             self._give_up(removed)
         for duty in self._duties:
@@ -153,13 +156,13 @@
         now = self._clock.monotonic()
         if now < self._next_read.get(duty, 0) or not self._is_candidate(duty):
             return
-        # Held duties are looked at no more often than they are renewed: each
-        # look is a read, at each candidate and for each deployment.
+        # A duty held elsewhere is read no more often than it is renewed, since each
+        # candidate reads the duty of each deployment.
         self._next_read[duty] = now + self.terms.renewal.total_seconds()
         if self._store.get(_key(duty)) is not None:
             return
-        # Counted from before the request is sent: the store starts to count
-        # later, so this daemon always stops before the store lets go.
+        # The lease is timed from before the request is sent. The store's time starts
+        # later, so this daemon always stops before the lease expires in the store.
         sent_at = self._clock.monotonic()
         lease = self._store.grant_lease(self.terms.duration)
         key_value = f'{self._daemon_id} {secrets.token_hex(NONCE_BYTES)}'.encode()
@@ -172,8 +175,8 @@
             self._give_up(duty)
 
     def _resolve_claim(self, duty: DutyId, claim: _Claim) -> None:
-        # The answer to the claim was lost. The mark is used once, so that a
-        # key which bears it was written by this claim and by no older one.
+        # The response to the claim was lost. The value contains a nonce, so a key with
+        # this value was written by this claim and by no older one.
         current = self._store.get(_key(duty))
         if current is not None and current.value == claim.key_value:
             self._hold(duty, claim, FencingNumber(current.created))
@@ -183,8 +186,8 @@
     def _renew(self, duty: DutyId, claim: _Claim) -> None:
         sent_at = self._clock.monotonic()
         kept = self._store.keep_lease(claim.lease)
-        # The key can be gone although the lease is there, for example after
-        # the store was restored from a backup.
+        # The key can be missing although the lease exists, for example after the
+        # store was restored from a backup.
         if not kept or not _was_written_by(self._store.get(_key(duty)), claim):
             self._give_up(duty)
             return
@@ -215,14 +218,14 @@
         try:
             self._store.revoke_lease(claim.lease)
         except PlatformError:
-            logger.bind(duty=duty).info('lease left to lapse')
+            logger.bind(duty=duty).info('lease left to expire')
 
     def _has_expired(self, claim: _Claim) -> bool:
         age = self._clock.monotonic() - claim.sent_at
         return age > self.terms.duration.total_seconds()
 
     def _is_candidate(self, duty: DutyId) -> bool:
-        """Tell whether this daemon is among the first of distinct domains."""
+        """Return whether this daemon is a candidate: one per domain, by rank."""
         domains = {daemon.daemon_id: daemon.failure_domain for daemon in self._live()}
         chosen: dict[str, DaemonId] = {}
         for daemon_id in rank_by_hash(duty, domains):
--- a/libs/fleet/fireflyhitch_fleet/market_tracker.py
+++ b/libs/fleet/fireflyhitch_fleet/market_tracker.py
@@ -1,4 +1,4 @@
-"""What the cloud offers: prices, and placements that refused lately."""
+"""Prices of the cloud and backoff after refused starts."""
 
 from collections.abc import Iterable, Mapping
 
@@ -8,32 +8,32 @@
 from fireflyhitch_platform.services import Price
 from fireflyhitch_settings.schema import Deployment
 
-# After a refusal a placement is left alone, twice as long each time.
+# Seconds without starts in a placement after a refusal, doubled each time.
 INITIAL_BACKOFF = 30.0
 MAX_BACKOFF = 600.0
-# What a reclaimable instance is assumed to see, until it is measured.
+# Assumed reclaims per instance and hour, as long as they are not measured.
 DEFAULT_RECLAIM_RATE = 0.05
 
 
 class MarketTracker:
-    """Prices of now and pauses after refused starts."""
+    """Tracks current prices and placements that refused starts."""
 
     def __init__(self, clock: Clock) -> None:
-        """Make it without prices."""
+        """Create a tracker without prices."""
         self._clock = clock
         self._prices: dict[Placement, float] = {}
         self._backoffs: dict[Placement, float] = {}
         self._closed_until: dict[Placement, float] = {}
 
     def set_prices(self, prices: Iterable[Price]) -> None:
-        """Take in the cloud's prices."""
+        """Set the current prices of the cloud."""
         self._prices = {
             Placement(price.failure_domain, price.machine_class): price.price
             for price in prices
         }
 
     def record_refusal(self, placement: Placement) -> None:
-        """Leave a placement alone for a while."""
+        """Start the backoff of a placement that refused a start."""
         now = self._clock.monotonic()
         backoff = self._backoffs.get(placement, INITIAL_BACKOFF)
         self._closed_until[placement] = now + backoff
@@ -44,7 +44,7 @@
     ) -> dict[Placement, Market]:
         """Return the markets that a deployment may use.
 
-        :param running: what it has; a closed placement keeps that much.
+        :param running: its instances; a placement in backoff offers no more.
         """
         configured = {
             Placement(entry.failure_domain, entry.machine_class): entry.price
--- a/libs/fleet/fireflyhitch_fleet/min_cost_flow.py
+++ b/libs/fleet/fireflyhitch_fleet/min_cost_flow.py
@@ -1,4 +1,4 @@
-"""The cheapest whole-number flow through a small network."""
+"""Minimum-cost integer flow through a small network."""
 
 import math
 from collections.abc import Hashable
@@ -17,25 +17,25 @@
 
 
 class FlowNetwork:
-    """A network whose edges carry whole numbers up to a bound at a cost."""
+    """A flow network with integer capacities and a cost per unit."""
 
     def __init__(self) -> None:
-        """Make an empty network."""
+        """Create an empty network."""
         self._edges: dict[Node, list[_Edge]] = {}
 
     def add_edge(
         self, source: Node, target: Node, capacity: int, cost: float = 0
     ) -> None:
-        """Add an edge."""
+        """Add an edge with a capacity and a cost per unit."""
         forward = self._edges.setdefault(source, [])
         reverse = self._edges.setdefault(target, [])
         forward.append(_Edge(target, capacity, cost, len(reverse)))
         reverse.append(_Edge(source, 0, -cost, len(forward) - 1))
 
     def send(self, source: Node, sink: Node, amount: int) -> int:
-        """Send as much as fits, up to an amount, along the cheapest paths.
+        """Send up to an amount of flow along the cheapest paths.
 
-        :returns: how much was sent.
+        :returns: the amount sent.
         """
         sent = 0
         while sent < amount:
@@ -51,7 +51,7 @@
         return sent
 
     def get_flow(self, source: Node, target: Node) -> int:
-        """Return what flows over the edge between two nodes."""
+        """Return the flow on the edge between two nodes."""
         return sum(
             self._edges[target][edge.reverse].capacity
             for edge in self._edges.get(source, [])
@@ -59,7 +59,7 @@
         )
 
     def _find_path(self, source: Node, sink: Node) -> list[_Edge]:
-        # Bellman-Ford, since edges back have negative costs.
+        # Bellman-Ford, since reverse edges have negative costs.
         costs: dict[Node, float] = {source: 0}
         previous: dict[Node, tuple[Node, _Edge]] = {}
         queue = [source]
--- a/libs/fleet/fireflyhitch_fleet/needs.py
+++ b/libs/fleet/fireflyhitch_fleet/needs.py
@@ -1,4 +1,4 @@
-"""What a deployment needs of its versions and of the cloud."""
+"""Capacity requirements of deployments and their versions."""
 
 import math
 from dataclasses import dataclass
@@ -6,18 +6,17 @@
 from fireflyhitch_model.ids import VersionId
 from fireflyhitch_settings.schema import Deployment
 
-# Part of a server's capacity that is planned to be in use: beyond it, waiting
-# times grow faster than the load.
+# Target utilisation of a server: above it, waiting times grow faster than the load.
 PLANNED_LOAD = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class VersionNeed:
-    """What the fleet has to hold ready of one version.
+    """The capacity that the fleet must keep ready for one version.
 
-    :param part: part of the deployment's traffic that it must be able to carry.
-    :param keep: whether none of its servers may be stopped, since the way back
-        of a move rests on them.
+    :param part: fraction of the deployment's traffic that it must be able to carry.
+    :param keep: whether none of its servers may be stopped, since a rollback needs
+        them.
     """
 
     version: VersionId
@@ -29,30 +28,30 @@
 class Demand:
     """A deployment's load over all daemons.
 
-    :param calls: calls in work now, as daemons report them.
-    :param growth: change of that a second, as measured; a fall counts as none.
+    :param calls: current calls in progress, as reported by daemons.
+    :param growth: measured change of ``calls`` per second; a decrease counts as 0.
     """
 
     calls: float
     growth: float = 0
 
     def forecast(self, seconds: float) -> float:
-        """Return the calls in work after some seconds."""
+        """Return the expected calls in progress after some seconds."""
         return self.calls + max(self.growth, 0) * seconds
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentNeed:
-    """All that the capacity of one deployment is planned from."""
+    """Input to the capacity planning of one deployment."""
 
     deployment: Deployment
     versions: tuple[VersionNeed, ...]
     demand: Demand
 
     def count_servers(self, version: VersionNeed, ahead: float) -> int:
-        """Return the servers that a version needs.
+        """Return the number of servers that a version needs.
 
-        :param ahead: seconds until a server that is ordered now is ready.
+        :param ahead: seconds until a server ordered now is ready.
         """
         planned = self.deployment.capacity.calls_per_server * PLANNED_LOAD
         calls = self.demand.forecast(ahead) * version.part
--- a/libs/fleet/fireflyhitch_fleet/orders.py
+++ b/libs/fleet/fireflyhitch_fleet/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines that stay safe when the duty changes hands."""
+"""Engine orders that stay safe when the duty moves to another daemon."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -24,7 +24,7 @@
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """The result of reconciling an engine."""
 
     IN_EFFECT = 'in-effect'
     PENDING = 'pending'
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wish:
-    """What an engine should hold."""
+    """The state that an engine should reach."""
 
     action: EngineAction
     argument: str
 
 
 class OrderDesk:
-    """Gives orders under a duty's lease and re-reads what the engines hold."""
+    """Sends orders to engines under a duty's lease and verifies their state."""
 
     def __init__(
         self,
@@ -52,9 +52,9 @@
         clock: Clock,
         order_timeout: timedelta = DEFAULT_ORDER_TIMEOUT,
     ) -> None:
-        """Make a desk.
+        """Create a reconciler.
 
-        :param order_timeout: after which the client of the engines closes the
+        :param order_timeout: time after which the engines' client closes the
             connection of an order.
         """
         self._engines = engines
@@ -63,10 +63,10 @@
         self._order_timeout = order_timeout.total_seconds()
 
     def fulfil(self, duty: DutyId, server: BackendServer, desired: Wish) -> OrderResult:
-        """Bring an engine to a wished state; to be repeated until in effect.
+        """Bring an engine to a desired state; repeat until it is in effect.
 
-        The engine is read first and after the order, also when it was read
-        before: an earlier holder's late order shows here and is set right.
+        The engine's state is read on every call, before and after an order, so that a
+        late order of an earlier holder is detected and corrected.
         """
         held = self._duties.find(duty)
         if held is None or not self._has_time(held):
@@ -80,7 +80,7 @@
             return self._order(duty, server.server_id, desired, held.fencing)
         except FireflyhitchError as error:
             logger.bind(step=error.step.value, peer=server.server_id).warning(
-                'order without an answer'
+                'no answer to an order'
             )
             return OrderResult.UNKNOWN
 
@@ -93,14 +93,14 @@
     ) -> OrderResult:
         if is_in_effect(self._engines.read_state(server), desired):
             return OrderResult.IN_EFFECT
-        # Reading took time, in which the lease may have run out.
+        # The lease may have expired during the read.
         held = self._duties.find(duty)
         if held is None or not self._has_time(held):
             return OrderResult.NOT_HELD
         invariant(
             held.fencing == fencing,
             Invariant.ONE_HOLDER,
-            f'{duty} taken anew during an order',
+            f'{duty} taken again during an order',
             step=Step.ORDER,
             peer=server,
         )
@@ -111,23 +111,23 @@
         return OrderResult.IN_EFFECT if in_effect else OrderResult.PENDING
 
     def _has_time(self, held: HeldDuty) -> bool:
-        # An order sent at the very end would arrive after the lease; with its
-        # timeout left on the lease it cannot.
+        # An order sent just before the lease expires could arrive after it. If the
+        # remaining lease exceeds the order's timeout, it cannot.
         return held.until - self._clock.monotonic() > self._order_timeout
 
     def _is_safe_without_fencing(self, held: HeldDuty) -> bool:
-        """Tell whether no order of an earlier holder can be on its way.
+        """Return whether no order of an earlier holder can still be in flight.
 
-        An engine that ignores fencing numbers would obey such an order after
-        ours. The earlier holder stopped within its lease, and its last order
-        within the order's timeout.
+        An engine that ignores fencing numbers would execute such an order after
+        ours. The earlier holder stopped by the end of its lease, and its last order
+        timed out within the order timeout after that.
         """
         lease = self._duties.terms.duration.total_seconds()
         return self._clock.monotonic() - held.since >= lease + self._order_timeout
 
 
 def is_in_effect(state: EngineState, desired: Wish) -> bool:
-    """Tell whether an engine holds what is wished."""
+    """Return whether an engine is in the desired state."""
     if desired.action is EngineAction.LOAD_VERSION:
         return state.version == desired.argument
     if desired.action is EngineAction.LOAD_ADAPTER:
--- a/libs/fleet/fireflyhitch_fleet/pending_starts.py
+++ b/libs/fleet/fireflyhitch_fleet/pending_starts.py
@@ -1,4 +1,4 @@
-"""Instances that were ordered and are not in the instance list yet."""
+"""Instances that were ordered but are not in the instance list yet."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,9 +16,9 @@
 from fireflyhitch_platform.services import InstanceOrder
 
 DEFAULT_START_SECONDS = 180.0
-# Longer than any start; what is not listed by then never came.
+# Longer than any start: an instance not listed by then failed to start.
 ABANDON_SECONDS = 900.0
-# Weight of the latest start in the measured start time.
+# Weight of the latest start in the moving average of start times.
 SMOOTHING_FACTOR = 0.3
 
 
@@ -30,10 +30,10 @@
 
 
 class PendingStarts:
-    """Pending starts, order ids and measured start times."""
+    """Tracks pending starts, order ids and measured start times."""
 
     def __init__(self, clock: Clock) -> None:
-        """Make it without purchases."""
+        """Create a tracker without pending starts."""
         self._clock = clock
         self._pending: dict[InstanceId, _PendingStart] = {}
         self._start_seconds: dict[DeploymentId, float] = {}
@@ -48,9 +48,9 @@
     ) -> str:
         """Return the id for the next start.
 
-        It stays the same until ``record_start``: when the answer to a start was
-        lost, the next try names the same order and the cloud starts no second
-        instance. The fencing number keeps two holders' ids apart.
+        It does not change until ``record_start``: after a lost response the retry
+        uses the same id, so the cloud starts no second instance. The fencing number
+        keeps the ids of different duty holders distinct.
         """
         domain, machine_class = placement
         prefix = f'{deployment}/{version}/{domain}/{machine_class.value}/{fencing}'
@@ -59,7 +59,7 @@
     def record_start(
         self, order: InstanceOrder, instance: InstanceId, wait: float
     ) -> None:
-        """Note an instance that the cloud gave.
+        """Record an instance that the cloud started.
 
         :param wait: seconds until the weight store lets it load.
         """
@@ -69,7 +69,7 @@
         self._pending[instance] = _PendingStart(order, now, wait)
 
     def remove_listed(self, instances: Iterable[Instance]) -> None:
-        """Take off what the instance list shows, and measure how long it took."""
+        """Remove listed instances and measure their start times."""
         now = self._clock.monotonic()
         for listed in instances:
             start = self._pending.pop(listed.instance_id, None)
@@ -84,7 +84,7 @@
     def count_pending(
         self, deployment: DeploymentId, version: VersionId
     ) -> dict[Placement, int]:
-        """Return what is on its way, by placement."""
+        """Return the number of pending starts by placement."""
         counts: dict[Placement, int] = {}
         for start in self._pending.values():
             order = start.order
@@ -94,7 +94,7 @@
         return counts
 
     def find_start_seconds(self, deployment: DeploymentId) -> float:
-        """Return how long a start takes."""
+        """Return the average start time, in seconds."""
         return self._start_seconds.get(deployment, DEFAULT_START_SECONDS)
 
     def _update_start_time(self, deployment: DeploymentId, seconds: float) -> None:
--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -1,4 +1,4 @@
-"""Chooses the cheapest instances that carry the load and survive a loss."""
+"""Plans the cheapest instances that carry the load and tolerate a domain loss."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -12,15 +12,15 @@
 
 SOURCE = 'source'
 SINK = 'sink'
-# A placement whose instances are away more than this is not worth its price.
+# Placements whose instances are available less often than this are not used.
 MIN_AVAILABILITY = 0.1
-# Instances stay unless stopping them saves this part of the cost: each stop
-# and start anew loads weights and empties a prefix cache.
+# Running instances are kept unless a change saves this fraction of the cost: a
+# replacement has to load weights and starts with an empty prefix cache.
 MIN_SAVING = 0.05
 
 
 class Placement(NamedTuple):
-    """Where an instance runs and how it is paid for."""
+    """The failure domain and the pricing class of an instance."""
 
     failure_domain: FailureDomainId
     machine_class: MachineClass
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Market:
-    """What the cloud gives in one placement.
+    """Price and availability of instances in one placement.
 
-    :param price: currency units an hour.
-    :param supply: how many instances it can have at most; what runs already
-        after a refused start.
-    :param reclaims: reclaims an instance and hour, as measured.
+    :param price: currency units per instance and hour.
+    :param supply: maximum number of instances; after a refused start, the number
+        of running ones.
+    :param reclaims: reclaims per instance and hour.
     """
 
     price: float
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What one version has to carry.
+    """Required capacity and running instances of one version.
 
-    :param servers: servers that carry the load at the latency target at the
-        time at which an instance ordered now is ready.
-    :param running: instances there are, by placement.
-    :param keep: never stop one, since a move's way back rests on them.
+    :param servers: number of servers that will carry the load within the latency
+        target once an instance ordered now is ready.
+    :param running: number of existing instances, by placement.
+    :param keep: never stop an instance, since a rollback needs them.
     """
 
     version: VersionId
@@ -61,8 +61,8 @@
 class Bounds:
     """The operator's bounds.
 
-    :param survive: part of the load that the loss of any one failure domain
-        leaves served.
+    :param survive: fraction of the load that must still be served after the loss
+        of any one failure domain.
     """
 
     survive: float
@@ -75,10 +75,10 @@
 class Plan:
     """Instances to run, start and stop.
 
-    :param cost: currency units an hour when all runs.
-    :param short: how many servers could not be placed.
-    :param survives: whether the loss of any one failure domain leaves the part
-        of the load that the operator set.
+    :param cost: currency units per hour when all instances run.
+    :param short: number of servers that could not be placed.
+    :param survives: whether the operator's fraction of the load is still served
+        after the loss of any one failure domain.
     """
 
     version: VersionId
@@ -102,10 +102,10 @@
     bounds: Bounds,
     start_hours: float,
 ) -> Plan:
-    """Plan one version's instances.
+    """Plan the instances of one version.
 
-    :param start_hours: from order to ready, with the wait for weights; an
-        instance that is reclaimed is missing for so long.
+    :param start_hours: hours from an order until the instance is ready, including
+        the wait for weights; a reclaimed instance is missing for that long.
     """
     wanted = min(max(request.servers, bounds.least), bounds.most)
     min_remaining = math.ceil(bounds.survive * wanted)
@@ -116,7 +116,7 @@
     allocation = _find_cheapest(wanted, min_remaining, markets, costs, bounds)
     survives = math.isfinite(allocation.cost)
     if not survives:
-        # What there is falls short of the aim: spread it as evenly as it goes.
+        # The supply is insufficient: spread the instances as evenly as possible.
         allocation = _allocate_evenly(wanted, markets, costs, bounds)
     if survives and _is_good_enough(request, allocation, wanted, min_remaining, costs):
         allocation = _Allocation(
@@ -132,34 +132,34 @@
     costs: Mapping[Placement, float],
     bounds: Bounds,
 ) -> _Allocation:
-    """Find the total at which the cheapest mix costs least.
+    """Return the cheapest allocation over all totals.
 
-    With a total of ``t`` no failure domain may hold more than ``t - left``. A
-    greater total costs more instances but lets more of them be in the cheap
-    domains; the cost is convex in the total, so that the first total after
-    which it grows is the best.
+    With a total of ``t`` no failure domain may hold more than
+    ``t - min_remaining`` instances. A greater total needs more instances but allows
+    more of them in cheap domains. The cost is convex in the total, so the first
+    total after which it grows is the best.
     """
 
     @cache
-    def allocation(total: int) -> _Allocation:
+    def allocate(total: int) -> _Allocation:
         return _allocate(total, total - min_remaining, markets, costs, bounds)
 
     low = max(wanted, min_remaining + 1)
     low = _find_first(
-        low, bounds.most, lambda total: math.isfinite(allocation(total).cost)
+        low, bounds.most, lambda total: math.isfinite(allocate(total).cost)
     )
     if low > bounds.most:
         return _Allocation()
     best = _find_first(
         low,
         bounds.most - 1,
-        lambda total: allocation(total + 1).cost >= allocation(total).cost,
+        lambda total: allocate(total + 1).cost >= allocate(total).cost,
     )
-    return allocation(min(best, bounds.most))
+    return allocate(min(best, bounds.most))
 
 
 def _find_first(low: int, high: int, holds: Callable[[int], bool]) -> int:
-    """Return the first number from which on something holds, or one too many."""
+    """Return the first number for which ``holds`` is true, else ``high + 1``."""
     for number in range(low, high + 1):
         if holds(number):
             return number
@@ -209,7 +209,7 @@
 
 
 def _find_effective_price(market: Market, start_hours: float) -> float:
-    """Return the price of an hour in which the instance is really there."""
+    """Return the price of an hour of actual availability."""
     availability = 1 - market.reclaims * start_hours
     if availability < MIN_AVAILABILITY:
         return math.inf
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -1,9 +1,9 @@
-"""How many servers of which kind each failure domain is to have.
+"""Spread of reclaimable and on-demand servers over failure domains.
 
-Reclaimable servers cost a small part of the others, but all of a failure domain go at
-once, after seconds of notice, and there may be none to be had for a while anywhere.
-So there are enough of them that what is left after the loss of some domains carries
-the load; only what that cannot give is bought on demand.
+Reclaimable servers cost a fraction of on-demand ones, but those of a failure domain are
+reclaimed together at a few seconds' notice, and for a while none may be available in any
+domain. Therefore enough of them run that those left after the loss of some domains carry
+the load; only a remaining shortage is covered on demand.
 """
 
 import math
@@ -12,17 +12,17 @@
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
 
-# Part of a domain's number that is kept for reclaimable servers while they are away:
-# with a quarter, all are back after four starts of some seconds.
+# Fraction of a domain's maximum kept free for reclaimable servers while they are gone:
+# with a quarter, all are back after four rounds of starts of a few seconds.
 RETURNING_FRACTION = 0.25
 
 
 @immutable
 class SpreadBounds:
-    """What the operators allow, for each failure domain.
+    """The operators' bounds for each failure domain.
 
-    :param min_servers: servers of both kinds together.
-    :param max_servers: servers of both kinds together.
+    :param min_servers: minimum number of servers of both kinds together.
+    :param max_servers: maximum number of servers of both kinds together.
     """
 
     min_servers: int
@@ -31,7 +31,7 @@
 
 @immutable
 class DomainServers:
-    """Servers of one failure domain that take work, or soon will."""
+    """Servers of one failure domain that accept requests or are starting."""
 
     reclaimable: int
     on_demand: int
@@ -39,10 +39,11 @@
 
 @immutable
 class SpreadNeed:
-    """What has to be carried.
+    """The capacity that is required.
 
-    :param servers: that carry the present load within its targets.
-    :param domains_lost: whose reclaimable servers may be away at once.
+    :param servers: number of servers that carry the present load within its targets.
+    :param domains_lost: number of domains that may lose their reclaimable servers at
+        the same time.
     """
 
     servers: int
@@ -55,10 +56,10 @@
     prices: Mapping[FailureDomainId, float],
     present: Mapping[FailureDomainId, DomainServers],
 ) -> dict[FailureDomainId, DomainServers]:
-    """Return the servers that each failure domain is to have.
+    """Return the target number of servers for each failure domain.
 
-    A domain keeps what it has on demand until its reclaimable servers are there, and
-    a shortage of these is made up for on demand where that is cheapest.
+    On-demand servers are kept until the reclaimable ones have started. A shortage of
+    reclaimable servers is covered on demand in the cheapest domains.
     """
     domains = sorted(prices, key=lambda domain: (prices[domain], domain))
     staying = max(len(domains) - need.domains_lost, 1)
@@ -90,11 +91,11 @@
 def _find_reclaimable_targets(
     per_domain: int, present: Mapping[FailureDomainId, DomainServers]
 ) -> dict[FailureDomainId, int]:
-    """Return the reclaimable servers of each domain.
+    """Return the target number of reclaimable servers for each domain.
 
-    While one domain lacks some, no other gives any back: they may not be had again, and
-    the next domain may go. A leader that has just taken over knows little of the load,
-    and would give back what callers need a moment later.
+    While one domain lacks some, no other stops any: they might not be available again,
+    and the next domain may be lost. A new leader has little data on the load and would
+    stop servers that callers need a moment later.
     """
     scarce = any(current.reclaimable < per_domain for current in present.values())
     return {
@@ -106,10 +107,11 @@
 def _count_on_demand(
     per_domain: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
-    """Return a domain's servers on demand beside all of its reclaimable ones.
+    """Return a domain's on-demand servers in addition to all its reclaimable ones.
 
-    A domain without reclaimable servers gets its least on demand at once, whatever the
-    others have: the next domain may go before a server ordered then has started.
+    A domain without reclaimable servers immediately gets its minimum on demand, even if
+    the others have enough: the next domain may be lost before a server ordered then has
+    started.
     """
     min_servers = max(bounds.min_servers - current.reclaimable, 0)
     free_places = max(bounds.max_servers - per_domain, 0)
@@ -117,24 +119,24 @@
 
 
 def _count_replacements(
-    on_demand_targets: int, shortage: int, bounds: SpreadBounds, current: DomainServers
+    on_demand: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
-    """Return more servers on demand, in the room of reclaimable ones that are away.
+    """Return the on-demand servers that replace missing reclaimable ones.
 
-    That is with more domains away than was planned for. A part is left, in which they
-    come back. Keeping room for all of them would leave callers short of servers for as
-    long as these are away.
+    They are needed when more domains are lost than planned for. A fraction of the
+    maximum stays free for the reclaimable servers to return; keeping all of it free
+    would leave too few servers until they do.
     """
     returning = max(
         current.reclaimable, math.ceil(bounds.max_servers * RETURNING_FRACTION)
     )
-    return min(shortage, max(bounds.max_servers - returning - on_demand_targets, 0))
+    return min(shortage, max(bounds.max_servers - returning - on_demand, 0))
 
 
 def count_lasting(
     present: Mapping[FailureDomainId, DomainServers], domains_lost: int
 ) -> float:
-    """Return the servers that are left when some domains' reclaimable ones go."""
+    """Return the servers left if some domains lose their reclaimable ones."""
     staying = max(len(present) - domains_lost, 1) / max(len(present), 1)
     on_demand = sum(current.on_demand for current in present.values())
     return on_demand + staying * sum(
--- a/libs/fleet/tests/conftest.py
+++ b/libs/fleet/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Two duty keepers on one store."""
+"""Fixtures: two duty managers with a shared in-memory store."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture
-def keepers(store, clock):
+def managers(store, clock):
     daemons = tuple(
         Daemon(f'd{number}', domain, '', '')
         for number, domain in enumerate(('gent', 'brugge'))
@@ -31,6 +31,6 @@
         return daemons
 
     made = [DutyKeeper(store, clock, daemon.daemon_id, list_live) for daemon in daemons]
-    for keeper in made:
-        keeper.set_duties([DUTY])
+    for manager in made:
+        manager.set_duties([DUTY])
     return made
--- a/libs/fleet/tests/test_capacity.py
+++ b/libs/fleet/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of buying and giving back instances under the duty's lease."""
+"""Tests of starting and stopping instances under the duty's lease."""
 
 from datetime import timedelta
 
@@ -19,14 +19,14 @@
 
 
 class FakeCloud:
-    """A cloud, its instance list and a weight store in one; starts are at once."""
+    """A cloud, its instance list and a weight store; starts take no time."""
 
     def __init__(self):
         self.instances = {}
         self.orders = {}
         self.notices = ()
         self.refusing = set()
-        self.lose_answers = 0
+        self.lost_responses = 0
         self.down = False
 
     def read(self):
@@ -55,8 +55,8 @@
             instance_id = f'i{len(self.orders)}'
             self.orders[order.order_id] = instance_id
             self.instances[instance_id] = make_instance(instance_id, order)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.lost_responses:
+            self.lost_responses -= 1
             raise PlatformError('no answer', step=Step.CLOUD)
         return instance_id
 
@@ -117,106 +117,110 @@
 
 
 @pytest.fixture
-def keeper(keepers, cloud, clock):
-    duties = keepers[0]
+def manager(managers, cloud, clock):
+    duties = managers[0]
     duties.set_duties([find_duty(NAME)])
     duties.step()
     return CapacityKeeper(duties, cloud, cloud, cloud, clock)
 
 
 class TestCapacity:
-    """What is bought and given back."""
+    """Which instances are started and stopped."""
 
-    def test_load_is_carried_and_a_domain_can_be_lost(self, keeper, cloud):
-        keeper.step([make_need(calls=28)])
+    def test_capacity_suffices_after_a_domain_loss(self, manager, cloud):
+        manager.step([make_need(calls=28)])
         counts = [cloud.count(failure_domain=domain) for domain in DOMAINS]
         assert sum(counts) == 5
         assert sum(counts) - max(counts) >= 3
 
-    def test_growth_is_met_for_the_time_a_start_takes(self, keeper, cloud):
-        keeper.step([make_need(calls=28, growth=0.1)])
+    def test_growth_is_extrapolated_over_the_start_time(self, manager, cloud):
+        manager.step([make_need(calls=28, growth=0.1)])
         assert cloud.count() > 5
 
-    def test_reclaimed_instances_are_replaced_elsewhere(self, keeper, cloud, clock):
-        """A wave announces all instances of Gent, and the cloud refuses there.
+    def test_reclaimed_instances_are_replaced_in_other_domains(
+        self, manager, cloud, clock
+    ):
+        """All instances of Gent get reclaim notices, and the cloud refuses starts there.
 
-        The noticed ones count as gone at once; replacements are started in the
-        other failure domains, although the old ones still run.
+        Instances with a notice count as lost at once: replacements are started in
+        the other failure domains while they still run.
         """
-        keeper.step([make_need()])
+        manager.step([make_need()])
         cloud.reclaim('gent', clock)
         cloud.refusing = {('gent', CHEAP), ('gent', MachineClass.ON_DEMAND)}
         for _ in range(5):
             clock.advance(timedelta(seconds=2))
-            keeper._duties.step()
-            keeper.step([make_need()])
+            manager._duties.step()
+            manager.step([make_need()])
         gone = {notice.instance_id for notice in cloud.notices}
         assert len(cloud.instances) - len(gone) >= 5
 
-    def test_lost_answer_to_a_start_buys_no_second_instance(self, keeper, cloud, clock):
-        """The cloud started an instance, but its answer was lost.
+    def test_lost_response_to_a_start_adds_no_second_instance(
+        self, manager, cloud, clock
+    ):
+        """The cloud starts an instance, but the response is lost.
 
-        The next try names the same order, and the cloud answers with the
-        instance that it has started already.
+        The retry uses the same order id, and the cloud returns the instance that
+        it has already started.
         """
-        cloud.lose_answers = 1
-        keeper.step([make_need()])
+        cloud.lost_responses = 1
+        manager.step([make_need()])
         clock.advance(timedelta(seconds=2))
         cloud.instances.clear()
-        keeper.step([make_need()])
+        manager.step([make_need()])
         assert len(cloud.orders) == 5
 
-    def test_nothing_is_done_without_the_lease(self, keeper, cloud, clock):
+    def test_nothing_is_done_without_the_lease(self, manager, cloud, clock):
         """The holder was paused past its lease.
 
-        It neither starts nor stops, whatever the plan would be.
+        It starts and stops nothing, regardless of the plan.
         """
         clock.advance(timedelta(seconds=10))
-        assert not keeper.step([make_need()])
+        assert not manager.step([make_need()])
         assert not cloud.orders
 
-    def test_nothing_is_done_while_the_cloud_is_out(self, keeper, cloud):
-        keeper.step([make_need()])
+    def test_nothing_is_done_while_the_cloud_is_unavailable(self, manager, cloud):
+        manager.step([make_need()])
         cloud.down = True
-        assert not keeper.step([make_need(calls=80)])
+        assert not manager.step([make_need(calls=80)])
         assert cloud.count() == 5
 
-    def test_surplus_goes_only_when_it_lasts(self, keeper, cloud, clock):
-        keeper.step([make_need(calls=50)])
+    def test_only_a_lasting_surplus_is_stopped(self, manager, cloud, clock):
+        manager.step([make_need(calls=50)])
         bought = cloud.count()
         seen = []
         for _ in range(320):
             clock.advance(timedelta(seconds=1))
-            keeper._duties.step()
-            keeper.step([make_need(calls=12)])
+            manager._duties.step()
+            manager.step([make_need(calls=12)])
             seen.append(cloud.count())
         assert seen[200] == bought
         assert seen[-1] < bought
 
-    def test_version_that_nobody_needs_is_retired(self, keeper, cloud, clock):
-        """The move is done and the old version is no longer asked for.
+    def test_unneeded_version_is_stopped(self, manager, cloud, clock):
+        """The move is done and the old version is no longer needed.
 
-        Its instances are kept for the time that any surplus is, then given back.
+        Its instances are kept as long as any surplus, then stopped.
         """
-        keeper.step([make_need()])
+        manager.step([make_need()])
         need = make_need(versions=(VersionNeed('v2', 1),))
         for _ in range(310):
             clock.advance(timedelta(seconds=1))
-            keeper._duties.step()
-            keeper.step([need])
+            manager._duties.step()
+            manager.step([need])
         versions = {one.server.version for one in cloud.instances.values()}
         assert versions == {'v2'}
 
-    def test_way_back_of_a_move_is_kept(self, keeper, cloud, clock):
-        """The new version has most of the traffic and the old one idles.
+    def test_old_version_is_kept_for_a_rollback(self, manager, cloud, clock):
+        """The new version serves most of the traffic and the old one is idle.
 
-        The old version's instances stay until the move is done.
+        The old version's instances are kept until the move is done.
         """
-        keeper.step([make_need(calls=50)])
+        manager.step([make_need(calls=50)])
         versions = (VersionNeed('v1', 0.1, keep=True), VersionNeed('v2', 1))
         bought = cloud.count()
         for _ in range(320):
             clock.advance(timedelta(seconds=1))
-            keeper._duties.step()
-            keeper.step([make_need(calls=50, versions=versions)])
+            manager._duties.step()
+            manager.step([make_need(calls=50, versions=versions)])
         assert cloud.count() >= 2 * bought - 1
--- a/libs/fleet/tests/test_orders.py
+++ b/libs/fleet/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders across a change of the duty's holder."""
+"""Tests of engine orders across a change of the duty holder."""
 
 from datetime import timedelta
 
@@ -24,30 +24,30 @@
 
 
 class FakeEngines:
-    """One engine; with enforcement it refuses old fencing numbers."""
+    """One engine, which can enforce fencing numbers by refusing old ones."""
 
     def __init__(self, enforced):
         self.enforced = enforced
         self.fencing = 0
         self.version = 'v1'
-        self.taken = []
+        self.executed = []
         self.lost = False
 
     def read_state(self, server):
         return EngineState(self.version, (), 'mixed', self.fencing, ready=True)
 
     def give_order(self, server, order):
-        taken = self.receive(order)
+        executed = self.receive(order)
         if self.lost:
             raise PeerError('no answer', step=Step.ORDER, peer=server)
-        return taken
+        return executed
 
     def receive(self, order):
         if self.enforced and order.fencing < self.fencing:
             return False
         self.fencing = max(self.fencing, order.fencing)
         self.version = order.argument
-        self.taken.append(order.fencing)
+        self.executed.append(order.fencing)
         return True
 
 
@@ -70,20 +70,20 @@
     return Wish(EngineAction.LOAD_VERSION, version)
 
 
-class Desk:
-    """A daemon with its keeper and desk."""
+class Node:
+    """A daemon with its duty manager and engine reconciler."""
 
     def __init__(self, number, store, clock, engines, live):
         self.duties = DutyKeeper(store, clock, f'd{number}', live)
         self.duties.set_duties([DUTY])
-        self.desk = OrderDesk(engines, self.duties, clock)
+        self.reconciler = OrderDesk(engines, self.duties, clock)
 
     def fulfil(self, desired, fencing=FencingSupport.ENFORCED):
-        return self.desk.fulfil(DUTY, make_server(fencing), desired)
+        return self.reconciler.fulfil(DUTY, make_server(fencing), desired)
 
 
-class Arrangement:
-    """Two daemons in two failure domains, one engine."""
+class Cluster:
+    """Two daemons in two failure domains, and one engine."""
 
     def __init__(self, enforced):
         self.clock = ManualClock()
@@ -94,8 +94,8 @@
         def list_live():
             return daemons
 
-        self.desks = [
-            Desk(number, self.store, self.clock, self.engines, list_live)
+        self.nodes = [
+            Node(number, self.store, self.clock, self.engines, list_live)
             for number in range(2)
         ]
 
@@ -103,8 +103,8 @@
         self.clock.advance(timedelta(seconds=seconds))
 
     def change_holder(self):
-        """Pause the first holder until the second has the duty."""
-        first, second = self.desks
+        """Pause the first holder until the second one has taken the duty."""
+        first, second = self.nodes
         first.duties.step()
         fencing = first.duties.holds(DUTY)
         self.advance(LEASE_SECONDS + 0.1)
@@ -116,125 +116,123 @@
     """Orders under a duty's lease."""
 
     def test_order_takes_effect_under_the_lease(self):
-        arrangement = Arrangement(enforced=True)
-        desk = arrangement.desks[0]
-        assert desk.fulfil(load('v2')) is OrderResult.NOT_HELD
-        desk.duties.step()
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
-        assert arrangement.engines.taken == [desk.duties.holds(DUTY)]
-
-    def test_paused_holder_gives_no_order_when_it_wakes(self):
+        cluster = Cluster(enforced=True)
+        node = cluster.nodes[0]
+        assert node.fulfil(load('v2')) is OrderResult.NOT_HELD
+        node.duties.step()
+        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert cluster.engines.executed == [node.duties.holds(DUTY)]
+
+    def test_paused_holder_sends_no_order_on_resume(self):
         """The holder is paused past its lease; its successor loads v3.
 
-        When the first wakes it asks its own clock before it sends, and gives
-        no order; the engine keeps the successor's version.
+        On resume the first holder checks its own clock and sends no order, so the
+        engine keeps the successor's version.
         """
-        arrangement = Arrangement(enforced=True)
-        first, second = arrangement.desks
-        arrangement.change_holder()
+        cluster = Cluster(enforced=True)
+        first, second = cluster.nodes
+        cluster.change_holder()
         assert second.fulfil(load('v3')) is OrderResult.IN_EFFECT
         assert first.fulfil(load('v2')) is OrderResult.NOT_HELD
-        assert arrangement.engines.version == 'v3'
+        assert cluster.engines.version == 'v3'
 
     def test_late_order_is_refused_by_an_enforcing_engine(self):
         """An order of the first holder arrives after the successor's.
 
-        The engine has seen a greater fencing number and refuses it.
+        The engine has already received a greater fencing number and refuses it.
         """
-        arrangement = Arrangement(enforced=True)
-        fencing = arrangement.change_holder()
-        arrangement.desks[1].fulfil(load('v3'))
+        cluster = Cluster(enforced=True)
+        fencing = cluster.change_holder()
+        cluster.nodes[1].fulfil(load('v3'))
         late = EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing)
-        assert not arrangement.engines.receive(late)
-        assert arrangement.engines.version == 'v3'
+        assert not cluster.engines.receive(late)
+        assert cluster.engines.version == 'v3'
 
-    def test_successor_waits_before_engines_that_ignore_numbers(self):
-        """An order of the first holder is on its way to an engine that obeys all.
+    def test_successor_waits_if_the_engine_ignores_fencing(self):
+        """An order of the first holder is in flight to an engine without fencing.
 
-        The successor gives its own only when that order has arrived or was
-        given up; it reads the engine anew, sees v2, and sets it right.
+        The successor sends its own order only after that one has arrived or timed
+        out. It then reads the engine's state, finds v2 and corrects it.
         """
-        arrangement = Arrangement(enforced=False)
-        second = arrangement.desks[1]
-        fencing = arrangement.change_holder()
+        cluster = Cluster(enforced=False)
+        second = cluster.nodes[1]
+        fencing = cluster.change_holder()
         ignored = FencingSupport.IGNORED
         assert second.fulfil(load('v3'), ignored) is OrderResult.TOO_EARLY
-        arrangement.engines.receive(
-            EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing)
-        )
+        cluster.engines.receive(EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing))
         for _ in range(LEASE_SECONDS + ORDER_SECONDS):
-            arrangement.advance(1)
+            cluster.advance(1)
             second.duties.step()
         assert second.fulfil(load('v3'), ignored) is OrderResult.IN_EFFECT
-        assert arrangement.engines.version == 'v3'
+        assert cluster.engines.version == 'v3'
 
-    def test_lost_answer_is_settled_by_reading_the_engine(self):
-        """The engine took the order, but the answer was lost.
+    def test_lost_response_is_resolved_by_reading_the_engine(self):
+        """The engine executes the order, but the response is lost.
 
-        The result is unknown; the next attempt reads what the engine holds
-        and finds it in effect without a second order.
+        The result is unknown. The next attempt reads the engine's state and finds
+        the order in effect, without sending a second one.
         """
-        arrangement = Arrangement(enforced=True)
-        desk = arrangement.desks[0]
-        desk.duties.step()
-        arrangement.engines.lost = True
-        assert desk.fulfil(load('v2')) is OrderResult.UNKNOWN
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
-        assert len(arrangement.engines.taken) == 1
+        cluster = Cluster(enforced=True)
+        node = cluster.nodes[0]
+        node.duties.step()
+        cluster.engines.lost = True
+        assert node.fulfil(load('v2')) is OrderResult.UNKNOWN
+        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert len(cluster.engines.executed) == 1
 
     def test_no_order_in_the_last_seconds_of_a_lease(self):
-        arrangement = Arrangement(enforced=True)
-        desk = arrangement.desks[0]
-        desk.duties.step()
-        arrangement.advance(5)
-        assert desk.duties.holds(DUTY) is not None
-        assert desk.fulfil(load('v2')) is OrderResult.NOT_HELD
+        cluster = Cluster(enforced=True)
+        node = cluster.nodes[0]
+        node.duties.step()
+        cluster.advance(5)
+        assert node.duties.holds(DUTY) is not None
+        assert node.fulfil(load('v2')) is OrderResult.NOT_HELD
 
     @pytest.mark.parametrize('enforced', [True, False])
-    def test_restarted_engine_is_brought_back(self, enforced):
-        """The engine restarts and forgets version and fencing number.
+    def test_restarted_engine_is_corrected(self, enforced):
+        """The engine restarts and loses its version and fencing number.
 
-        The holder's next round reads it and orders anew.
+        The holder's next attempt reads its state and sends the order again.
         """
-        arrangement = Arrangement(enforced)
-        desk = arrangement.desks[0]
-        desk.duties.step()
-        desk.fulfil(load('v2'))
-        arrangement.engines.version = 'v1'
-        arrangement.engines.fencing = 0
-        assert desk.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        cluster = Cluster(enforced)
+        node = cluster.nodes[0]
+        node.duties.step()
+        node.fulfil(load('v2'))
+        cluster.engines.version = 'v1'
+        cluster.engines.fencing = 0
+        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Pauses, outages and late orders in any order.
+    """Pauses, outages and late orders in any sequence.
 
-    An engine never takes an order of an earlier holder after one of a later.
-    Orders on their way arrive within the order's timeout or not at all.
+    An engine never executes an order of an earlier holder after one of a later
+    holder. Orders in flight arrive within the order timeout or not at all.
     """
 
     enforced = True
 
     def __init__(self):
         super().__init__()
-        self.arrangement = Arrangement(self.enforced)
+        self.cluster = Cluster(self.enforced)
         self.sent = []
-        engines = self.arrangement.engines
+        engines = self.cluster.engines
         self.deliver = engines.receive
-        engines.give_order = self.hold_back
+        engines.give_order = self.delay_order
 
-    def hold_back(self, server, order):
-        """Keep an order on its way, as a slow network does."""
-        self.sent.append((self.arrangement.clock.monotonic(), order))
+    def delay_order(self, server, order):
+        """Keep an order in flight, like a slow network."""
+        self.sent.append((self.cluster.clock.monotonic(), order))
         raise PeerError('no answer', step=Step.ORDER, peer=server)
 
     @rule(number=st.integers(0, 1))
     def step(self, number):
-        self.arrangement.desks[number].duties.step()
+        self.cluster.nodes[number].duties.step()
 
     @rule(seconds=st.sampled_from((0.5, 1.0, 3.0, 9.5)))
     def pass_time(self, seconds):
-        self.arrangement.advance(seconds)
-        now = self.arrangement.clock.monotonic()
+        self.cluster.advance(seconds)
+        now = self.cluster.clock.monotonic()
         self.sent = [
             (at, order) for at, order in self.sent if now - at <= ORDER_SECONDS
         ]
@@ -244,7 +242,7 @@
         support = FencingSupport.ENFORCED
         if not self.enforced:
             support = FencingSupport.IGNORED
-        self.arrangement.desks[number].fulfil(load(version), support)
+        self.cluster.nodes[number].fulfil(load(version), support)
 
     @precondition(lambda machine: machine.sent)
     @rule(position=st.integers(0, 9))
@@ -253,21 +251,21 @@
         self.deliver(order)
 
     @rule(out=st.booleans())
-    def turn_store(self, out):
-        self.arrangement.store.faults.lift()
+    def set_store_fault(self, out):
+        self.cluster.store.faults.lift()
         if out:
-            self.arrangement.store.faults.stand('*', Fault.LOST_ANSWER)
+            self.cluster.store.faults.stand('*', Fault.LOST_ANSWER)
 
     @invariant()
-    def holders_take_turns(self):
-        taken = self.arrangement.engines.taken
-        assert taken == sorted(taken)
-        held = [desk.duties.holds(DUTY) for desk in self.arrangement.desks]
+    def at_most_one_holder_acts(self):
+        executed = self.cluster.engines.executed
+        assert executed == sorted(executed)
+        held = [node.duties.holds(DUTY) for node in self.cluster.nodes]
         assert held.count(None) >= 1
 
 
 class IgnoringMachine(OrderMachine):
-    """The same with an engine that obeys any fencing number."""
+    """The same with an engine that ignores fencing numbers."""
 
     enforced = False
 
--- a/libs/fleet/tests/test_planner.py
+++ b/libs/fleet/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of instances."""
+"""Tests of the instance planner."""
 
 import itertools
 import math
@@ -42,8 +42,8 @@
     return totals
 
 
-def find_cheapest_by_trying(servers, markets, bounds):
-    """Try all mixes: the measure for the planner, slow and plain."""
+def find_cheapest_exhaustively(servers, markets, bounds):
+    """Return the minimum cost over all allocations, as a reference."""
     placements = list(markets)
     best = math.inf
     ranges = [range(markets[placement].supply + 1) for placement in placements]
@@ -67,9 +67,9 @@
 
 
 class TestPlan:
-    """The plan for one version."""
+    """Plans for one version."""
 
-    def test_loss_of_any_domain_leaves_the_set_part(self):
+    def test_loss_of_any_domain_leaves_the_set_fraction(self):
         made = plan(8, make_markets())
         totals = count_domains(made.target)
         assert sum(totals.values()) - max(totals.values()) >= 6
@@ -82,7 +82,7 @@
         prices=st.lists(st.integers(1, 6), min_size=6, max_size=6),
         supplies=st.lists(st.integers(0, 3), min_size=6, max_size=6),
     )
-    def test_is_as_cheap_as_the_best_of_all_mixes(
+    def test_is_as_cheap_as_the_best_of_all_allocations(
         self, servers, survive, prices, supplies
     ):
         offers = zip(prices, supplies, strict=True)
@@ -91,17 +91,17 @@
             for placement, (price, supply) in zip(make_markets(), offers, strict=True)
         }
         bounds = Bounds(survive, 2, 12, 3)
-        best = find_cheapest_by_trying(servers, markets, bounds)
+        best = find_cheapest_exhaustively(servers, markets, bounds)
         made = plan(servers, markets, bounds=bounds, hours=0)
         assert made.survives == math.isfinite(best)
         if made.survives:
             assert made.cost == best
 
-    def test_refused_placement_is_made_up_for_elsewhere(self):
+    def test_refused_placement_is_replaced_by_others(self):
         """A start in one failure domain was refused.
 
-        Its market has no supply from then on; the plan starts more in the
-        others, on demand where that is what is left, and still survives a loss.
+        Its market then has no supply. The plan starts more instances in the others,
+        on demand if necessary, and still tolerates a domain loss.
         """
         markets = make_markets()
         markets[Placement('gent', RECLAIMABLE)] = Market(1.0, 0)
@@ -109,8 +109,8 @@
         assert Placement('gent', RECLAIMABLE) not in made.target
         assert made.survives
 
-    def test_frequent_reclaims_with_slow_starts_lose_to_on_demand(self):
-        """Reclaimable instances that are mostly loading are not the cheap ones."""
+    def test_on_demand_is_preferred_to_frequent_reclaims_with_slow_starts(self):
+        """Reclaimable instances that mostly load weights are not cheaper."""
         markets = make_markets(on_demand=1.8, reclaims=2.0)
         assert plan(4, markets, hours=0.01).cost < plan(4, markets, hours=0.4).cost
         classes = {
@@ -118,12 +118,12 @@
         }
         assert ON_DEMAND in classes
 
-    def test_way_back_is_never_scaled_in(self):
+    def test_protected_version_is_never_scaled_in(self):
         running = {Placement(domain, RECLAIMABLE): 4 for domain in DOMAINS}
         assert plan(2, make_markets(), running).stops
         assert not plan(2, make_markets(), running, keep=True).stops
 
-    def test_small_saving_moves_nothing(self):
+    def test_small_saving_changes_nothing(self):
         markets = make_markets()
         running = {Placement(domain, RECLAIMABLE): 2 for domain in DOMAINS}
         markets[Placement('gent', RECLAIMABLE)] = Market(0.99, 20)
@@ -131,10 +131,10 @@
         assert not made.starts and not made.stops
 
     def test_too_little_supply_is_reported_and_spread(self):
-        """The cloud has less than what the load and the loss need.
+        """The supply is too small for the load and for a domain loss.
 
-        The plan takes what there is, as evenly as it goes, and says how much is
-        missing and that a loss would not be survived.
+        The plan spreads the supply as evenly as possible, and reports the shortage
+        and that a domain loss is not tolerated.
         """
         made = plan(8, make_markets(supply=1), bounds=Bounds(0.75, 2, 24, 0))
         assert sum(made.target.values()) == 3
--- a/libs/fleet/tests/test_spread.py
+++ b/libs/fleet/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the servers that failure domains are to have, by a played reclaim wave."""
+"""Tests of the spread of servers over failure domains, with a simulated reclaim wave."""
 
 from fireflyhitch_fleet.spread import (
     DomainServers,
@@ -23,7 +23,7 @@
 
 
 def cost(servers: dict[FailureDomainId, DomainServers]) -> float:
-    """Return the price of a second."""
+    """Return the cost per second."""
     return sum(
         PRICES[domain] * (current.reclaimable * SPOT + current.on_demand)
         for domain, current in servers.items()
@@ -31,23 +31,23 @@
 
 
 def count(servers: dict[FailureDomainId, DomainServers]) -> int:
-    """Return how many servers there are."""
+    """Return the number of servers."""
     return sum(current.reclaimable + current.on_demand for current in servers.values())
 
 
 class TestPlan:
-    def test_calm_times_need_nothing_on_demand(self) -> None:
+    def test_without_losses_nothing_runs_on_demand(self) -> None:
         calm = {domain: DomainServers(2, 0) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, calm)
         assert target == calm
 
-    def test_servers_on_demand_stay_until_reclaimable_ones_are_there(self) -> None:
+    def test_on_demand_servers_stay_until_reclaimable_ones_run(self) -> None:
         start = {domain: DomainServers(0, 1) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, start)
         assert all(current.reclaimable == 2 for current in target.values())
         assert sum(current.on_demand for current in target.values()) >= NEED.servers
 
-    def test_no_domain_gets_more_than_is_allowed(self) -> None:
+    def test_no_domain_exceeds_its_maximum(self) -> None:
         need = SpreadNeed(servers=100, domains_lost=2)
         empty = dict.fromkeys(PRICES, NOTHING)
         target = spread_servers(need, BOUNDS, PRICES, empty)
@@ -56,33 +56,33 @@
 
 
 class TestWave:
-    def test_a_wave_is_cheaper_than_on_demand_and_serves_more_than_all_spot(
+    def test_spread_is_cheaper_than_on_demand_and_serves_more_than_all_spot(
         self,
     ) -> None:
-        # Two domains' reclaimable servers go, one 6 s after the other, and there are
-        # none to be had for 14 s each. Callers need four servers all the time.
+        # Two domains lose their reclaimable servers, 6 s apart, and get none for 14 s
+        # each. The load needs four servers all the time.
         on_demand = {domain: DomainServers(0, 1) for domain in PRICES}
         few_spot = {domain: DomainServers(1, 0) for domain in PRICES}
-        planned_cost, planned_short = self._play(planned=True)
+        planned_cost, planned_short = self._simulate(planned=True)
         spot_short = self._count_short_all_spot(few_spot)
         assert planned_short == 0
         assert spot_short > 0
         assert planned_cost < 40 * cost(on_demand) / 2
 
-    def _play(self, *, planned: bool) -> tuple[float, int]:
+    def _simulate(self, *, planned: bool) -> tuple[float, int]:
         running = {domain: DomainServers(2, 0) for domain in PRICES}
         ordered: list[tuple[int, dict[FailureDomainId, DomainServers]]] = []
         spent = 0.0
         shortage = 0
         for second in range(40):
-            dry = self._find_dry(second)
+            unavailable = self._find_unavailable(second)
             target = spread_servers(NEED, BOUNDS, PRICES, running)
             ordered.append((second + START_SECONDS, target))
             arrived = [found for due, found in ordered if due <= second]
             newest = arrived[-1] if arrived else running
             running = {
                 domain: DomainServers(
-                    0 if domain in dry else newest[domain].reclaimable,
+                    0 if domain in unavailable else newest[domain].reclaimable,
                     newest[domain].on_demand,
                 )
                 for domain in PRICES
@@ -91,29 +91,29 @@
             shortage += max(NEED.servers - count(running), 0)
         return spent, shortage
 
-    def _find_dry(self, second: int) -> set[FailureDomainId]:
-        dry: set[FailureDomainId] = set()
+    def _find_unavailable(self, second: int) -> set[FailureDomainId]:
+        unavailable: set[FailureDomainId] = set()
         if 5 <= second < 19:
-            dry.add(FailureDomainId('aalst'))
+            unavailable.add(FailureDomainId('aalst'))
         if 11 <= second < 25:
-            dry.add(FailureDomainId('gent'))
-        return dry
+            unavailable.add(FailureDomainId('gent'))
+        return unavailable
 
     def _count_short_all_spot(
         self, servers: dict[FailureDomainId, DomainServers]
     ) -> int:
         shortage = 0
         for second in range(40):
-            left = len(servers.keys() - self._find_dry(second))
+            left = len(servers.keys() - self._find_unavailable(second))
             shortage += max(NEED.servers - left, 0)
         return shortage
 
 
-class TestThreeDomainsAway:
-    def test_what_is_left_of_the_number_is_bought_on_demand_at_once(self) -> None:
-        # Each domain has 26 reclaimable servers of 28 that are allowed, and 52 are
-        # needed. Three domains lose theirs within six seconds, and none are to be had.
-        # Room was kept for the lost ones, so that 20 servers were ordered on demand,
+class TestThreeDomainsLost:
+    def test_remaining_places_are_filled_on_demand_at_once(self) -> None:
+        # Each domain has 26 reclaimable servers, at most 28 are allowed and 52 needed.
+        # Three domains lose theirs within six seconds, and no others are available. All
+        # lost places used to be kept free, so only 20 servers were ordered on demand,
         # step by step, and callers waited for twelve seconds.
         present = dict.fromkeys(PRICES, NOTHING)
         present[FailureDomainId('gent')] = DomainServers(26, 0)
@@ -126,7 +126,7 @@
             current.reclaimable + current.on_demand <= 28 for current in target.values()
         )
 
-    def test_reclaimable_servers_come_back_into_their_part(self) -> None:
+    def test_reclaimable_servers_return_to_the_places_kept_free(self) -> None:
         present = dict.fromkeys(PRICES, DomainServers(0, 13))
         for _ in range(6):
             present = spread_servers(
@@ -140,34 +140,35 @@
 
 
 class TestScarcity:
-    """Callers find a quarter of the servers that there were a second before.
+    """A new leader stops servers just before further domains are lost.
 
-    Two domains' reclaimable servers go, and none are to be had anywhere. A leader that
-    has just taken over sees little load, and gives back those of the other two that it
-    seems not to need. Then these two domains go as well.
+    Two domains lose their reclaimable servers, and none are available anywhere. A new
+    leader sees little load and stops the seemingly unneeded servers of the other two.
+    When these domains are lost too, callers are left with a quarter of the servers of a
+    second before.
     """
 
-    def test_nothing_is_given_back_while_a_domain_lacks_servers(self) -> None:
+    def test_nothing_is_stopped_while_a_domain_lacks_servers(self) -> None:
         domains = sorted(PRICES)
         wave = {domain: DomainServers(5, 0) for domain in domains}
         wave[domains[0]] = NOTHING
         target = spread_servers(NEED, BOUNDS, PRICES, wave)
         assert all(target[domain].reclaimable == 5 for domain in domains[1:])
 
-    def test_with_all_there_what_is_too_many_goes(self) -> None:
+    def test_surplus_is_stopped_when_no_domain_lacks_servers(self) -> None:
         calm = {domain: DomainServers(5, 0) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, calm)
         assert all(current.reclaimable == 2 for current in target.values())
 
 
-class TestLasting:
-    def test_what_a_plan_made_is_read_as_the_need_it_was_made_for(self) -> None:
-        # A new leader reads the need from the servers that the former one ordered.
-        # Reading more would order more at each change of the leader.
+class TestServersAfterLoss:
+    def test_planned_servers_yield_the_need_they_were_planned_for(self) -> None:
+        # A new leader derives the need from the servers that its predecessor ordered.
+        # If it derived more, each change of leader would order more.
         calm = {domain: DomainServers(2, 0) for domain in PRICES}
         target = spread_servers(NEED, BOUNDS, PRICES, calm)
         assert count_lasting(target, NEED.domains_lost) == NEED.servers
 
-    def test_servers_on_demand_all_last(self) -> None:
+    def test_on_demand_servers_are_not_lost(self) -> None:
         start = {domain: DomainServers(0, 14) for domain in PRICES}
         assert count_lasting(start, 2) == 56
--- a/libs/rollout/fireflyhitch_rollout/record_store.py
+++ b/libs/rollout/fireflyhitch_rollout/record_store.py
@@ -48,7 +48,7 @@
         try:
             listing = self._store.get_prefix(KEY_PREFIX)
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('failed to read moves')
+            logger.bind(step=error.step.value).warning('moves not read')
             return False
         for item in listing.items:
             self._apply(DeploymentId(item.key.removeprefix(KEY_PREFIX)), item)
@@ -62,7 +62,7 @@
         try:
             current = self._store.get(_key(deployment))
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('failed to read move')
+            logger.bind(step=error.step.value).warning('move not read')
             return False
         self._apply(deployment, current)
         return True
@@ -103,7 +103,7 @@
         try:
             written = self._store.put_if(_key(record.deployment), content, expected)
         except PlatformError as error:
-            logger.bind(step=error.step.value).warning('failed to write move')
+            logger.bind(step=error.step.value).warning('move not written')
             return False
         if isinstance(written, Conflict):
             self._apply(record.deployment, written.current)
