--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -171,7 +171,7 @@
         invariant(
             not version.keep,
             Invariant.MOVE_ENDS,
-            f'{plan.version} is needed for a rollback',
+            f"{plan.version} is needed for a move's rollback",
             step=Step.PLAN,
         )
         for instance_id in _choose_stops(plan.stops, need, version, instances):
