--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -6,11 +6,17 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.market_tracker import MarketTracker
 from fireflyhitch_fleet.needs import DeploymentNeed, VersionNeed
 from fireflyhitch_fleet.pending_starts import PendingStarts
-from fireflyhitch_fleet.planner import Bounds, Need, Placement, Plan, plan_version
+from fireflyhitch_fleet.planner import (
+    Bounds,
+    Placement,
+    Plan,
+    PlanRequest,
+    plan_version,
+)
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import DeploymentId, DutyId, InstanceId
@@ -31,7 +37,7 @@
 SURPLUS_SECONDS = 300.0
 
 
-class CapacityKeeper:
+class CapacityManager:
     """Plans and orders instances under a lease; call ``step`` about every 10 s.
 
     While the store or the cloud is unavailable, nothing is started or stopped.
@@ -39,7 +45,7 @@
 
     def __init__(
         self,
-        duties: DutyKeeper,
+        duties: DutyManager,
         cloud: Cloud,
         instances: InstanceList,
         weights: WeightStore,
@@ -57,7 +63,7 @@
 
     def list_duties(self, deployments: Iterable[DeploymentId]) -> tuple[DutyId, ...]:
         """Return the capacity duties of deployments."""
-        return tuple(find_duty(deployment) for deployment in deployments)
+        return tuple(make_duty_id(deployment) for deployment in deployments)
 
     def find_start_time(self, deployment: DeploymentId) -> timedelta:
         """Return the measured start time, including the wait for weights."""
@@ -86,7 +92,7 @@
         return {need.deployment.name: self._reconcile(need, staying) for need in held}
 
     def _holds(self, deployment: DeploymentId) -> bool:
-        return self._duties.holds(find_duty(deployment)) is not None
+        return self._duties.holds(make_duty_id(deployment)) is not None
 
     def _reconcile(self, need: DeploymentNeed, instances: list[Instance]) -> list[Plan]:
         plans = []
@@ -127,13 +133,15 @@
         wanted = need.count_servers(version, start_seconds)
         capacity = deployment.capacity
         bounds = Bounds(
-            survive=capacity.survive_domain_loss,
-            least=capacity.min_servers if version.part >= 1 else 1,
-            most=capacity.max_servers,
-            most_on_demand=capacity.max_on_demand,
+            survive_domain_loss=capacity.survive_domain_loss,
+            min_servers=capacity.min_servers if version.traffic_fraction >= 1 else 1,
+            max_servers=capacity.max_servers,
+            max_on_demand=capacity.max_on_demand,
         )
         markets = self._market_tracker.list_markets(deployment, running)
-        order = Need(version.version, wanted, running, version.keep)
+        order = PlanRequest(
+            version.version, wanted, running, version.scale_in_protected
+        )
         return plan_version(order, markets, bounds, start_seconds / SECONDS_PER_HOUR)
 
     def _start(self, need: DeploymentNeed, plan: Plan) -> None:
@@ -141,7 +149,7 @@
         for placement, count in plan.starts.items():
             for _ in range(count):
                 # A start may take long, and the lease may have expired meanwhile.
-                fencing = self._duties.holds(find_duty(name))
+                fencing = self._duties.holds(make_duty_id(name))
                 if fencing is None:
                     return
                 order_id = self._pending_starts.find_order_id(
@@ -169,7 +177,7 @@
         if not self._is_lasting_surplus(*key):
             return
         invariant(
-            not version.keep,
+            not version.scale_in_protected,
             Invariant.MOVE_ENDS,
             f"{plan.version} is needed for a move's rollback",
             step=Step.PLAN,
@@ -193,7 +201,7 @@
             )
 
 
-def find_duty(deployment: DeploymentId) -> DutyId:
+def make_duty_id(deployment: DeploymentId) -> DutyId:
     """Return the id of the duty whose holder orders a deployment's instances."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
 
--- a/libs/fleet/fireflyhitch_fleet/duties.py
+++ b/libs/fleet/fireflyhitch_fleet/duties.py
@@ -69,7 +69,7 @@
     held: HeldDuty | None = None
 
 
-class DutyKeeper:
+class DutyManager:
     """Acquires, renews and releases duties; ``holds`` is thread-safe."""
 
     def __init__(
--- a/libs/fleet/fireflyhitch_fleet/needs.py
+++ b/libs/fleet/fireflyhitch_fleet/needs.py
@@ -14,14 +14,14 @@
 class VersionNeed:
     """The capacity that the fleet must keep ready for one version.
 
-    :param part: fraction of the deployment's traffic that it must be able to carry.
-    :param keep: whether none of its servers may be stopped, since a rollback needs
+    :param traffic_fraction: fraction of the deployment's traffic that it must be able to carry.
+    :param scale_in_protected: whether none of its servers may be stopped, since a rollback needs
         them.
     """
 
     version: VersionId
-    part: float
-    keep: bool = False
+    traffic_fraction: float
+    scale_in_protected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,5 +54,5 @@
         :param ahead: seconds until a server ordered now is ready.
         """
         planned = self.deployment.capacity.calls_per_server * PLANNED_LOAD
-        calls = self.demand.forecast(ahead) * version.part
+        calls = self.demand.forecast(ahead) * version.traffic_fraction
         return max(1, math.ceil(calls / planned))
--- a/libs/fleet/fireflyhitch_fleet/orders.py
+++ b/libs/fleet/fireflyhitch_fleet/orders.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper, HeldDuty
+from fireflyhitch_fleet.duties import DutyManager, HeldDuty
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import FireflyhitchError
@@ -35,20 +35,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class DesiredState:
     """The state that an engine should reach."""
 
     action: EngineAction
     argument: str
 
 
-class OrderDesk:
+class EngineReconciler:
     """Sends orders to engines under a duty's lease and verifies their state."""
 
     def __init__(
         self,
         engines: Engines,
-        duties: DutyKeeper,
+        duties: DutyManager,
         clock: Clock,
         order_timeout: timedelta = DEFAULT_ORDER_TIMEOUT,
     ) -> None:
@@ -62,7 +62,9 @@
         self._clock = clock
         self._order_timeout = order_timeout.total_seconds()
 
-    def fulfil(self, duty: DutyId, server: BackendServer, desired: Wish) -> OrderResult:
+    def reconcile(
+        self, duty: DutyId, server: BackendServer, desired: DesiredState
+    ) -> OrderResult:
         """Bring an engine to a desired state; repeat until it is in effect.
 
         The engine's state is read on every call, before and after an order, so that a
@@ -88,7 +90,7 @@
         self,
         duty: DutyId,
         server: BackendServerId,
-        desired: Wish,
+        desired: DesiredState,
         fencing: FencingNumber,
     ) -> OrderResult:
         if is_in_effect(self._engines.read_state(server), desired):
@@ -126,7 +128,7 @@
         return self._clock.monotonic() - held.since >= lease + self._order_timeout
 
 
-def is_in_effect(state: EngineState, desired: Wish) -> bool:
+def is_in_effect(state: EngineState, desired: DesiredState) -> bool:
     """Return whether an engine is in the desired state."""
     if desired.action is EngineAction.LOAD_VERSION:
         return state.version == desired.argument
--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -42,33 +42,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class PlanRequest:
     """Required capacity and running instances of one version.
 
     :param servers: number of servers that will carry the load within the latency
         target once an instance ordered now is ready.
     :param running: number of existing instances, by placement.
-    :param keep: never stop an instance, since a rollback needs them.
+    :param scale_in_protected: never stop an instance, since a rollback needs them.
     """
 
     version: VersionId
     servers: int
     running: Mapping[Placement, int]
-    keep: bool = False
+    scale_in_protected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
     """The operator's bounds.
 
-    :param survive: fraction of the load that must still be served after the loss
+    :param survive_domain_loss: fraction of the load that must still be served after the loss
         of any one failure domain.
     """
 
-    survive: float
-    least: int
-    most: int
-    most_on_demand: int
+    survive_domain_loss: float
+    min_servers: int
+    max_servers: int
+    max_on_demand: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
 
 
 def plan_version(
-    request: Need,
+    request: PlanRequest,
     markets: Mapping[Placement, Market],
     bounds: Bounds,
     start_hours: float,
@@ -107,8 +107,8 @@
     :param start_hours: hours from an order until the instance is ready, including
         the wait for weights; a reclaimed instance is missing for that long.
     """
-    wanted = min(max(request.servers, bounds.least), bounds.most)
-    min_remaining = math.ceil(bounds.survive * wanted)
+    wanted = min(max(request.servers, bounds.min_servers), bounds.max_servers)
+    min_remaining = math.ceil(bounds.survive_domain_loss * wanted)
     costs = {
         placement: _find_effective_price(market, start_hours)
         for placement, market in markets.items()
@@ -146,16 +146,16 @@
 
     low = max(wanted, min_remaining + 1)
     low = _find_first(
-        low, bounds.most, lambda total: math.isfinite(allocate(total).cost)
+        low, bounds.max_servers, lambda total: math.isfinite(allocate(total).cost)
     )
-    if low > bounds.most:
+    if low > bounds.max_servers:
         return _Allocation()
     best = _find_first(
         low,
-        bounds.most - 1,
+        bounds.max_servers - 1,
         lambda total: allocate(total + 1).cost >= allocate(total).cost,
     )
-    return allocate(min(best, bounds.most))
+    return allocate(min(best, bounds.max_servers))
 
 
 def _find_first(low: int, high: int, holds: Callable[[int], bool]) -> int:
@@ -174,7 +174,7 @@
     bounds: Bounds,
 ) -> _Allocation:
     network = FlowNetwork()
-    on_demand = min(bounds.most_on_demand, total)
+    on_demand = min(bounds.max_on_demand, total)
     network.add_edge(SOURCE, MachineClass.RECLAIMABLE, total)
     network.add_edge(SOURCE, MachineClass.ON_DEMAND, on_demand)
     domains = {placement.failure_domain for placement in markets}
@@ -217,7 +217,7 @@
 
 
 def _is_good_enough(
-    request: Need,
+    request: PlanRequest,
     allocation: _Allocation,
     wanted: int,
     min_remaining: int,
@@ -243,7 +243,7 @@
 
 
 def _make_plan(
-    request: Need,
+    request: PlanRequest,
     allocation: _Allocation,
     markets: Mapping[Placement, Market],
     wanted: int,
@@ -254,7 +254,7 @@
     target = dict(allocation.counts)
     for placement in target.keys() | request.running.keys():
         running = request.running.get(placement, 0)
-        if request.keep:
+        if request.scale_in_protected:
             target[placement] = max(target.get(placement, 0), running)
         change = target.get(placement, 0) - running
         if change > 0:
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -133,7 +133,7 @@
     return min(shortage, max(bounds.max_servers - returning - on_demand, 0))
 
 
-def count_lasting(
+def count_servers_after_loss(
     present: Mapping[FailureDomainId, DomainServers], domains_lost: int
 ) -> float:
     """Return the servers left if some domains lose their reclaimable ones."""
--- a/libs/fleet/tests/test_orders.py
+++ b/libs/fleet/tests/test_orders.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from fireflyhitch_fleet.duties import DutyKeeper
-from fireflyhitch_fleet.orders import OrderDesk, OrderResult, Wish
+from fireflyhitch_fleet.duties import DutyManager
+from fireflyhitch_fleet.orders import DesiredState, EngineReconciler, OrderResult
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.errors import PeerError
@@ -67,19 +67,19 @@
 
 
 def load(version):
-    return Wish(EngineAction.LOAD_VERSION, version)
+    return DesiredState(EngineAction.LOAD_VERSION, version)
 
 
 class Node:
     """A daemon with its duty manager and engine reconciler."""
 
     def __init__(self, number, store, clock, engines, live):
-        self.duties = DutyKeeper(store, clock, f'd{number}', live)
+        self.duties = DutyManager(store, clock, f'd{number}', live)
         self.duties.set_duties([DUTY])
-        self.reconciler = OrderDesk(engines, self.duties, clock)
+        self.reconciler = EngineReconciler(engines, self.duties, clock)
 
-    def fulfil(self, desired, fencing=FencingSupport.ENFORCED):
-        return self.reconciler.fulfil(DUTY, make_server(fencing), desired)
+    def reconcile(self, desired, fencing=FencingSupport.ENFORCED):
+        return self.reconciler.reconcile(DUTY, make_server(fencing), desired)
 
 
 class Cluster:
@@ -118,9 +118,9 @@
     def test_order_takes_effect_under_the_lease(self):
         cluster = Cluster(enforced=True)
         node = cluster.nodes[0]
-        assert node.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert node.reconcile(load('v2')) is OrderResult.NOT_HELD
         node.duties.step()
-        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert node.reconcile(load('v2')) is OrderResult.IN_EFFECT
         assert cluster.engines.executed == [node.duties.holds(DUTY)]
 
     def test_paused_holder_sends_no_order_on_resume(self):
@@ -132,8 +132,8 @@
         cluster = Cluster(enforced=True)
         first, second = cluster.nodes
         cluster.change_holder()
-        assert second.fulfil(load('v3')) is OrderResult.IN_EFFECT
-        assert first.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert second.reconcile(load('v3')) is OrderResult.IN_EFFECT
+        assert first.reconcile(load('v2')) is OrderResult.NOT_HELD
         assert cluster.engines.version == 'v3'
 
     def test_late_order_is_refused_by_an_enforcing_engine(self):
@@ -143,7 +143,7 @@
         """
         cluster = Cluster(enforced=True)
         fencing = cluster.change_holder()
-        cluster.nodes[1].fulfil(load('v3'))
+        cluster.nodes[1].reconcile(load('v3'))
         late = EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing)
         assert not cluster.engines.receive(late)
         assert cluster.engines.version == 'v3'
@@ -158,12 +158,12 @@
         second = cluster.nodes[1]
         fencing = cluster.change_holder()
         ignored = FencingSupport.IGNORED
-        assert second.fulfil(load('v3'), ignored) is OrderResult.TOO_EARLY
+        assert second.reconcile(load('v3'), ignored) is OrderResult.TOO_EARLY
         cluster.engines.receive(EngineOrder(EngineAction.LOAD_VERSION, 'v2', fencing))
         for _ in range(LEASE_SECONDS + ORDER_SECONDS):
             cluster.advance(1)
             second.duties.step()
-        assert second.fulfil(load('v3'), ignored) is OrderResult.IN_EFFECT
+        assert second.reconcile(load('v3'), ignored) is OrderResult.IN_EFFECT
         assert cluster.engines.version == 'v3'
 
     def test_lost_response_is_resolved_by_reading_the_engine(self):
@@ -176,8 +176,8 @@
         node = cluster.nodes[0]
         node.duties.step()
         cluster.engines.lost = True
-        assert node.fulfil(load('v2')) is OrderResult.UNKNOWN
-        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert node.reconcile(load('v2')) is OrderResult.UNKNOWN
+        assert node.reconcile(load('v2')) is OrderResult.IN_EFFECT
         assert len(cluster.engines.executed) == 1
 
     def test_no_order_in_the_last_seconds_of_a_lease(self):
@@ -186,7 +186,7 @@
         node.duties.step()
         cluster.advance(5)
         assert node.duties.holds(DUTY) is not None
-        assert node.fulfil(load('v2')) is OrderResult.NOT_HELD
+        assert node.reconcile(load('v2')) is OrderResult.NOT_HELD
 
     @pytest.mark.parametrize('enforced', [True, False])
     def test_restarted_engine_is_corrected(self, enforced):
@@ -197,10 +197,10 @@
         cluster = Cluster(enforced)
         node = cluster.nodes[0]
         node.duties.step()
-        node.fulfil(load('v2'))
+        node.reconcile(load('v2'))
         cluster.engines.version = 'v1'
         cluster.engines.fencing = 0
-        assert node.fulfil(load('v2')) is OrderResult.IN_EFFECT
+        assert node.reconcile(load('v2')) is OrderResult.IN_EFFECT
 
 
 class OrderMachine(RuleBasedStateMachine):
@@ -242,7 +242,7 @@
         support = FencingSupport.ENFORCED
         if not self.enforced:
             support = FencingSupport.IGNORED
-        self.cluster.nodes[number].fulfil(load(version), support)
+        self.cluster.nodes[number].reconcile(load(version), support)
 
     @precondition(lambda machine: machine.sent)
     @rule(position=st.integers(0, 9))
--- a/libs/rollout/fireflyhitch_rollout/configuration_changes.py
+++ b/libs/rollout/fireflyhitch_rollout/configuration_changes.py
@@ -14,7 +14,7 @@
 from datetime import datetime, timedelta
 
 from fireflyhitch_model.ids import VersionId
-from fireflyhitch_rollout.records import MoveRecord, MoveState, Reason
+from fireflyhitch_rollout.records import MoveEndReason, MoveRecord, MoveState
 from fireflyhitch_rollout.schedule import end_move
 from fireflyhitch_settings.schema import Deployment, VersionMove
 
@@ -69,17 +69,21 @@
 ) -> MoveRecord:
     move = deployment.move
     if deployment.version == record.to_version:
-        return _end_move(record, MoveState.DONE, Reason.CONFIRMED, configured)
+        return _end_move(record, MoveState.DONE, MoveEndReason.CONFIRMED, configured)
     if move is None:
-        return _end_move(record, MoveState.UNDONE, Reason.CANCELLED, configured)
+        return _end_move(
+            record, MoveState.ROLLED_BACK, MoveEndReason.CANCELLED, configured
+        )
     if (move.to_version, deployment.version) != (record.to_version, record.named):
-        return _end_move(record, MoveState.UNDONE, Reason.REPLACED, configured)
+        return _end_move(
+            record, MoveState.ROLLED_BACK, MoveEndReason.REPLACED, configured
+        )
     if move.move_by == record.move_by:
         return record
     changes = {'move_by': move.move_by, 'configured': configured}
     moved = record.model_copy(update=changes)
     if rollback_by >= move.move_by:
-        return end_move(moved, MoveState.UNDONE, Reason.BROUGHT_FORWARD)
+        return end_move(moved, MoveState.ROLLED_BACK, MoveEndReason.BROUGHT_FORWARD)
     return moved
 
 
@@ -105,7 +109,7 @@
         withdrawn=withdrawn,
     )
     if move.to_version in withdrawn:
-        return end_move(begun, MoveState.UNDONE, Reason.FAULTY_BEFORE)
+        return end_move(begun, MoveState.ROLLED_BACK, MoveEndReason.FAULTY_BEFORE)
     return begun
 
 
@@ -116,7 +120,7 @@
 
 
 def _end_move(
-    record: MoveRecord, state: MoveState, reason: Reason, configured: int
+    record: MoveRecord, state: MoveState, reason: MoveEndReason, configured: int
 ) -> MoveRecord:
     ended = end_move(record, state, reason)
     return ended.model_copy(update={'configured': configured})
--- a/libs/rollout/fireflyhitch_rollout/evidence.py
+++ b/libs/rollout/fireflyhitch_rollout/evidence.py
@@ -52,7 +52,7 @@
     new: VersionId
 
 
-class EvidenceBook:
+class EvidenceCollector:
     """Collects one record per call; ``step`` sends and evaluates them.
 
     Each daemon sends its counts to the aggregators of its failure domain, and the
@@ -166,7 +166,7 @@
                 verdicts[deployment] = verdict
         return verdicts
 
-    def find_judge(self, deployment: DeploymentId) -> SequentialTest | None:
+    def find_test(self, deployment: DeploymentId) -> SequentialTest | None:
         """Return the test of a deployment on trial."""
         return self._tests.get(deployment)
 
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.needs import VersionNeed
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.ids import (
@@ -25,20 +25,20 @@
     apply_configuration,
     find_base_version,
 )
-from fireflyhitch_rollout.evidence import EvidenceBook, Trial
+from fireflyhitch_rollout.evidence import EvidenceCollector, Trial
 from fireflyhitch_rollout.phase_tracker import PhaseTracker
 from fireflyhitch_rollout.record_store import MoveRecordStore
 from fireflyhitch_rollout.records import (
+    MoveEndReason,
     MoveMessage,
     MoveRecord,
     MoveReport,
     MoveState,
-    Reason,
     WithdrawalMessage,
 )
 from fireflyhitch_rollout.schedule import (
     MoveConditions,
-    Pace,
+    MovePolicy,
     advance,
     end_move,
     find_burst_length,
@@ -66,7 +66,7 @@
     )
 
 
-class MoveKeeper:
+class MoveManager:
     """Manages moves; call ``step`` about every half second.
 
     The holder of the duty ``moves/{deployment}`` raises shares and ends moves in
@@ -78,13 +78,13 @@
         local_daemon: Daemon,
         store: KeyValueStore,
         messenger: PeerMessenger,
-        duties: DutyKeeper,
-        evidence: EvidenceBook,
+        duties: DutyManager,
+        evidence: EvidenceCollector,
         picker: VersionPicker,
         clock: Clock,
     ) -> None:
         """Create a manager without moves; nothing else may update the picker."""
-        self.pace = Pace()
+        self.policy = MovePolicy()
         self._local_daemon = local_daemon
         self._records = MoveRecordStore(store)
         self._messenger = messenger
@@ -117,9 +117,9 @@
 
     def list_duties(self) -> tuple[DutyId, ...]:
         """Return the duties for moves, one for each deployment."""
-        return tuple(find_duty(deployment) for deployment in self._deployments)
+        return tuple(make_duty_id(deployment) for deployment in self._deployments)
 
-    def observe(self, supplies: Mapping[DeploymentId, Supply]) -> None:
+    def update_supplies(self, supplies: Mapping[DeploymentId, Supply]) -> None:
         """Set the available servers; call it whenever they change."""
         with self._lock:
             self._supplies = dict(supplies)
@@ -159,11 +159,11 @@
         with self._lock:
             record = self._records.find(deployment)
             base = find_base_version(record, self._deployments[deployment])
-            return find_needs(record, base, self.pace)
+            return find_needs(record, base, self.policy)
 
     def _advance_record(self, name: DeploymentId, deployment: Deployment) -> None:
         """Advance the stored record as far as this daemon is allowed to."""
-        fencing = self._duties.holds(find_duty(name))
+        fencing = self._duties.holds(make_duty_id(name))
         if fencing is None and not self._has_unsaved_withdrawal(name):
             return
         if not self._records.has_revision(name) and not self._records.read(name):
@@ -199,17 +199,17 @@
         if record is None or record.has_ended:
             return record
         supply = self._supplies.get(deployment.name, Supply())
-        test = self._evidence.find_judge(deployment.name)
+        test = self._evidence.find_test(deployment.name)
         conditions = MoveConditions(
             now=now,
             rollback_deadline=record.move_by - rollback_time,
             finish_by=record.move_by - find_rollback_time(0, 1, supply.start_time),
             capacity=supply.find_capacity(record.to_version),
             old_servers=len(supply.list_version(record.from_version)),
-            proven=test is not None and test.has_enough_calls(self.pace.least_calls),
+            proven=test is not None and test.has_enough_calls(self.policy.min_calls),
             phase_calls=self._phases.count_calls(record, test),
         )
-        record = advance(record, conditions, self.pace)
+        record = advance(record, conditions, self.policy)
         if record.has_ended and test is not None:
             record = record.model_copy(update={'evidence': test.describe()})
         return record
@@ -222,7 +222,8 @@
     ) -> None:
         is_raise = self._increases_share(record, previous)
         invariant(
-            not is_raise or self._duties.holds(find_duty(record.deployment)) == fencing,
+            not is_raise
+            or self._duties.holds(make_duty_id(record.deployment)) == fencing,
             Invariant.SHARE_NEEDS_LEASE,
             f'{record.deployment} to {record.to_version}',
             step=Step.PLAN,
@@ -241,11 +242,11 @@
         self._send_record(record)
 
     def _increases_share(self, record: MoveRecord, previous: MoveRecord | None) -> bool:
-        if record.state is MoveState.UNDONE:
+        if record.state is MoveState.ROLLED_BACK:
             return False
         if previous is None or previous.move_key != record.move_key:
             return True
-        return find_share(record, 1, self.pace) > find_share(previous, 1, self.pace)
+        return find_share(record, 1, self.policy) > find_share(previous, 1, self.policy)
 
     def _resend_when_due(
         self, record: MoveRecord | None, fencing: FencingNumber | None
@@ -282,8 +283,8 @@
             return
         withdrawn = tuple(sorted({*record.withdrawn, version}))
         record = record.model_copy(update={'withdrawn': withdrawn})
-        if record.to_version == version and record.state is not MoveState.UNDONE:
-            record = end_move(record, MoveState.UNDONE, Reason.FAULT)
+        if record.to_version == version and record.state is not MoveState.ROLLED_BACK:
+            record = end_move(record, MoveState.ROLLED_BACK, MoveEndReason.FAULT)
             record = record.model_copy(update={'evidence': evidence})
         self._records.merge(record)
         logger.bind(deployment=deployment, version=version, evidence=evidence).warning(
@@ -354,7 +355,7 @@
         if followed is None or followed.has_ended:
             return followed
         if now >= followed.move_by - rollback_time:
-            return end_move(followed, MoveState.UNDONE, Reason.UNCONFIRMED)
+            return end_move(followed, MoveState.ROLLED_BACK, MoveEndReason.UNCONFIRMED)
         return followed
 
     def _find_shares(
@@ -372,9 +373,9 @@
         supply = self._supplies.get(deployment.name, Supply())
         new = supply.list_version(record.to_version)
         old_count = len(supply.list_version(record.from_version))
-        share = find_share(record, old_count, self.pace)
-        if self._phases.is_overdue(record, find_burst_length(old_count, self.pace)):
-            share = self.pace.base_share
+        share = find_share(record, old_count, self.policy)
+        if self._phases.is_overdue(record, find_burst_length(old_count, self.policy)):
+            share = self.policy.base_share
         share = min(share, supply.find_capacity(record.to_version))
         servers = choose_servers(new, old_count, share)
         return VersionShares(base, record.to_version, share, servers)
@@ -384,7 +385,7 @@
         record = self._find_effective_record(deployment)
         if record is None:
             return None
-        test = self._evidence.find_judge(name)
+        test = self._evidence.find_test(name)
         described = test.describe() if test and not record.has_ended else ()
         shares = self._picker.find(name)
         share = shares.share if shares else 0
@@ -401,6 +402,6 @@
         )
 
 
-def find_duty(deployment: DeploymentId) -> DutyId:
+def make_duty_id(deployment: DeploymentId) -> DutyId:
     """Return the id of the duty whose holder manages a deployment's moves."""
     return DutyId(f'{DUTY_PREFIX}{deployment}')
--- a/libs/rollout/fireflyhitch_rollout/records.py
+++ b/libs/rollout/fireflyhitch_rollout/records.py
@@ -12,19 +12,19 @@
 
 
 class MoveState(Enum):
-    """The phase of a move; it only advances, and ``UNDONE`` is final.
+    """The phase of a move; it only advances, and ``ROLLED_BACK`` is final.
 
-    ``UNDONE`` means that the move was rolled back or cancelled.
+    ``ROLLED_BACK`` means that the move was rolled back or cancelled.
     """
 
     STARTING = 'starting'
     TRIAL = 'trial'
     SHIFTING = 'shifting'
     DONE = 'done'
-    UNDONE = 'undone'
+    ROLLED_BACK = 'undone'
 
 
-class Reason(Enum):
+class MoveEndReason(Enum):
     """Why a move ended; the values are shown to operators."""
 
     PROVEN = 'evidence good and all traffic moved'
@@ -72,7 +72,7 @@
     state: MoveState = MoveState.STARTING
     step: int = 0
     burst: int = 0
-    reason: Reason | None = None
+    reason: MoveEndReason | None = None
     fencing: FencingNumber = FencingNumber(0)
     evidence: tuple[str, ...] = ()
     withdrawn: tuple[VersionId, ...] = ()
@@ -80,7 +80,7 @@
     @property
     def has_ended(self) -> bool:
         """Whether the move has completed or was rolled back."""
-        return self.state in {MoveState.DONE, MoveState.UNDONE}
+        return self.state in {MoveState.DONE, MoveState.ROLLED_BACK}
 
     @property
     def serving_version(self) -> VersionId:
@@ -130,21 +130,21 @@
     share: float
     move_by: datetime
     last_return: datetime
-    reason: Reason | None
+    reason: MoveEndReason | None
     evidence: tuple[str, ...]
 
 
 def merge_records(one: MoveRecord, other: MoveRecord) -> MoveRecord:
     """Return the merge of two records; the merge is commutative.
 
-    The move that started later wins. Within one move ``UNDONE`` wins, then the
+    The move that started later wins. Within one move ``ROLLED_BACK`` wins, then the
     more advanced record. Versions withdrawn in either stay withdrawn.
     """
     ahead = max(one, other, key=_rank)
     withdrawn = tuple(sorted({*one.withdrawn, *other.withdrawn}))
     ahead = ahead.model_copy(update={'withdrawn': withdrawn})
-    if ahead.to_version in withdrawn and ahead.state is not MoveState.UNDONE:
-        undone = {'state': MoveState.UNDONE, 'reason': Reason.FAULT}
+    if ahead.to_version in withdrawn and ahead.state is not MoveState.ROLLED_BACK:
+        undone = {'state': MoveState.ROLLED_BACK, 'reason': MoveEndReason.FAULT}
         return ahead.model_copy(update=undone)
     return ahead
 
--- a/libs/rollout/fireflyhitch_rollout/sequential_test.py
+++ b/libs/rollout/fireflyhitch_rollout/sequential_test.py
@@ -122,14 +122,14 @@
             route for route, calls in self._old_calls.items() if calls >= min_calls
         )
 
-    def has_enough_calls(self, least_calls: int) -> bool:
+    def has_enough_calls(self, min_calls: int) -> bool:
         """Return whether all major routes were tried, some calls under load.
 
-        :param least_calls: minimum number of calls of the new version in total.
+        :param min_calls: minimum number of calls of the new version in total.
         """
         routes = self.list_major_routes()
         loaded = sum(self.count_calls(route, LoadBand.USUAL) for route in routes)
-        if not routes or self.count_new() < least_calls:
+        if not routes or self.count_new() < min_calls:
             return False
         if loaded < min(MIN_ROUTE_CALLS, self.count_old_loaded()):
             return False
--- a/libs/rollout/fireflyhitch_rollout/brief.py
+++ b/libs/rollout/fireflyhitch_rollout/short_moves.py
@@ -37,11 +37,11 @@
     """How a move ends."""
 
     COMPLETED = 'completed'
-    TAKEN_BACK = 'taken-back'
+    ROLLED_BACK = 'taken-back'
 
 
 @immutable
-class Answers:
+class RouteResults:
     """Counts of the answers of one version on one route.
 
     :param failed: failed and incomplete answers.
@@ -52,9 +52,9 @@
     failed: int = 0
     slow: int = 0
 
-    def add(self, other: 'Answers') -> 'Answers':
+    def add(self, other: 'RouteResults') -> 'RouteResults':
         """Return the sum of both."""
-        return Answers(
+        return RouteResults(
             self.calls + other.calls,
             self.failed + other.failed,
             self.slow + other.slow,
@@ -69,8 +69,8 @@
     :param new: answers of the new version.
     """
 
-    old: Mapping[str, Answers]
-    new: Mapping[str, Answers]
+    old: Mapping[str, RouteResults]
+    new: Mapping[str, RouteResults]
 
     @property
     def new_calls(self) -> int:
@@ -85,7 +85,7 @@
     if _is_worse(total_new, total_old):
         return f'all routes: {total_new} against {total_old}'
     for route, answers in evidence.new.items():
-        old = evidence.old.get(route, Answers())
+        old = evidence.old.get(route, RouteResults())
         if _is_worse(answers, old):
             return f'{route}: {answers} against {old}'
     return None
@@ -109,7 +109,7 @@
     :param duration: duration set by the operator, in seconds.
     """
     if find_fault(evidence) is not None:
-        return MoveEnd.TAKEN_BACK
+        return MoveEnd.ROLLED_BACK
     enough = evidence.new_calls >= MIN_CALLS
     if enough and seconds >= min(
         duration * MIN_COMPLETION_FRACTION, duration - END_MARGIN_SECONDS
@@ -117,18 +117,18 @@
         return MoveEnd.COMPLETED
     if seconds >= duration - END_MARGIN_SECONDS:
         # Too little evidence to give the new version all traffic.
-        return MoveEnd.TAKEN_BACK
+        return MoveEnd.ROLLED_BACK
     return None
 
 
-def _sum(routes: Mapping[str, Answers]) -> Answers:
-    total = Answers()
+def _sum(routes: Mapping[str, RouteResults]) -> RouteResults:
+    total = RouteResults()
     for answers in routes.values():
         total = total.add(answers)
     return total
 
 
-def _is_worse(new: Answers, old: Answers) -> bool:
+def _is_worse(new: RouteResults, old: RouteResults) -> bool:
     failing = _exceeds(new.failed, new.calls, old.failed, old.calls)
     return failing or _exceeds(new.slow, new.calls, old.slow, old.calls)
 
--- a/libs/rollout/tests/conftest.py
+++ b/libs/rollout/tests/conftest.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from fireflyhitch_fleet.duties import DutyKeeper
+from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_model.states import MachineClass, Priority
-from fireflyhitch_rollout.evidence import EvidenceBook
-from fireflyhitch_rollout.moves import MoveKeeper
+from fireflyhitch_rollout.evidence import EvidenceCollector
+from fireflyhitch_rollout.moves import MoveManager
 from fireflyhitch_rollout.shares import VersionPicker
 from fireflyhitch_rollout.supplies import Supply
 from fireflyhitch_settings.schema import (
@@ -63,12 +63,12 @@
     def __init__(self, number, cluster):
         local_daemon = Daemon(f'd{number}', DOMAINS[number % len(DOMAINS)], '', '')
         self.messenger = cluster.network.join(local_daemon)
-        self.duties = DutyKeeper(
+        self.duties = DutyManager(
             cluster.store, cluster.clock, local_daemon.daemon_id, self.messenger.live
         )
-        self.collector = EvidenceBook(local_daemon, self.messenger, cluster.clock)
+        self.collector = EvidenceCollector(local_daemon, self.messenger, cluster.clock)
         self.picker = VersionPicker()
-        self.manager = MoveKeeper(
+        self.manager = MoveManager(
             local_daemon,
             cluster.store,
             self.messenger,
@@ -124,7 +124,7 @@
         servers = [make_server(number, 'v1') for number in range(old)]
         servers += [make_server(number, 'v2') for number in range(new)]
         for node in self.nodes:
-            node.manager.observe({NAME: Supply(tuple(servers), needed)})
+            node.manager.update_supplies({NAME: Supply(tuple(servers), needed)})
 
     def step(self, seconds=1.0, calls=6, nodes=None):
         self.clock.advance(timedelta(seconds=seconds))
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -9,7 +9,7 @@
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_model.states import MachineClass, Priority
-from fireflyhitch_rollout.evidence import EvidenceBook, Trial
+from fireflyhitch_rollout.evidence import EvidenceCollector, Trial
 from fireflyhitch_standins.peers import MemoryPeerNetwork
 
 NAME = 'answers'
@@ -42,7 +42,9 @@
         for number in range(12):
             local_daemon = Daemon(f'd{number}', f'domain-{number % 3}', '', '')
             messenger = self.network.join(local_daemon)
-            self.collectors.append(EvidenceBook(local_daemon, messenger, self.clock))
+            self.collectors.append(
+                EvidenceCollector(local_daemon, messenger, self.clock)
+            )
         for collector in self.collectors:
             collector.set_trials({NAME: Trial('v1', 'v2')})
 
@@ -53,7 +55,7 @@
                 collector.step()
 
     def counts(self):
-        return [collector.find_judge(NAME).count_new() for collector in self.collectors]
+        return [collector.find_test(NAME).count_new() for collector in self.collectors]
 
 
 @pytest.fixture
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -5,17 +5,17 @@
 import pytest
 
 from fireflyhitch_model.errors import InvariantError
-from fireflyhitch_rollout.moves import find_duty
-from fireflyhitch_rollout.records import MoveState, Reason, merge_records
+from fireflyhitch_rollout.moves import make_duty_id
+from fireflyhitch_rollout.records import MoveEndReason, MoveState, merge_records
 from fireflyhitch_settings.schema import VersionMove
 from fireflyhitch_standins.faults import Fault
 
 DONE = {'done'}
-UNDONE = {'undone'}
+ROLLED_BACK = {'undone'}
 
 
 def find_holder(cluster):
-    duty = find_duty('answers')
+    duty = make_duty_id('answers')
     return next(node for node in cluster.nodes if node.duties.holds(duty) is not None)
 
 
@@ -47,9 +47,9 @@
         cluster.fault_rate = 0.5
         cluster.move()
         cluster.run(300)
-        assert cluster.states() == UNDONE
+        assert cluster.states() == ROLLED_BACK
         report = cluster.nodes[0].report
-        assert report.reason is Reason.FAULT
+        assert report.reason is MoveEndReason.FAULT
         assert 'failing on' in report.evidence[0]
         assert '"undone"' in read_stored(cluster)
 
@@ -64,12 +64,12 @@
         cluster.supply(5, 0)
         cluster.move(minutes=10)
         cluster.run(11 * 60, step=4)
-        assert cluster.nodes[0].report.reason is Reason.NEVER_READY
+        assert cluster.nodes[0].report.reason is MoveEndReason.NEVER_READY
 
     def test_move_without_traffic_is_undone_as_unproven(self, cluster):
         cluster.move(minutes=10)
         cluster.run(11 * 60, step=4, calls=0)
-        assert cluster.nodes[0].report.reason is Reason.UNPROVEN
+        assert cluster.nodes[0].report.reason is MoveEndReason.UNPROVEN
 
     def test_withdrawn_version_stays_withdrawn_when_named_again(self, cluster):
         """The operator names the withdrawn version again, with a new deadline.
@@ -82,7 +82,7 @@
         cluster.fault_rate = 0
         cluster.move(minutes=90)
         cluster.run(60)
-        assert cluster.nodes[0].report.reason is Reason.FAULTY_BEFORE
+        assert cluster.nodes[0].report.reason is MoveEndReason.FAULTY_BEFORE
         assert {cluster.serve(node) for node in cluster.nodes} == {'v1'}
 
 
@@ -99,7 +99,7 @@
         moving.configure(move=None)
         assert [node.share for node in moving.nodes] == [0, 0, 0]
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.CANCELLED
+        assert moving.nodes[0].report.reason is MoveEndReason.CANCELLED
 
     def test_other_version_replaces_the_move(self, moving):
         moving.move('v3', minutes=60)
@@ -111,14 +111,14 @@
     def test_new_version_made_current_is_done(self, moving):
         moving.configure(version='v2')
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.CONFIRMED
+        assert moving.nodes[0].report.reason is MoveEndReason.CONFIRMED
         assert moving.serve(moving.nodes[0]) == 'v2'
 
     def test_move_is_undone_if_the_new_deadline_leaves_no_rollback(self, moving):
         moving.move(minutes=0.1)
         assert [node.share for node in moving.nodes] == [0, 0, 0]
         moving.run(10)
-        assert moving.nodes[0].report.reason is Reason.BROUGHT_FORWARD
+        assert moving.nodes[0].report.reason is MoveEndReason.BROUGHT_FORWARD
 
     def test_earlier_deadline_within_reach_is_met(self, moving):
         moving.move(minutes=30)
@@ -136,7 +136,7 @@
         updated = [node for node in moving.nodes if node is not outdated]
         moving.configure(nodes=updated, move=None)
         moving.run(10)
-        assert outdated.report.reason is Reason.CANCELLED
+        assert outdated.report.reason is MoveEndReason.CANCELLED
 
     def test_holder_with_an_older_configuration_raises_no_other_share(self, moving):
         """Only the holder has not received the removal of the move.
@@ -151,7 +151,7 @@
         assert [node.share for node in updated] == [0, 0]
         moving.configure(move=None)
         moving.run(10)
-        assert moving.states() == UNDONE
+        assert moving.states() == ROLLED_BACK
 
     def test_old_version_can_be_restored_after_done(self, cluster):
         cluster.move(minutes=20)
@@ -182,7 +182,7 @@
         assert isolated.share <= last_share
         cluster.fault_rate = 1
         cluster.run(1500)
-        assert cluster.states() == UNDONE
+        assert cluster.states() == ROLLED_BACK
         cluster.network.cut.clear()
         cluster.run(30)
         assert [node.share for node in cluster.nodes] == [0, 0, 0]
@@ -201,7 +201,7 @@
         cluster.run(20 * 60, step=4)
         cluster.network.cut.clear()
         cluster.run(40)
-        assert cluster.states() == UNDONE
+        assert cluster.states() == ROLLED_BACK
         assert '"undone"' in read_stored(cluster)
 
     def test_store_outage_freezes_shares_and_keeps_the_deadline(self, cluster):
@@ -217,7 +217,9 @@
         cluster.run(15 * 60, step=4)
         assert max(node.share for node in cluster.nodes) <= last_share
         cluster.run(4 * 60 + 54)
-        assert {node.report.reason for node in cluster.nodes} == {Reason.UNCONFIRMED}
+        assert {node.report.reason for node in cluster.nodes} == {
+            MoveEndReason.UNCONFIRMED
+        }
         assert [node.share for node in cluster.nodes] == [0, 0, 0]
         cluster.store.faults.lift()
         cluster.run(60)
@@ -275,13 +277,13 @@
         cluster.run(120)
         cluster.network.cut.clear()
         cluster.run(400)
-        assert cluster.states() == UNDONE
+        assert cluster.states() == ROLLED_BACK
 
     def test_repeated_batch_counts_once(self, cluster):
         cluster.move()
         cluster.run(600)
         counts = [
-            node.collector.find_judge('answers').count_new() for node in cluster.nodes
+            node.collector.find_test('answers').count_new() for node in cluster.nodes
         ]
         assert max(counts) - min(counts) <= 6
 
@@ -345,7 +347,7 @@
         done = record.model_copy(update={'state': MoveState.DONE})
         withdrawn = record.model_copy(update={'withdrawn': ('v2',)})
         assert merge_records(done, withdrawn) == merge_records(withdrawn, done)
-        assert merge_records(done, withdrawn).state is MoveState.UNDONE
+        assert merge_records(done, withdrawn).state is MoveState.ROLLED_BACK
 
     def test_later_move_supersedes_an_undone_one(self, cluster):
         cluster.move(minutes=1)
