--- a/libs/rollout/fireflyhitch_rollout/baselines.py
+++ b/libs/rollout/fireflyhitch_rollout/baselines.py
@@ -45,7 +45,7 @@
     """The failure rate of the old version."""
 
     def __init__(self) -> None:
-        """Make an empty memory."""
+        """Create an empty baseline."""
         self._long_term = _DecayingRate(LONG_WINDOW_CALLS)
 
     def add(self, calls: int, failures: int) -> None:
@@ -112,7 +112,7 @@
     """The latencies of the old version."""
 
     def __init__(self) -> None:
-        """Make an empty memory."""
+        """Create an empty baseline."""
         self._long_term = _DecayingHistogram(LONG_WINDOW_CALLS)
 
     def add(self, latencies: Mapping[int, int]) -> None:
--- a/libs/rollout/fireflyhitch_rollout/configuration_changes.py
+++ b/libs/rollout/fireflyhitch_rollout/configuration_changes.py
@@ -2,13 +2,13 @@
 
 A change during a move that conflicts with it has one of these results:
 
-- the move is removed: undone, cancelled;
-- another target or current version is named: undone, replaced, and the move to
-  the new target starts;
+- the move is removed: rolled back, cancelled;
+- another target or current version is named: rolled back, replaced, and the move
+  to the new target starts;
 - the new version is made the current one: done, confirmed by the operator;
 - the deadline is postponed: the move continues; it is brought forward: the move
-  continues in the remaining time, or is undone if a rollback no longer fits;
-- a version that was withdrawn for a fault is named again: undone immediately.
+  continues in the remaining time, or is rolled back if a rollback would not fit;
+- a version that was withdrawn for a fault is named again: rolled back immediately.
 """
 
 from datetime import datetime, timedelta
--- a/libs/rollout/fireflyhitch_rollout/evidence.py
+++ b/libs/rollout/fireflyhitch_rollout/evidence.py
@@ -56,8 +56,8 @@
     """Collects one record per call; ``step`` sends and evaluates them.
 
     Each daemon sends its counts to the aggregators of its failure domain, and the
-    first aggregator sends the domain's total to those of other domains. A daemon's
-    traffic so does not grow with the number of daemons in other domains.
+    first aggregator sends the domain's total to those of other domains. Therefore a
+    daemon's traffic does not grow with the number of daemons in other domains.
     """
 
     def __init__(
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -105,7 +105,7 @@
         messenger.handle(WithdrawalMessage, self._receive_withdrawal)
 
     def configure(self, configuration: Configuration, revision: int) -> None:
-        """Apply a configuration unless its revision is not newer."""
+        """Apply a configuration if its revision is newer."""
         with self._lock:
             if revision <= self._revision:
                 return
--- a/libs/rollout/fireflyhitch_rollout/records.py
+++ b/libs/rollout/fireflyhitch_rollout/records.py
@@ -12,10 +12,7 @@
 
 
 class MoveState(Enum):
-    """The phase of a move; it only advances, and ``ROLLED_BACK`` is final.
-
-    ``ROLLED_BACK`` means that the move was rolled back or cancelled.
-    """
+    """The phase of a move; it only advances, and ``ROLLED_BACK`` is final."""
 
     STARTING = 'starting'
     TRIAL = 'trial'
@@ -140,13 +137,13 @@
     The move that started later wins. Within one move ``ROLLED_BACK`` wins, then the
     more advanced record. Versions withdrawn in either stay withdrawn.
     """
-    ahead = max(one, other, key=_rank)
+    latest = max(one, other, key=_rank)
     withdrawn = tuple(sorted({*one.withdrawn, *other.withdrawn}))
-    ahead = ahead.model_copy(update={'withdrawn': withdrawn})
-    if ahead.to_version in withdrawn and ahead.state is not MoveState.ROLLED_BACK:
-        undone = {'state': MoveState.ROLLED_BACK, 'reason': MoveEndReason.FAULT}
-        return ahead.model_copy(update=undone)
-    return ahead
+    latest = latest.model_copy(update={'withdrawn': withdrawn})
+    if latest.to_version in withdrawn and latest.state is not MoveState.ROLLED_BACK:
+        changes = {'state': MoveState.ROLLED_BACK, 'reason': MoveEndReason.FAULT}
+        return latest.model_copy(update=changes)
+    return latest
 
 
 def _rank(record: MoveRecord) -> tuple[float | int | str, ...]:
--- a/libs/rollout/fireflyhitch_rollout/schedule.py
+++ b/libs/rollout/fireflyhitch_rollout/schedule.py
@@ -88,7 +88,7 @@
 ) -> MoveRecord:
     """Return the record after the transition that is due, or the same record.
 
-    A move that is not done at its rollback deadline is undone regardless of the
+    A move that is not done at its rollback deadline is rolled back regardless of the
     evidence: later, a rollback could no longer finish by the move's deadline.
     """
     if record.has_ended:
--- a/libs/rollout/fireflyhitch_rollout/shares.py
+++ b/libs/rollout/fireflyhitch_rollout/shares.py
@@ -103,7 +103,7 @@
 def choose_servers(
     servers: tuple[BackendServer, ...], old_count: int, share: float
 ) -> tuple[BackendServerId, ...]:
-    """Choose as many servers as the share loads to the usual level.
+    """Choose as many servers as the share can load at the usual level.
 
     Spread over all servers, a small share would not load any of them, and a
     version that fails only under load would pass.
--- a/libs/rollout/fireflyhitch_rollout/wall_clock.py
+++ b/libs/rollout/fireflyhitch_rollout/wall_clock.py
@@ -23,15 +23,17 @@
     def now(self) -> datetime:
         """Return the wall clock time, in UTC."""
         elapsed = self._clock.monotonic()
-        carried_on = self._base_wall + timedelta(seconds=elapsed - self._base_monotonic)
+        extrapolated = self._base_wall + timedelta(
+            seconds=elapsed - self._base_monotonic
+        )
         wall = self._clock.now()
-        if abs(wall - carried_on) <= MAX_DRIFT:
+        if abs(wall - extrapolated) <= MAX_DRIFT:
             return self._adopt(wall, elapsed)
         if self._jump_seen is None:
             self._jump_seen = elapsed
         if elapsed - self._jump_seen >= ACCEPT_JUMP_SECONDS:
             return self._adopt(wall, elapsed)
-        return carried_on
+        return extrapolated
 
     def _adopt(self, wall: datetime, elapsed: float) -> datetime:
         self._base_wall = wall
--- a/libs/rollout/tests/test_machine.py
+++ b/libs/rollout/tests/test_machine.py
@@ -18,7 +18,7 @@
 from fireflyhitch_rollout.schedule import MovePolicy, find_share
 from fireflyhitch_standins.faults import Fault
 
-SHORT_PACE = replace(
+SHORT_POLICY = replace(
     MovePolicy(),
     burst_period=timedelta(seconds=40),
     burst_fraction=0.1,
@@ -53,7 +53,7 @@
         self.best = None
         self.allowed = {}
         for node in self.cluster.nodes:
-            node.manager.policy = SHORT_PACE
+            node.manager.policy = SHORT_POLICY
 
     def teardown(self):
         logger.enable('fireflyhitch_rollout')
@@ -70,10 +70,10 @@
     def name_move(self, version, minutes):
         self.cluster.move(version, minutes)
 
-    @rule(ahead=st.integers(1, 2))
-    def cancel_at_some(self, ahead):
+    @rule(count=st.integers(1, 2))
+    def cancel_at_some(self, count):
         """Cancel the move at only some of the daemons."""
-        self.cluster.configure(nodes=self.cluster.nodes[:ahead], move=None)
+        self.cluster.configure(nodes=self.cluster.nodes[:count], move=None)
 
     @rule(rate=st.sampled_from((0, 0, 0.4, 1)))
     def set_fault_rate(self, rate):
@@ -130,7 +130,7 @@
         """
         record = self.read_record()
         if record is not None:
-            share = find_share(record, 5, SHORT_PACE)
+            share = find_share(record, 5, SHORT_POLICY)
             previous = self.allowed.get(record.to_version, 0)
             self.allowed[record.to_version] = max(previous, share)
 
@@ -152,7 +152,7 @@
         MoveMachine.make_cluster = cluster_type
         run_state_machine_as_test(MoveMachine, settings=BOUNDED)
 
-    def test_move_ends_done_or_undone(self, cluster_type):
+    def test_move_ends_done_or_rolled_back(self, cluster_type):
         cluster = cluster_type()
         cluster.move(minutes=2)
         cluster.run(180)
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -22,10 +22,10 @@
 def cut_off(cluster, node):
     for other in cluster.nodes:
         if other is not node:
-            cluster.network.separate(node.messenger.daemon.daemon_id, name_of(other))
+            cluster.network.separate(node.messenger.daemon.daemon_id, get_id(other))
 
 
-def name_of(node):
+def get_id(node):
     return node.messenger.daemon.daemon_id
 
 
@@ -43,7 +43,7 @@
         assert cluster.states() == DONE
         assert {cluster.serve(node) for node in cluster.nodes} == {'v2'}
 
-    def test_bad_version_is_undone_everywhere_with_evidence(self, cluster):
+    def test_bad_version_is_rolled_back_everywhere_with_evidence(self, cluster):
         cluster.fault_rate = 0.5
         cluster.move()
         cluster.run(300)
@@ -60,13 +60,13 @@
         assert 0 < shares.share < 0.01
         assert len(shares.servers) == 1
 
-    def test_move_without_new_servers_is_undone(self, cluster):
+    def test_move_without_new_servers_is_rolled_back(self, cluster):
         cluster.supply(5, 0)
         cluster.move(minutes=10)
         cluster.run(11 * 60, step=4)
         assert cluster.nodes[0].report.reason is MoveEndReason.NEVER_READY
 
-    def test_move_without_traffic_is_undone_as_unproven(self, cluster):
+    def test_move_without_traffic_is_rolled_back_as_unproven(self, cluster):
         cluster.move(minutes=10)
         cluster.run(11 * 60, step=4, calls=0)
         assert cluster.nodes[0].report.reason is MoveEndReason.UNPROVEN
@@ -74,7 +74,7 @@
     def test_withdrawn_version_stays_withdrawn_when_named_again(self, cluster):
         """The operator names the withdrawn version again, with a new deadline.
 
-        It gets no calls, and the second move is undone at once with the reason.
+        It gets no calls, and the second move is rolled back at once with the reason.
         """
         cluster.fault_rate = 1
         cluster.move()
@@ -114,7 +114,7 @@
         assert moving.nodes[0].report.reason is MoveEndReason.CONFIRMED
         assert moving.serve(moving.nodes[0]) == 'v2'
 
-    def test_move_is_undone_if_the_new_deadline_leaves_no_rollback(self, moving):
+    def test_new_deadline_too_early_for_a_rollback_ends_the_move(self, moving):
         moving.move(minutes=0.1)
         assert [node.share for node in moving.nodes] == [0, 0, 0]
         moving.run(10)
@@ -349,7 +349,7 @@
         assert merge_records(done, withdrawn) == merge_records(withdrawn, done)
         assert merge_records(done, withdrawn).state is MoveState.ROLLED_BACK
 
-    def test_later_move_supersedes_an_undone_one(self, cluster):
+    def test_later_move_supersedes_a_rolled_back_one(self, cluster):
         cluster.move(minutes=1)
         cluster.run(120)
         move = VersionMove(
