--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -139,10 +139,10 @@
             max_on_demand=capacity.max_on_demand,
         )
         markets = self._market_tracker.list_markets(deployment, running)
-        order = PlanRequest(
+        request = PlanRequest(
             version.version, wanted, running, version.scale_in_protected
         )
-        return plan_version(order, markets, bounds, start_seconds / SECONDS_PER_HOUR)
+        return plan_version(request, markets, bounds, start_seconds / SECONDS_PER_HOUR)
 
     def _start(self, need: DeploymentNeed, plan: Plan) -> None:
         name = need.deployment.name
