--- a/libs/fleet/fireflyhitch_fleet/needs.py
+++ b/libs/fleet/fireflyhitch_fleet/needs.py
@@ -14,9 +14,10 @@
 class VersionNeed:
     """The capacity that the fleet must keep ready for one version.
 
-    :param traffic_fraction: fraction of the deployment's traffic that it must be able to carry.
-    :param scale_in_protected: whether none of its servers may be stopped, since a rollback needs
-        them.
+    :param traffic_fraction: fraction of the deployment's traffic that it must be
+        able to carry.
+    :param scale_in_protected: whether none of its servers may be stopped, since a
+        rollback needs them.
     """
 
     version: VersionId
