--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -61,8 +61,8 @@
 class Bounds:
     """The operator's bounds.
 
-    :param survive_domain_loss: fraction of the load that must still be served after the loss
-        of any one failure domain.
+    :param survive_domain_loss: fraction of the load that must still be served after
+        the loss of any one failure domain.
     """
 
     survive_domain_loss: float
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -1,9 +1,9 @@
 """Spread of reclaimable and on-demand servers over failure domains.
 
 Reclaimable servers cost a fraction of on-demand ones, but those of a failure domain are
-reclaimed together at a few seconds' notice, and for a while none may be available in any
-domain. Therefore enough of them run that those left after the loss of some domains carry
-the load; only a remaining shortage is covered on demand.
+reclaimed together at a few seconds' notice, and for a while none may be available
+anywhere. So many of them run that those left after the loss of some domains carry the
+load; only a remaining shortage is covered on demand.
 """
 
 import math
--- a/libs/fleet/tests/test_capacity.py
+++ b/libs/fleet/tests/test_capacity.py
@@ -140,7 +140,7 @@
     def test_reclaimed_instances_are_replaced_in_other_domains(
         self, manager, cloud, clock
     ):
-        """All instances of Gent get reclaim notices, and the cloud refuses starts there.
+        """All instances of Gent get reclaim notices; the cloud refuses starts there.
 
         Instances with a notice count as lost at once: replacements are started in
         the other failure domains while they still run.
--- a/libs/fleet/tests/test_spread.py
+++ b/libs/fleet/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Tests of the spread of servers over failure domains, with a simulated reclaim wave."""
+"""Tests of the spread of servers over failure domains, with a reclaim wave."""
 
 from fireflyhitch_fleet.spread import (
     DomainServers,
