--- a/libs/fleet/fireflyhitch_fleet/planner.py
+++ b/libs/fleet/fireflyhitch_fleet/planner.py
@@ -1,4 +1,4 @@
-"""Chooses the cheapest instances that carry the load and survive a loss."""
+"""Plans the cheapest instances that carry the load and tolerate a domain loss."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -6,21 +6,21 @@
 from functools import cache
 from typing import NamedTuple
 
-from fireflyhitch_fleet.flows import FlowNetwork
+from fireflyhitch_fleet.min_cost_flow import FlowNetwork
 from fireflyhitch_model.ids import FailureDomainId, VersionId
 from fireflyhitch_model.states import MachineClass
 
 SOURCE = 'source'
 SINK = 'sink'
-# A placement whose instances are away more than this is not worth its price.
-LEAST_AVAILABILITY = 0.1
-# Instances stay unless stopping them saves this part of the cost: each stop
-# and start anew loads weights and empties a prefix cache.
-LEAST_SAVING = 0.05
+# Placements whose instances are available less often than this are not used.
+MIN_AVAILABILITY = 0.1
+# Running instances are kept unless a change saves this fraction of the cost: a
+# replacement has to load weights and starts with an empty prefix cache.
+MIN_SAVING = 0.05
 
 
 class Placement(NamedTuple):
-    """Where an instance runs and how it is paid for."""
+    """The failure domain and the pricing class of an instance."""
 
     failure_domain: FailureDomainId
     machine_class: MachineClass
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Market:
-    """What the cloud gives in one placement.
+    """Price and availability of instances in one placement.
 
-    :param price: currency units an hour.
-    :param supply: how many instances it can have at most; what runs already
-        after a refused start.
-    :param reclaims: reclaims an instance and hour, as measured.
+    :param price: currency units per instance and hour.
+    :param supply: maximum number of instances; after a refused start, the number
+        of running ones.
+    :param reclaims: reclaims per instance and hour.
     """
 
     price: float
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRequest:
-    """What one version has to carry.
+    """Required capacity and running instances of one version.
 
-    :param servers: servers that carry the load at the latency target at the
-        time at which an instance ordered now is ready.
-    :param running: instances there are, by placement.
-    :param scale_in_protected: never stop one, since a move's way back rests on them.
+    :param servers: number of servers that will carry the load within the latency
+        target once an instance ordered now is ready.
+    :param running: number of existing instances, by placement.
+    :param scale_in_protected: never stop an instance, since a rollback needs them.
     """
 
     version: VersionId
@@ -61,8 +61,8 @@
 class Bounds:
     """The operator's bounds.
 
-    :param survive_domain_loss: part of the load that the loss of any one failure domain
-        leaves served.
+    :param survive_domain_loss: fraction of the load that must still be served after
+        the loss of any one failure domain.
     """
 
     survive_domain_loss: float
@@ -75,10 +75,10 @@
 class Plan:
     """Instances to run, start and stop.
 
-    :param cost: currency units an hour when all runs.
-    :param short: how many servers could not be placed.
-    :param survives: whether the loss of any one failure domain leaves the part
-        of the load that the operator set.
+    :param cost: currency units per hour when all instances run.
+    :param short: number of servers that could not be placed.
+    :param survives: whether the operator's fraction of the load is still served
+        after the loss of any one failure domain.
     """
 
     version: VersionId
@@ -91,145 +91,147 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Mix:
+class _Allocation:
     counts: Mapping[Placement, int] = field(default_factory=dict)
     cost: float = math.inf
 
 
 def plan_version(
-    need: PlanRequest,
+    request: PlanRequest,
     markets: Mapping[Placement, Market],
     bounds: Bounds,
     start_hours: float,
 ) -> Plan:
-    """Plan one version's instances.
+    """Plan the instances of one version.
 
-    :param start_hours: from order to ready, with the wait for weights; an
-        instance that is reclaimed is missing for so long.
+    :param start_hours: hours from an order until the instance is ready, including
+        the wait for weights; a reclaimed instance is missing for that long.
     """
-    wanted = min(max(need.servers, bounds.min_servers), bounds.max_servers)
-    left = math.ceil(bounds.survive_domain_loss * wanted)
+    wanted = min(max(request.servers, bounds.min_servers), bounds.max_servers)
+    min_remaining = math.ceil(bounds.survive_domain_loss * wanted)
     costs = {
-        placement: _weigh_price(market, start_hours)
+        placement: _find_effective_price(market, start_hours)
         for placement, market in markets.items()
     }
-    mix = _find_cheapest(wanted, left, markets, costs, bounds)
-    survives = math.isfinite(mix.cost)
+    allocation = _find_cheapest(wanted, min_remaining, markets, costs, bounds)
+    survives = math.isfinite(allocation.cost)
     if not survives:
-        # What there is falls short of the aim: spread it as evenly as it goes.
-        mix = _spread_best(wanted, markets, costs, bounds)
-    if survives and _is_good_enough(need, mix, wanted, left, costs):
-        mix = _Mix(dict(need.running), _add_costs(need.running, costs))
-    return _compare(need, mix, markets, wanted, survives)
+        # The supply is insufficient: spread the instances as evenly as possible.
+        allocation = _allocate_evenly(wanted, markets, costs, bounds)
+    if survives and _is_good_enough(request, allocation, wanted, min_remaining, costs):
+        allocation = _Allocation(
+            dict(request.running), _add_costs(request.running, costs)
+        )
+    return _make_plan(request, allocation, markets, wanted, survives)
 
 
 def _find_cheapest(
     wanted: int,
-    left: int,
+    min_remaining: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
-    """Find the total at which the cheapest mix costs least.
+) -> _Allocation:
+    """Return the cheapest allocation over all totals.
 
-    With a total of ``t`` no failure domain may hold more than ``t - left``. A
-    greater total costs more instances but lets more of them be in the cheap
-    domains; the cost is convex in the total, so that the first total after
-    which it grows is the best.
+    With a total of ``t`` no failure domain may hold more than
+    ``t - min_remaining`` instances. A greater total needs more instances but allows
+    more of them in cheap domains. The cost is convex in the total, so the first
+    total after which it grows is the best.
     """
 
     @cache
-    def mix(total: int) -> _Mix:
-        return _mix_total(total, total - left, markets, costs, bounds)
+    def allocate(total: int) -> _Allocation:
+        return _allocate(total, total - min_remaining, markets, costs, bounds)
 
-    low = max(wanted, left + 1)
+    low = max(wanted, min_remaining + 1)
     low = _find_first(
-        low, bounds.max_servers, lambda total: math.isfinite(mix(total).cost)
+        low, bounds.max_servers, lambda total: math.isfinite(allocate(total).cost)
     )
     if low > bounds.max_servers:
-        return _Mix()
+        return _Allocation()
     best = _find_first(
         low,
         bounds.max_servers - 1,
-        lambda total: mix(total + 1).cost >= mix(total).cost,
+        lambda total: allocate(total + 1).cost >= allocate(total).cost,
     )
-    return mix(min(best, bounds.max_servers))
+    return allocate(min(best, bounds.max_servers))
 
 
 def _find_first(low: int, high: int, holds: Callable[[int], bool]) -> int:
-    """Return the first number from which on something holds, or one too many."""
+    """Return the first number for which ``holds`` is true, else ``high + 1``."""
     for number in range(low, high + 1):
         if holds(number):
             return number
     return high + 1
 
 
-def _mix_total(
+def _allocate(
     total: int,
-    most_in_domain: int,
+    max_per_domain: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
+) -> _Allocation:
     network = FlowNetwork()
     on_demand = min(bounds.max_on_demand, total)
-    network.connect(SOURCE, MachineClass.RECLAIMABLE, total)
-    network.connect(SOURCE, MachineClass.ON_DEMAND, on_demand)
+    network.add_edge(SOURCE, MachineClass.RECLAIMABLE, total)
+    network.add_edge(SOURCE, MachineClass.ON_DEMAND, on_demand)
     domains = {placement.failure_domain for placement in markets}
     for offered, market in markets.items():
         supply = market.supply if math.isfinite(costs[offered]) else 0
-        network.connect(offered.machine_class, offered, supply)
-        network.connect(offered, offered.failure_domain, supply, costs[offered])
+        network.add_edge(offered.machine_class, offered, supply)
+        network.add_edge(offered, offered.failure_domain, supply, costs[offered])
     for domain in sorted(domains):
-        network.connect(domain, SINK, most_in_domain)
-    if network.push(SOURCE, SINK, total) < total:
-        return _Mix()
+        network.add_edge(domain, SINK, max_per_domain)
+    if network.send(SOURCE, SINK, total) < total:
+        return _Allocation()
     counts = {
-        placement: network.read(placement.machine_class, placement)
+        placement: network.get_flow(placement.machine_class, placement)
         for placement in markets
     }
     counts = {placement: count for placement, count in counts.items() if count}
-    return _Mix(counts, _add_costs(counts, costs))
+    return _Allocation(counts, _add_costs(counts, costs))
 
 
-def _spread_best(
+def _allocate_evenly(
     wanted: int,
     markets: Mapping[Placement, Market],
     costs: Mapping[Placement, float],
     bounds: Bounds,
-) -> _Mix:
+) -> _Allocation:
     for total in range(wanted, 0, -1):
-        for most_in_domain in range(1, total + 1):
-            mix = _mix_total(total, most_in_domain, markets, costs, bounds)
-            if math.isfinite(mix.cost):
-                return mix
-    return _Mix({}, 0)
+        for max_per_domain in range(1, total + 1):
+            allocation = _allocate(total, max_per_domain, markets, costs, bounds)
+            if math.isfinite(allocation.cost):
+                return allocation
+    return _Allocation({}, 0)
 
 
-def _weigh_price(market: Market, start_hours: float) -> float:
-    """Return the price of an hour in which the instance is really there."""
+def _find_effective_price(market: Market, start_hours: float) -> float:
+    """Return the price of an hour of actual availability."""
     availability = 1 - market.reclaims * start_hours
-    if availability < LEAST_AVAILABILITY:
+    if availability < MIN_AVAILABILITY:
         return math.inf
     return market.price / availability
 
 
 def _is_good_enough(
-    need: PlanRequest,
-    mix: _Mix,
+    request: PlanRequest,
+    allocation: _Allocation,
     wanted: int,
-    left: int,
+    min_remaining: int,
     costs: Mapping[Placement, float],
 ) -> bool:
-    total = sum(need.running.values())
+    total = sum(request.running.values())
     domains: dict[FailureDomainId, int] = {}
-    for place, count in need.running.items():
-        before = domains.get(place.failure_domain, 0)
-        domains[place.failure_domain] = before + count
-    if total < wanted or total - max(domains.values(), default=0) < left:
+    for placement, count in request.running.items():
+        before = domains.get(placement.failure_domain, 0)
+        domains[placement.failure_domain] = before + count
+    if total < wanted or total - max(domains.values(), default=0) < min_remaining:
         return False
-    cost = _add_costs(need.running, costs)
-    return cost <= mix.cost * (1 + LEAST_SAVING)
+    cost = _add_costs(request.running, costs)
+    return cost <= allocation.cost * (1 + MIN_SAVING)
 
 
 def _add_costs(
@@ -240,29 +242,27 @@
     )
 
 
-def _compare(
-    need: PlanRequest,
-    mix: _Mix,
+def _make_plan(
+    request: PlanRequest,
+    allocation: _Allocation,
     markets: Mapping[Placement, Market],
     wanted: int,
     survives: bool,
 ) -> Plan:
     starts: dict[Placement, int] = {}
     stops: dict[Placement, int] = {}
-    target = dict(mix.counts)
-    for place in target.keys() | need.running.keys():
-        running = need.running.get(place, 0)
-        if need.scale_in_protected:
-            target[place] = max(target.get(place, 0), running)
-        change = target.get(place, 0) - running
+    target = dict(allocation.counts)
+    for placement in target.keys() | request.running.keys():
+        running = request.running.get(placement, 0)
+        if request.scale_in_protected:
+            target[placement] = max(target.get(placement, 0), running)
+        change = target.get(placement, 0) - running
         if change > 0:
-            starts[place] = change
+            starts[placement] = change
         if change < 0:
-            stops[place] = -change
+            stops[placement] = -change
     cost = sum(
-        count * markets[placement].price
-        for placement, count in target.items()
-        if placement in markets
+        count * markets[used].price for used, count in target.items() if used in markets
     )
     short = max(wanted - sum(target.values()), 0)
-    return Plan(need.version, target, starts, stops, cost, short, survives)
+    return Plan(request.version, target, starts, stops, cost, short, survives)
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -1,9 +1,9 @@
-"""How many servers of which kind each failure domain is to have.
+"""Spread of reclaimable and on-demand servers over failure domains.
 
-Reclaimable servers cost a small part of the others, but all of a failure domain go at
-once, after seconds of notice, and there may be none to be had for a while anywhere.
-So there are enough of them that what is left after the loss of some domains carries
-the load; only what that cannot give is bought on demand.
+Reclaimable servers cost a fraction of on-demand ones, but those of a failure domain are
+reclaimed together at a few seconds' notice, and for a while none may be available
+anywhere. So many of them run that those left after the loss of some domains carry the
+load; only a remaining shortage is covered on demand.
 """
 
 import math
@@ -12,26 +12,26 @@
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
 
-# Part of a domain's number that is kept for reclaimable servers while they are away:
-# with a quarter, all are back after four starts of some seconds.
-RETURNING_PART = 0.25
+# Fraction of a domain's maximum kept free for reclaimable servers while they are gone:
+# with a quarter, all are back after four rounds of starts of a few seconds.
+RETURNING_FRACTION = 0.25
 
 
 @immutable
 class SpreadBounds:
-    """What the operators allow, for each failure domain.
+    """The operators' bounds for each failure domain.
 
-    :param least: servers of both kinds together.
-    :param most: servers of both kinds together.
+    :param min_servers: minimum number of servers of both kinds together.
+    :param max_servers: maximum number of servers of both kinds together.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
 
 
 @immutable
 class DomainServers:
-    """Servers of one failure domain that take work, or soon will."""
+    """Servers of one failure domain that accept requests or are starting."""
 
     reclaimable: int
     on_demand: int
@@ -39,10 +39,11 @@
 
 @immutable
 class SpreadNeed:
-    """What has to be carried.
+    """The capacity that is required.
 
-    :param servers: that carry the present load within its targets.
-    :param domains_lost: whose reclaimable servers may be away at once.
+    :param servers: number of servers that carry the present load within its targets.
+    :param domains_lost: number of domains that may lose their reclaimable servers at
+        the same time.
     """
 
     servers: int
@@ -55,78 +56,89 @@
     prices: Mapping[FailureDomainId, float],
     present: Mapping[FailureDomainId, DomainServers],
 ) -> dict[FailureDomainId, DomainServers]:
-    """Return the servers that each failure domain is to have.
+    """Return the target number of servers for each failure domain.
 
-    A domain keeps what it has on demand until its reclaimable servers are there, and
-    a shortage of these is made up for on demand where that is cheapest.
+    On-demand servers are kept until the reclaimable ones have started. A shortage of
+    reclaimable servers is covered on demand in the cheapest domains.
     """
     domains = sorted(prices, key=lambda domain: (prices[domain], domain))
     staying = max(len(domains) - need.domains_lost, 1)
-    each = math.ceil(need.servers / staying)
-    each = min(max(each, bounds.least), bounds.most)
+    per_domain = math.ceil(need.servers / staying)
+    per_domain = min(max(per_domain, bounds.min_servers), bounds.max_servers)
     reclaimable = sum(present[domain].reclaimable for domain in domains)
-    short = max(need.servers - reclaimable, 0)
-    bought: dict[FailureDomainId, int] = {}
+    shortage = max(need.servers - reclaimable, 0)
+    on_demand_targets: dict[FailureDomainId, int] = {}
     for domain in domains:
-        bought[domain] = _buy_beside(each, short, bounds, present[domain])
-        short -= min(short, bought[domain])
-    for strained in domains:
-        more = _buy_in_room(bought[strained], short, bounds, present[strained])
-        bought[strained] += more
-        short -= more
-    kept = _find_kept(each, present)
+        on_demand_targets[domain] = _count_on_demand(
+            per_domain, shortage, bounds, present[domain]
+        )
+        shortage -= min(shortage, on_demand_targets[domain])
+    for domain in domains:
+        replacements = _count_replacements(
+            on_demand_targets[domain], shortage, bounds, present[domain]
+        )
+        on_demand_targets[domain] += replacements
+        shortage -= replacements
+    reclaimable_targets = _find_reclaimable_targets(per_domain, present)
     return {
-        where: DomainServers(min(kept[where], bounds.most - on_demand), on_demand)
-        for where, on_demand in bought.items()
+        name: DomainServers(
+            min(reclaimable_targets[name], bounds.max_servers - on_demand), on_demand
+        )
+        for name, on_demand in on_demand_targets.items()
     }
 
 
-def _find_kept(
-    each: int, present: Mapping[FailureDomainId, DomainServers]
+def _find_reclaimable_targets(
+    per_domain: int, present: Mapping[FailureDomainId, DomainServers]
 ) -> dict[FailureDomainId, int]:
-    """Return the reclaimable servers of each domain.
+    """Return the target number of reclaimable servers for each domain.
 
-    While one domain lacks some, no other gives any back: they may not be had again, and
-    the next domain may go. A leader that has just taken over knows little of the load,
-    and would give back what callers need a moment later.
+    While one domain lacks some, no other stops any: they might not be available again,
+    and the next domain may be lost. A new leader has little data on the load and would
+    stop servers that callers need a moment later.
     """
-    scarce = any(here.reclaimable < each for here in present.values())
+    scarce = any(current.reclaimable < per_domain for current in present.values())
     return {
-        domain: max(each, here.reclaimable) if scarce else each
-        for domain, here in present.items()
+        domain: max(per_domain, current.reclaimable) if scarce else per_domain
+        for domain, current in present.items()
     }
 
 
-def _buy_beside(
-    each: int, short: int, bounds: SpreadBounds, here: DomainServers
+def _count_on_demand(
+    per_domain: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
-    """Return a domain's servers on demand beside all of its reclaimable ones.
+    """Return a domain's on-demand servers in addition to all its reclaimable ones.
 
-    A domain without reclaimable servers gets its least on demand at once, whatever the
-    others have: the next domain may go before a server ordered then has started.
+    A domain without reclaimable servers immediately gets its minimum on demand, even if
+    the others have enough: the next domain may be lost before a server ordered then has
+    started.
     """
-    least = max(bounds.least - here.reclaimable, 0)
-    room = max(bounds.most - each, 0)
-    return min(max(least, min(short, room)), bounds.most)
+    min_servers = max(bounds.min_servers - current.reclaimable, 0)
+    free_places = max(bounds.max_servers - per_domain, 0)
+    return min(max(min_servers, min(shortage, free_places)), bounds.max_servers)
 
 
-def _buy_in_room(
-    bought: int, short: int, bounds: SpreadBounds, here: DomainServers
+def _count_replacements(
+    on_demand: int, shortage: int, bounds: SpreadBounds, current: DomainServers
 ) -> int:
-    """Return more servers on demand, in the room of reclaimable ones that are away.
+    """Return the on-demand servers that replace missing reclaimable ones.
 
-    That is with more domains away than was planned for. A part is left, in which they
-    come back. Keeping room for all of them would leave callers short of servers for as
-    long as these are away.
+    They are needed when more domains are lost than planned for. A fraction of the
+    maximum stays free for the reclaimable servers to return; keeping all of it free
+    would leave too few servers until they do.
     """
-    coming = max(here.reclaimable, math.ceil(bounds.most * RETURNING_PART))
-    return min(short, max(bounds.most - coming - bought, 0))
+    returning = max(
+        current.reclaimable, math.ceil(bounds.max_servers * RETURNING_FRACTION)
+    )
+    return min(shortage, max(bounds.max_servers - returning - on_demand, 0))
 
 
 def count_servers_after_loss(
     present: Mapping[FailureDomainId, DomainServers], domains_lost: int
 ) -> float:
-    """Return the servers that are left when some domains' reclaimable ones go."""
+    """Return the servers left if some domains lose their reclaimable ones."""
     staying = max(len(present) - domains_lost, 1) / max(len(present), 1)
-    on_demand = sum(here.on_demand for here in present.values())
-    return on_demand + staying * sum(here.reclaimable for here in present.values())
+    on_demand = sum(current.on_demand for current in present.values())
+    return on_demand + staying * sum(
+        current.reclaimable for current in present.values()
+    )
--- a/libs/rollout/fireflyhitch_rollout/tallies.py
+++ b/libs/rollout/fireflyhitch_rollout/call_counts.py
@@ -1,4 +1,4 @@
-"""Counts of calls by version, route, load and failure domain; they add up."""
+"""Additive counts of calls by version, route, load and failure domain."""
 
 import math
 from bisect import bisect_right
@@ -11,18 +11,17 @@
 from fireflyhitch_model.ids import DeploymentId, FailureDomainId, VersionId
 from fireflyhitch_model.peers import PeerMessage
 
-# Latencies are counted in buckets that grow by this factor, from a
-# millisecond; coarse enough that a batch is small, and well below the slowdowns
-# that matter.
+# Growth factor of latency buckets, from one millisecond up: coarse enough for
+# small batches, and well below the slowdowns that matter.
 BUCKET_GROWTH = 1.1
 _LOG_GROWTH = math.log(BUCKET_GROWTH)
-LEAST_SECONDS = 0.001
-# Latencies grow with load, so that only near loads are compared.
+MIN_SECONDS = 0.001
+# Latencies grow with load, so only calls at similar loads are compared.
 BAND_LIMITS = (0.25, 0.5, 0.75, 1.0, 1.3)
 
 
 class LoadBand(IntEnum):
-    """How loaded the server was when it was given the call."""
+    """Load of the server when the call was sent to it."""
 
     IDLE = 0
     LOW = 1
@@ -33,7 +32,7 @@
 
 
 class Signal(Enum):
-    """In what way a version can be worse."""
+    """A metric in which a version can be worse."""
 
     FAILURE = 'failing'
     FIRST_TOKEN = 'slow to the first token'
@@ -41,7 +40,7 @@
 
 
 class CellKey(NamedTuple):
-    """What calls have in common that are compared with each other."""
+    """The attributes by which calls are grouped for comparison."""
 
     deployment: DeploymentId
     version: VersionId
@@ -51,11 +50,11 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Calls of one cell.
+class CallCounts:
+    """Counts of the calls in one cell.
 
-    :param first_token: calls by bucket of the time to the first token.
-    :param between_tokens: calls by bucket of the mean time between tokens.
+    :param first_token: calls by latency bucket of the time to the first token.
+    :param between_tokens: calls by latency bucket of the mean time between tokens.
     """
 
     calls: int = 0
@@ -63,22 +62,22 @@
     first_token: dict[int, int] = field(default_factory=dict)
     between_tokens: dict[int, int] = field(default_factory=dict)
 
-    def find_latencies(self, signal: Signal) -> dict[int, int]:
-        """Return the latencies that a signal is about."""
+    def get_latencies(self, signal: Signal) -> dict[int, int]:
+        """Return the latency histogram for a signal."""
         if signal is Signal.FIRST_TOKEN:
             return self.first_token
         return self.between_tokens
 
-    def add(self, other: 'Tally') -> None:
-        """Add another tally's counts."""
+    def add(self, other: 'CallCounts') -> None:
+        """Add the counts of another cell."""
         self.calls += other.calls
         self.failures += other.failures
         _add_counts(self.first_token, other.first_token)
         _add_counts(self.between_tokens, other.between_tokens)
 
 
-class CellNews(BaseModel):
-    """One cell of a batch, on the wire."""
+class CellMessage(BaseModel):
+    """Wire format of one cell."""
 
     model_config = ConfigDict(frozen=True, extra='ignore')
 
@@ -93,72 +92,72 @@
     between_tokens: dict[int, int] = {}
 
 
-class BatchNews(BaseModel):
-    """What a sender counted between two of its steps.
+class BatchMessage(BaseModel):
+    """Counts of one period from one sender.
 
-    Old and new version of one period are in one batch, so that they stay
+    A batch holds both the old and the new version's counts, so that they stay
     paired however late it arrives.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
 
     sequence: int
-    cells: tuple[CellNews, ...]
+    cells: tuple[CellMessage, ...]
 
 
-class Level(IntEnum):
-    """Whose calls a batch counts."""
+class AggregationLevel(IntEnum):
+    """Whether a batch covers one daemon or its failure domain."""
 
     DAEMON = 0
     FAILURE_DOMAIN = 1
 
 
-class EvidenceNews(PeerMessage):
-    """The sender's latest batches; each is sent several times."""
+class EvidenceMessage(PeerMessage):
+    """The sender's latest batches; each batch is sent several times."""
 
     kind: ClassVar[str] = 'evidence-news'
 
     level: int
-    batches: tuple[BatchNews, ...]
+    batches: tuple[BatchMessage, ...]
 
 
-def _add_counts(total: dict[int, int], part: dict[int, int]) -> None:
-    for bucket, count in part.items():
+def _add_counts(total: dict[int, int], added: dict[int, int]) -> None:
+    for bucket, count in added.items():
         total[bucket] = total.get(bucket, 0) + count
 
 
 def find_band(load: float) -> LoadBand:
     """Return the band of a server's load.
 
-    :param load: calls in work as a part of what it works on at once.
+    :param load: calls in progress as a fraction of the server's capacity.
     """
     return LoadBand(bisect_right(BAND_LIMITS, load))
 
 
 def find_bucket(seconds: float) -> int:
     """Return the bucket of a latency."""
-    return round(math.log(max(seconds, LEAST_SECONDS) / LEAST_SECONDS) / _LOG_GROWTH)
+    return round(math.log(max(seconds, MIN_SECONDS) / MIN_SECONDS) / _LOG_GROWTH)
 
 
-def make_batch(sequence: int, cells: dict[CellKey, Tally]) -> BatchNews:
-    """Put counts into their form on the wire."""
-    return BatchNews(
+def make_batch(sequence: int, cells: dict[CellKey, CallCounts]) -> BatchMessage:
+    """Return counts in their wire format."""
+    return BatchMessage(
         sequence=sequence,
         cells=tuple(
-            CellNews(
+            CellMessage(
                 **key._asdict(),
-                calls=tally.calls,
-                failures=tally.failures,
-                first_token=dict(tally.first_token),
-                between_tokens=dict(tally.between_tokens),
+                calls=counts.calls,
+                failures=counts.failures,
+                first_token=dict(counts.first_token),
+                between_tokens=dict(counts.between_tokens),
             )
-            for key, tally in cells.items()
+            for key, counts in cells.items()
         ),
     )
 
 
-def read_batch(batch: BatchNews) -> dict[CellKey, Tally]:
-    """Take counts from their form on the wire."""
+def parse_batch(batch: BatchMessage) -> dict[CellKey, CallCounts]:
+    """Return the counts of a batch in wire format."""
     return {
         CellKey(
             cell.deployment,
@@ -166,7 +165,7 @@
             cell.route,
             LoadBand(cell.band),
             cell.failure_domain,
-        ): Tally(
+        ): CallCounts(
             cell.calls,
             cell.failures,
             dict(cell.first_token),
@@ -176,7 +175,9 @@
     }
 
 
-def add_cells(total: dict[CellKey, Tally], part: dict[CellKey, Tally]) -> None:
-    """Add one set of counts to another."""
-    for key, tally in part.items():
-        total.setdefault(key, Tally()).add(tally)
+def add_cells(
+    total: dict[CellKey, CallCounts], added: dict[CellKey, CallCounts]
+) -> None:
+    """Add the counts of ``part`` to ``total``."""
+    for key, counts in added.items():
+        total.setdefault(key, CallCounts()).add(counts)
