--- a/libs/serving/fireflyhitch_serving/admission.py
+++ b/libs/serving/fireflyhitch_serving/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is served at all: its route, its customer, and the limit."""
+"""Admits or refuses requests by route, customer, quota and crash quarantine."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -13,14 +13,14 @@
 from fireflyhitch_serving.messages import CallerMessage, RequestFacts
 from fireflyhitch_serving.parts import PathParts
 
-# A request without a server comes back after about the time in which servers that
-# leave are replaced or the list is read; spread, so that not all come back at once.
+# Callers retry after about the time in which drained servers are replaced or the server
+# list is read. The time is jittered, so that callers don't retry all at once.
 RETRY_SECONDS = 0.4
 RETRY_SPREAD = 0.5
 
 
 class RefusedError(Exception):
-    """A request ends with a final answer of the daemon's own."""
+    """The daemon itself gives the final response to a request."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -28,80 +28,82 @@
 
 
 class Admission:
-    """Admits requests, or refuses them at once."""
+    """Admits requests or refuses them at once."""
 
-    def __init__(self, parts: PathParts) -> None:
-        """Make an admission on the configuration in force."""
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, dependencies: PathParts) -> None:
+        """Create an admission that uses the current configuration."""
+        self._deps = dependencies
+        self._clock = dependencies.clock
 
     def admit(
-        self, message: CallerMessage, facts: RequestFacts, reply: Reply
+        self, request: CallerMessage, info: RequestFacts, reply: Reply
     ) -> Exchange:
-        """Return a request that may be sent.
+        """Return an exchange for a request that may be sent.
 
-        :raises RefusedError: if it may not.
+        :raises RefusedError: if the request is not admitted.
         """
-        catalog = self._parts.catalog()
+        catalog = self._deps.catalog()
         if catalog is None:
-            raise self.refuse_for_now(
+            raise self.build_transient_refusal(
                 'no_configuration', 'no configuration is known yet'
             )
-        route = catalog.find_route(facts.host, facts.path)
+        route = catalog.find_route(info.host, info.path)
         if route is None:
             raise RefusedError(
                 Refusal(HTTPStatus.NOT_FOUND, 'no_route', 'no such route')
             )
-        customer = self._find_customer(catalog, route, facts)
-        content = find_content(message, customer)
-        self._check_held(content, facts)
-        self._check_time(route, facts)
+        customer = self._find_customer(catalog, route, info)
+        content = find_content(request, customer)
+        self._check_quarantine(content, info)
+        self._check_shutdown(route, info)
         service = self._pick_service(route)
-        self._parts.budget.record_request(service, self._clock.monotonic())
-        wait = _find_wait(route, facts)
+        self._deps.budget.record_request(service, self._clock.monotonic())
+        wait = _find_time_limit(route, info)
         exchange = Exchange(
-            message,
-            facts,
+            request,
+            info,
             route,
             service,
             customer,
             reply,
-            message.arrived + wait,
+            request.arrived + wait,
             content,
         )
-        exchange.events.last_id = facts.last_event
+        exchange.events.last_id = info.last_event
         self._charge(exchange)
         return exchange
 
-    def _check_held(self, content: ContentId, facts: RequestFacts) -> None:
-        """Refuse a request that would end the server that it is sent to."""
+    def _check_quarantine(self, content: ContentId, info: RequestFacts) -> None:
+        """Refuse a request that probably crashes the server it is sent to."""
         now = self._clock.monotonic()
-        wait = self._parts.crashes.quarantine.find_wait(content, now)
+        wait = self._deps.crashes.quarantine.find_wait(content, now)
         if wait is None:
             return
         logger.bind(
-            request_id=facts.request_id, content=content, seconds=round(wait)
+            request_id=info.request_id, content=content, seconds=round(wait)
         ).info('request is held')
         message = 'servers have ended under this request; it is held back'
-        raise refuse_for(wait, 'held', message)
+        raise build_refusal(wait, 'held', message)
 
-    def _check_time(self, route: Route, facts: RequestFacts) -> None:
-        """Refuse what may not be over when this process ends.
+    def _check_shutdown(self, route: Route, info: RequestFacts) -> None:
+        """Refuse a request that may outlast this process.
 
-        It would be cut off in the middle; another daemon can take it now.
+        It would be cut off midway; another daemon can serve it now.
         """
-        last = self._parts.last_moment()
-        if last is None:
+        deadline = self._deps.last_moment()
+        if deadline is None:
             return
-        if self._clock.monotonic() + _find_wait(route, facts) > last:
-            raise self.refuse_for_now('stopping', 'this daemon is about to stop')
+        if self._clock.monotonic() + _find_time_limit(route, info) > deadline:
+            raise self.build_transient_refusal(
+                'stopping', 'this daemon is about to stop'
+            )
 
     def _find_customer(
-        self, catalog: Catalog, route: Route, facts: RequestFacts
+        self, catalog: Catalog, route: Route, info: RequestFacts
     ) -> Customer | None:
-        if not catalog.asks_keys or route.public:
+        if not catalog.requires_keys or route.public:
             return None
-        customer = catalog.find_customer(facts.key) if facts.key else None
+        customer = catalog.find_customer(info.key) if info.key else None
         if customer is None:
             raise RefusedError(
                 Refusal(HTTPStatus.UNAUTHORIZED, 'unknown_key', 'unknown key')
@@ -112,7 +114,7 @@
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
-        return self._parts.draw.choices(route.shares, weights)[0].service
+        return self._deps.draw.choices(route.shares, weights)[0].service
 
     def _charge(self, exchange: Exchange) -> None:
         customer = exchange.customer
@@ -120,16 +122,16 @@
             return
         units = 1.0
         if customer.quota.in_tokens:
-            tokens = exchange.facts.tokens
+            tokens = exchange.info.tokens
             units = customer.quota.plain_tokens if tokens is None else tokens
-        wait = self._parts.quotas.take(customer, units, self._clock.monotonic())
+        wait = self._deps.quotas.take(customer, units, self._clock.monotonic())
         if wait is not None:
             logger.bind(
-                request_id=exchange.facts.request_id,
+                request_id=exchange.info.request_id,
                 customer=customer.name,
                 units=units,
                 seconds=round(wait, 3),
-                **self._parts.quotas.describe(customer, self._clock.monotonic()),
+                **self._deps.quotas.describe(customer, self._clock.monotonic()),
             ).info('limit reached')
             raise RefusedError(
                 Refusal(
@@ -139,19 +141,25 @@
                     retry_after=timedelta(seconds=wait),
                 )
             )
-        exchange.charged = units
-        self._parts.workloads.note_units(units)
+        exchange.charged_units = units
+        self._deps.workloads.note_units(units)
+
+    def build_transient_refusal(self, code: str, message: str) -> RefusedError:
+        """Return the error for a request that did not run, with a jittered retry time.
 
-    def refuse_for_now(self, code: str, message: str) -> RefusedError:
-        """Return the error for a request that did not run and may come back."""
-        seconds = RETRY_SECONDS * self._parts.draw.uniform(
+        :param code: for the caller, as is ``message``.
+        """
+        seconds = RETRY_SECONDS * self._deps.draw.uniform(
             1 - RETRY_SPREAD, 1 + RETRY_SPREAD
         )
-        return refuse_for(seconds, code, message)
+        return build_refusal(seconds, code, message)
+
 
+def build_refusal(seconds: float, code: str, message: str) -> RefusedError:
+    """Return the error for a request that did not run.
 
-def refuse_for(seconds: float, code: str, message: str) -> RefusedError:
-    """Return the error for a request that did not run, with its time to come back."""
+    :param seconds: after which the caller may retry.
+    """
     return RefusedError(
         Refusal(
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -162,6 +170,6 @@
     )
 
 
-def _find_wait(route: Route, facts: RequestFacts) -> float:
-    """Return the seconds within which a request gets its final answer."""
-    return min(route.timeout, facts.time_left or route.timeout)
+def _find_time_limit(route: Route, info: RequestFacts) -> float:
+    """Return the seconds within which a request gets its final response."""
+    return min(route.timeout, info.time_left or route.timeout)
--- a/libs/serving/fireflyhitch_serving/attempts.py
+++ b/libs/serving/fireflyhitch_serving/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt: sends a request to a server and relays its answer."""
+"""One attempt at a request: sends it to a server and forwards the response."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,40 +10,44 @@
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_serving.connections import AnswerHead, ServerConnection, connect
 from fireflyhitch_serving.edge import Edge, RenderedAnswer, Sending
-from fireflyhitch_serving.errors import ServerError, SilentError
+from fireflyhitch_serving.errors import ServerError, UnresponsiveServerError
 from fireflyhitch_serving.events import EventOrderError
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
 from fireflyhitch_serving.messages import AnswerFacts, drop_connection_headers
 from fireflyhitch_serving.placing import Placement
 
-# Links take some ms; a lost opening packet is sent again after a second, by which
-# time another server has answered.
-CONNECT_SECONDS = 0.3
-# A kept connection may be closing as the request goes out, and then nobody knows
-# whether it ran. One that cannot be repeated takes only a connection used just now.
-UNREPEATABLE_IDLE_SECONDS = 1.0
-# An idle answer that is for another request is passed over this many times.
-MOST_STRAY_ANSWERS = 2
-SERVER_FAULT = 500
-FIRST_ERROR = 300
-# In mid stream, in gap targets: later than this the answer counts as late.
-GAP_PATIENCE_FACTOR = 1.5
+# A link takes a few ms. A lost SYN is sent again only after 1 s; another server
+# responds sooner.
+CONNECT_TIMEOUT_SECONDS = 0.3
+# The server may close an idle connection while a request is sent, which leaves unknown
+# whether it ran. Unrepeatable requests only use connections that were idle for less.
+MAX_UNREPEATABLE_IDLE_SECONDS = 1.0
+# Responses with another request's id are skipped up to this many reads.
+MAX_MISMATCHED_RESPONSES = 2
+MIN_SERVER_ERROR = 500
+MIN_NON_SUCCESS = 300
+# Timeout between two events of a stream, as a multiple of the route's gap target.
+GAP_TIMEOUT_FACTOR = 1.5
 
 
-Read = TypeVar('Read')
+ReadResult = TypeVar('ReadResult')
 
 
 @immutable
-class AttemptEvents:
-    """Whom an attempt tells what it learns; each returns at once."""
+class AttemptCallbacks:
+    """Callbacks of an attempt; they must not block.
 
-    began: Callable[[Exchange, Placement], None]
-    answered: Callable[[Exchange, Placement, AnswerFacts], None]
+    :param on_progress: called for a whole response, or for each batch of events.
+    :param on_head: called when the response head has been read.
+    """
+
+    on_progress: Callable[[Exchange, Placement], None]
+    on_head: Callable[[Exchange, Placement, AnswerFacts], None]
 
 
 class Attempt:
-    """Carries one exchange at one server."""
+    """Runs one exchange with one server."""
 
     def __init__(
         self,
@@ -51,51 +55,52 @@
         placement: Placement,
         edge: Edge,
         clock: Clock,
-        events: AttemptEvents,
-        may_leave: Callable[[], bool],
+        callbacks: AttemptCallbacks,
+        reserve_retry: Callable[[], bool],
     ) -> None:
-        """Make an attempt that has sent nothing.
+        """Create an attempt that has sent nothing.
 
-        :param may_leave: takes what another attempt costs, if there may be one.
+        :param reserve_retry: takes another attempt from the retry budget; returns
+            whether one is allowed.
         """
-        self._may_leave = may_leave
+        self._reserve_retry = reserve_retry
         self.sent = False
         self._exchange = exchange
         self._placement = placement
         self._edge = edge
         self._clock = clock
-        self._events = events
+        self._callbacks = callbacks
 
-    async def run(self, patience: float | None) -> AttemptFailure | None:
-        """Send the request and relay the answer.
+    async def run(self, silence_timeout: float | None) -> AttemptFailure | None:
+        """Send the request and forward the response.
 
-        :param patience: seconds of silence after which another server is asked for,
-            if one may be; ``None`` to wait for as long as its caller does.
-        :returns: nothing if the caller has its whole answer.
+        :param silence_timeout: seconds without data after which the attempt fails if
+            another one is allowed; ``None`` to wait until the request's deadline.
+        :returns: ``None`` if the caller has the complete response.
         """
         try:
             connection = await self._open()
         except ServerError as error:
             return AttemptFailure(Ending.UNREACHED, error.outcome, str(error))
         if not self._placement.record.server.ready:
-            # It began to leave while the connection was being opened.
-            self._give_back(connection)
+            # The server began to drain while the connection was opened.
+            self._release(connection)
             return AttemptFailure(Ending.REFUSED, Outcome.NOT_RUN, 'leaving')
-        whole = False
+        reusable = False
         try:
-            failure = await self._exchange_on(connection, patience)
-            whole = _is_whole(failure)
-        except SilentError as error:
+            failure = await self._send_and_forward(connection, silence_timeout)
+            reusable = _was_fully_read(failure)
+        except UnresponsiveServerError as error:
             failure = AttemptFailure(
-                Ending.BROKEN, Outcome.UNKNOWN, str(error), paid=True
+                Ending.BROKEN, Outcome.UNKNOWN, str(error), retry_reserved=True
             )
         except ServerError as error:
             failure = AttemptFailure(Ending.BROKEN, error.outcome, str(error))
         except EventOrderError as error:
             failure = AttemptFailure(Ending.BROKEN, Outcome.UNKNOWN, str(error))
         finally:
-            if whole:
-                self._give_back(connection)
+            if reusable:
+                self._release(connection)
             else:
                 connection.close()
         return failure
@@ -103,151 +108,157 @@
     async def _open(self) -> ServerConnection:
         pool = self._placement.record.pool
         now = self._clock.monotonic()
-        kept = pool.take(now)
-        if kept is not None:
+        pooled = pool.take(now)
+        if pooled is not None:
             if self._exchange.route.repeatable:
-                return kept
-            if now - kept.idle_since < UNREPEATABLE_IDLE_SECONDS:
-                return kept
-            kept.close()
-        return await connect(self._placement.record.server.address, CONNECT_SECONDS)
+                return pooled
+            if now - pooled.idle_since < MAX_UNREPEATABLE_IDLE_SECONDS:
+                return pooled
+            pooled.close()
+        return await connect(
+            self._placement.record.server.address, CONNECT_TIMEOUT_SECONDS
+        )
 
-    def _give_back(self, connection: ServerConnection) -> None:
-        self._placement.record.pool.give_back(connection, self._clock.monotonic())
+    def _release(self, connection: ServerConnection) -> None:
+        self._placement.record.pool.release(connection, self._clock.monotonic())
 
-    async def _exchange_on(
-        self, connection: ServerConnection, patience: float | None
+    async def _send_and_forward(
+        self, connection: ServerConnection, silence_timeout: float | None
     ) -> AttemptFailure | None:
         exchange = self._exchange
         server = self._placement.record.server
         time_left = exchange.deadline - self._clock.monotonic()
-        sending = Sending(
+        context = Sending(
             server.server_id,
             exchange.customer.name if exchange.customer else None,
             time_left,
             exchange.urgency if exchange.route.streaming else None,
             exchange.events.last_id,
         )
-        request = self._edge.render_request(exchange.message, sending)
+        request = self._edge.render_request(exchange.request, context)
         self.sent = True
-        connection.send(request, bodyless=exchange.message.method == b'HEAD')
-        head, facts = await self._read_head(connection, patience)
-        self._events.answered(exchange, self._placement, facts)
-        return await self._take_answer(connection, head, facts, patience)
+        connection.send(request, no_body=exchange.request.method == b'HEAD')
+        head, info = await self._read_head(connection, silence_timeout)
+        self._callbacks.on_head(exchange, self._placement, info)
+        return await self._forward_response(connection, head, info, silence_timeout)
 
     async def _read_head(
-        self, connection: ServerConnection, patience: float | None
+        self, connection: ServerConnection, silence_timeout: float | None
     ) -> tuple[AnswerHead, AnswerFacts]:
-        """Wait for the head of the answer to this request.
+        """Wait for the head of the response to this request.
 
-        A server may send a second answer to an earlier request; its id tells.
+        A server may respond twice to an earlier request; the request id tells.
         """
-        own = self._exchange.facts.request_id
-        for _ in range(MOST_STRAY_ANSWERS):
-            head = await self._wait(connection.read_head, patience)
-            facts = self._edge.read_answer(head)
-            if facts.request_id in {own, None}:
-                return head, facts
-        raise self._broken('answers of other requests')
+        request_id = self._exchange.info.request_id
+        for _ in range(MAX_MISMATCHED_RESPONSES):
+            head = await self._read_with_timeout(connection.read_head, silence_timeout)
+            info = self._edge.read_answer(head)
+            if info.request_id in {request_id, None}:
+                return head, info
+        raise self._make_relay_error('received only answers to other requests')
 
-    async def _take_answer(
+    async def _forward_response(
         self,
         connection: ServerConnection,
         head: AnswerHead,
-        facts: AnswerFacts,
-        patience: float | None,
+        info: AnswerFacts,
+        silence_timeout: float | None,
     ) -> AttemptFailure | None:
-        if facts.not_run:
-            await self._read_whole(connection, patience)
+        if info.not_run:
+            await self._read_whole(connection, silence_timeout)
             detail = f'status {head.status}'
             return AttemptFailure(Ending.REFUSED, Outcome.NOT_RUN, detail)
-        if head.status < FIRST_ERROR and (not facts.signed or facts.encoded):
-            raise self._broken('a success without signature')
-        if head.status < FIRST_ERROR and facts.request_id is None:
-            raise self._broken('a success without a request id')
-        if head.status < FIRST_ERROR and self._exchange.route.streaming:
-            await self._relay(connection, head, patience)
+        if head.status < MIN_NON_SUCCESS and (not info.signed or info.encoded):
+            raise self._make_relay_error('unsigned or encoded success response')
+        if head.status < MIN_NON_SUCCESS and info.request_id is None:
+            raise self._make_relay_error('success response without request id')
+        if head.status < MIN_NON_SUCCESS and self._exchange.route.streaming:
+            await self._relay_stream(connection, head, silence_timeout)
             return None
-        return await self._pass_whole(connection, head, facts, patience)
+        return await self._forward_whole(connection, head, info, silence_timeout)
 
-    async def _pass_whole(
+    async def _forward_whole(
         self,
         connection: ServerConnection,
         head: AnswerHead,
-        facts: AnswerFacts,
-        patience: float | None,
+        info: AnswerFacts,
+        silence_timeout: float | None,
     ) -> AttemptFailure | None:
-        body = await self._read_whole(connection, patience)
+        body = await self._read_whole(connection, silence_timeout)
         headers = drop_connection_headers(head.headers)
-        answer = RenderedAnswer(head.status, headers, body)
-        if head.status >= SERVER_FAULT:
+        response = RenderedAnswer(head.status, headers, body)
+        if head.status >= MIN_SERVER_ERROR:
             detail = f'status {head.status}'
-            return AttemptFailure(Ending.FAILED, Outcome.RAN, detail, answer)
-        self._begin()
-        self._exchange.reply.send_whole(answer.status, answer.headers, answer.body)
+            return AttemptFailure(Ending.FAILED, Outcome.RAN, detail, response)
+        self._report_progress()
+        self._exchange.reply.send_response(
+            response.status, response.headers, response.body
+        )
         return None
 
     async def _read_whole(
-        self, connection: ServerConnection, patience: float | None
+        self, connection: ServerConnection, silence_timeout: float | None
     ) -> bytes:
         parts: list[bytes] = []
         while True:
-            part = await self._wait(connection.read_body, patience)
+            part = await self._read_with_timeout(connection.read_body, silence_timeout)
             if not part:
                 return b''.join(parts)
             parts.append(part)
 
-    async def _relay(
-        self, connection: ServerConnection, head: AnswerHead, patience: float | None
+    async def _relay_stream(
+        self,
+        connection: ServerConnection,
+        head: AnswerHead,
+        silence_timeout: float | None,
     ) -> None:
         exchange = self._exchange
         events = exchange.events
         events.restart()
         gap = None
-        if patience is not None:
-            gap = exchange.route.gap_target * GAP_PATIENCE_FACTOR
+        if silence_timeout is not None:
+            gap = exchange.route.gap_target * GAP_TIMEOUT_FACTOR
         while True:
-            part = await self._wait(connection.read_body, patience)
+            part = await self._read_with_timeout(connection.read_body, silence_timeout)
             if not part:
                 break
-            patience = gap
+            silence_timeout = gap
             whole = events.cut(part)
             if whole:
-                await self._pass_events(head, whole)
+                await self._forward_events(head, whole)
         if events.torn or not exchange.reply.begun:
-            raise self._broken('ended in mid event')
+            raise self._make_relay_error('stream ended within an event or without one')
         exchange.reply.finish()
 
-    async def _pass_events(self, head: AnswerHead, events: bytes) -> None:
+    async def _forward_events(self, head: AnswerHead, events: bytes) -> None:
         reply = self._exchange.reply
         if not reply.begun:
             reply.begin(head.status, drop_connection_headers(head.headers))
-        self._begin()
+        self._report_progress()
         await reply.write(events)
 
-    def _begin(self) -> None:
-        self._events.began(self._exchange, self._placement)
+    def _report_progress(self) -> None:
+        self._callbacks.on_progress(self._exchange, self._placement)
 
-    async def _wait(
-        self, read: Callable[[], Awaitable[Read]], patience: float | None
-    ) -> Read:
-        if patience is None:
+    async def _read_with_timeout(
+        self, read: Callable[[], Awaitable[ReadResult]], silence_timeout: float | None
+    ) -> ReadResult:
+        if silence_timeout is None:
             return await read()
         with suppress(TimeoutError):
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(silence_timeout):
                 return await read()
-        # Silence alone is no reason to end an answer: without another server that
-        # may go on, the wait for this one does.
-        if not self._may_leave():
+        # Without a retry on another server, a late response is better than none.
+        if not self._reserve_retry():
             return await read()
-        raise SilentError(
-            f'silent for {patience:.2f} s',
+        raise UnresponsiveServerError(
+            f'server silent for {silence_timeout:.2f} s',
             step=Step.RELAY,
             peer=self._placement.record.server.server_id,
             outcome=Outcome.UNKNOWN,
         )
 
-    def _broken(self, reason: str) -> ServerError:
+    def _make_relay_error(self, reason: str) -> ServerError:
         return ServerError(
             reason,
             step=Step.RELAY,
@@ -256,8 +267,8 @@
         )
 
 
-def _is_whole(failure: AttemptFailure | None) -> bool:
-    """Tell whether all of an answer was read, so that its connection can go on."""
-    if failure is None or failure.answer is not None:
+def _was_fully_read(failure: AttemptFailure | None) -> bool:
+    """Tell whether the response was read to its end, so its connection is reusable."""
+    if failure is None or failure.response is not None:
         return True
     return failure.outcome is Outcome.NOT_RUN
--- a/libs/serving/fireflyhitch_serving/budgets.py
+++ b/libs/serving/fireflyhitch_serving/budgets.py
@@ -1,8 +1,8 @@
-"""How many repeats a daemon may send to a service.
+"""Limits the retries that a daemon may send to a service.
 
-The platform bounds the arrivals beyond the first of each request, for each service
-and summed over all daemons: a part of the requests in a window and some on top.
-Each daemon keeps to its own part of both, so the sum holds without a message.
+The platform bounds the retries of each service, summed over all daemons, by a fraction
+of the requests in a window plus a constant. Each daemon keeps to its own requests and an
+equal share of the constant, so the sum holds without communication.
 """
 
 from collections import deque
@@ -11,17 +11,17 @@
 from fireflyhitch_model.ids import DeploymentId
 from fireflyhitch_model.records import immutable
 
-# The daemon counts requests that have come; the platform's window may begin a
-# little later, so a part of the ratio is left unused.
-USED_PART = 0.75
+# The daemon counts requests on arrival, and the platform's window may begin a little
+# later, so part of the allowed ratio is left unused.
+USED_FRACTION = 0.75
 
 
 @immutable
 class RepeatBounds:
-    """The platform's bound.
+    """The platform's bound on retries.
 
-    :param ratio: of the requests in a window.
-    :param slack: repeats on top, over all daemons.
+    :param ratio: retries for each request in a window.
+    :param slack: retries in a window beyond that, summed over all daemons.
     :param window: seconds.
     """
 
@@ -33,14 +33,14 @@
 @dataclass(slots=True)
 class _Counts:
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 class RepeatBudget:
-    """One daemon's repeats by service."""
+    """The retry budgets of one daemon, by service."""
 
     def __init__(self, bounds: RepeatBounds) -> None:
-        """Make a budget with nothing spent."""
+        """Create a budget without retries."""
         self.bounds = bounds
         self._services: dict[DeploymentId, _Counts] = {}
         self.daemons = 1
@@ -49,24 +49,24 @@
         """Count a caller's request."""
         counts = self._find(service)
         counts.requests.append(now)
-        self._forget_old(counts, now)
+        self._drop_expired(counts, now)
 
     def take(self, service: DeploymentId, now: float) -> bool:
-        """Take a repeat from the budget, if there is one left."""
+        """Take a retry from the budget if one is left."""
         counts = self._find(service)
-        self._forget_old(counts, now)
+        self._drop_expired(counts, now)
         bounds = self.bounds
-        most = bounds.ratio * len(counts.requests) + bounds.slack / self.daemons
-        if len(counts.repeats) + 1 > most * USED_PART:
+        limit = bounds.ratio * len(counts.requests) + bounds.slack / self.daemons
+        if len(counts.retries) + 1 > limit * USED_FRACTION:
             return False
-        counts.repeats.append(now)
+        counts.retries.append(now)
         return True
 
     def _find(self, service: DeploymentId) -> _Counts:
         return self._services.setdefault(service, _Counts())
 
-    def _forget_old(self, counts: _Counts, now: float) -> None:
+    def _drop_expired(self, counts: _Counts, now: float) -> None:
         since = now - self.bounds.window
-        for times in (counts.requests, counts.repeats):
+        for times in (counts.requests, counts.retries):
             while times and times[0] < since:
                 times.popleft()
--- a/libs/serving/fireflyhitch_serving/callers.py
+++ b/libs/serving/fireflyhitch_serving/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: strict HTTP in, answers out, one after the other."""
+"""Connections of callers: strict HTTP/1.1 requests, served one after the other."""
 
 import asyncio
 from collections import deque
@@ -11,7 +11,7 @@
 
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_serving.catalog import CallerLimits
-from fireflyhitch_serving.errors import CallerGone
+from fireflyhitch_serving.errors import CallerDisconnected
 from fireflyhitch_serving.messages import (
     CallerMessage,
     Header,
@@ -19,25 +19,25 @@
     find_header,
     render_head,
 )
-from fireflyhitch_serving.sockets import send_at_once
+from fireflyhitch_serving.sockets import set_send_options
 
-# A caller may send its next requests before it has its answer; beyond this many
-# its connection is read no further.
-MOST_PIPELINED = 8
-# A caller that takes nothing for this long is taken for cut off.
-SILENT_MS = 4000
+# A caller may pipeline requests; with more than this many waiting, its connection is not
+# read any further.
+MAX_PIPELINED = 8
+# A caller that acknowledges nothing for this long is regarded as disconnected.
+ACK_TIMEOUT_MS = 4000
 CHUNK_END = b'0\r\n\r\n'
-# What a request's size is checked for each time more of it comes.
-SLACK_BYTES = 4096
+# The head's size is counted in whole reads, which may include some of the body.
+HEAD_SLACK_BYTES = 4096
 
 Serve = Callable[[CallerMessage, 'Reply'], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class FrontState:
-    """What all connections of a listener share.
+    """State shared by all connections of a listener.
 
-    :param closing: whether callers are told to use another daemon.
+    :param closing: whether responses ask callers to close their connections.
     """
 
     serve: Serve
@@ -48,31 +48,31 @@
 
     @property
     def busy(self) -> int:
-        """Return how many requests have no whole answer yet."""
+        """Return how many connections have a request without a complete response."""
         return sum(connection.busy for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is asked."""
+        """Close the connections without a request."""
         for connection in tuple(self.connections):
             connection.close_if_idle()
 
 
 class Reply:
-    """Where the answer to one request goes."""
+    """Writes the response to one request."""
 
-    def __init__(self, connection: 'CallerConnection', keep: bool) -> None:
-        """Make a reply to the request at hand.
+    def __init__(self, connection: 'CallerConnection', keep_alive: bool) -> None:
+        """Create a reply to the current request.
 
-        :param keep: whether the caller wants to keep its connection.
+        :param keep_alive: whether the caller wants to keep its connection open.
         """
         self._connection = connection
-        self._keep = keep
+        self._keep_alive = keep_alive
         self.begun = False
         self.ended = False
         self.status = 0
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
         length = (b'Content-Length', b'%d' % len(body))
         head = render_head(status, [*headers, length, *self._closing_headers()])
         self.begun = True
@@ -81,7 +81,7 @@
         self._end()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Begin an answer whose length is not known."""
+        """Begin a response of unknown length."""
         coding = (b'Transfer-Encoding', b'chunked')
         head = render_head(status, [*headers, coding, *self._closing_headers()])
         self.begun = True
@@ -89,35 +89,35 @@
         self._connection.write(head)
 
     async def write(self, part: bytes) -> None:
-        """Send a part of the body, and wait while the caller is behind."""
+        """Send a part of the body, and wait while the write buffer is full."""
         self._connection.write(b'%x\r\n%b\r\n' % (len(part), part))
         await self._connection.drain()
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End a response that is complete."""
         self._connection.write(CHUNK_END)
         self._end()
 
     def abort(self) -> None:
-        """Break the answer off so that the caller sees that it is not whole."""
+        """Close the connection, so that the caller sees an incomplete response."""
         self.ended = True
         self._connection.abort()
 
     def _end(self) -> None:
         self.ended = True
-        if not self._keep:
+        if not self._keep_alive:
             self._connection.close_after_write()
 
     def _closing_headers(self) -> list[Header]:
-        self._keep = self._keep and not self._connection.state.closing
-        return [] if self._keep else [(b'Connection', b'close')]
+        self._keep_alive = self._keep_alive and not self._connection.state.closing
+        return [] if self._keep_alive else [(b'Connection', b'close')]
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads requests and has them served in order."""
+    """Reads requests and serves them in order."""
 
     def __init__(self, state: FrontState) -> None:
-        """Make a protocol for the listener's next connection."""
+        """Create a protocol for one connection of the listener."""
         self.state = state
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -132,63 +132,63 @@
         self._head_bytes = 0
         self._in_head = False
         self._in_message = False
-        self._refused = False
-        self._refusal: HTTPStatus | None = None
-        self._gone = False
-        self._arrived = 0.0
+        self._input_ended = False
+        self._pending_refusal: HTTPStatus | None = None
+        self._disconnected = False
+        self._arrived_at = 0.0
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request was read whose answer is not whole."""
+        """Tell whether a complete request has no complete response yet."""
         return self._task is not None or bool(self._waiting)
 
     def close_if_idle(self) -> None:
-        """Close it unless something is asked or being asked."""
+        """Close the connection unless a request is served or being received."""
         if not self.busy and not self._in_message and self._transport is not None:
             self._transport.close()
 
-    # What replies call
+    # Called by replies
 
     def write(self, data: bytes) -> None:
         """Send bytes.
 
-        :raises CallerGone: if nobody is there to read them.
+        :raises CallerDisconnected: if the connection is closed.
         """
         transport = self._transport
-        if self._gone or transport is None or transport.is_closing():
-            raise CallerGone
+        if self._disconnected or transport is None or transport.is_closing():
+            raise CallerDisconnected
         transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the caller has taken most of what was sent."""
+        """Wait until the write buffer has been mostly sent."""
         if self._writable is not None:
             await self._writable
 
     def close_after_write(self) -> None:
-        """Close once all is sent."""
-        self._refused = True
+        """Close the connection when the write buffer is empty."""
+        self._input_ended = True
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
-        self._refused = True
+        """Close the connection at once."""
+        self._input_ended = True
         if self._transport is not None:
             self._transport.abort()
 
-    # What asyncio calls
+    # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for a request."""
+        """Register the connection and wait for a request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        send_at_once(transport, SILENT_MS)
+        set_send_options(transport, ACK_TIMEOUT_MS)
         self.state.connections.add(self)
         self._wait_for_request()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in."""
-        if self._refused:
+        """Parse received bytes."""
+        if self._input_ended:
             return
         if self._in_head or not self._in_message:
             self._head_bytes += len(data)
@@ -202,12 +202,12 @@
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def eof_received(self) -> bool:
-        """A caller that sends no more is taken for gone."""
+        """Close the connection; a caller that half-closes it counts as disconnected."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop serving a caller that is gone."""
-        self._gone = True
+        """Cancel the request of a caller that disconnected."""
+        self._disconnected = True
         self.state.connections.discard(self)
         self._stop_timer()
         self.resume_writing()
@@ -216,19 +216,19 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller is behind."""
+        """Make ``drain`` wait, since the write buffer is full."""
         self._writable = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Let ``drain`` return, since the write buffer has room again."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
-    # What the parser calls
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._target = b''
         self._headers = []
         self._body = []
@@ -239,34 +239,37 @@
         self._start_timer(limits.header_seconds, HTTPStatus.REQUEST_TIMEOUT)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target in."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header in."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the size and framing of the request."""
         self._in_head = False
-        self._arrived = self.state.clock.monotonic()
+        self._arrived_at = self.state.clock.monotonic()
         self._stop_timer()
         limits = self.state.limits()
-        if self._head_bytes > limits.header_bytes + SLACK_BYTES + _length(
-            self._headers
+        if (
+            self._head_bytes
+            > limits.header_bytes
+            + HEAD_SLACK_BYTES
+            + _read_content_length(self._headers)
         ):
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif not is_well_framed(self._headers, self._parser.get_http_version()):
             self._refuse(HTTPStatus.BAD_REQUEST)
-        elif _length(self._headers) > limits.body_bytes:
+        elif _read_content_length(self._headers) > limits.body_bytes:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif find_header(self._headers, b'expect') is not None:
-            with suppress(CallerGone):
+            with suppress(CallerDisconnected):
                 self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body in."""
-        if self._refused:
+        """Append a part of the body."""
+        if self._input_ended:
             return
         self._body.append(body)
         self._body_bytes += len(body)
@@ -274,48 +277,48 @@
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """Have the request served after those before it."""
+        """Queue the request behind those received before it."""
         self._in_message = False
         self._head_bytes = 0
-        if self._refused:
+        if self._input_ended:
             return
-        message = CallerMessage(
+        request = CallerMessage(
             self._parser.get_method(),
             self._target,
             self._headers,
             b''.join(self._body),
-            self._arrived,
+            self._arrived_at,
         )
         self._body = []
-        self._waiting.append((message, self._parser.should_keep_alive()))
-        if len(self._waiting) > MOST_PIPELINED and self._transport is not None:
+        self._waiting.append((request, self._parser.should_keep_alive()))
+        if len(self._waiting) > MAX_PIPELINED and self._transport is not None:
             self._transport.pause_reading()
         self._serve_next()
 
     def _serve_next(self) -> None:
-        if self._task is not None or not self._waiting or self._gone:
+        if self._task is not None or not self._waiting or self._disconnected:
             return
         self._stop_timer()
-        message, keep = self._waiting.popleft()
+        request, keep_alive = self._waiting.popleft()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
-        reply = Reply(self, keep)
-        self._task = asyncio.get_running_loop().create_task(self._run(message, reply))
+        reply = Reply(self, keep_alive)
+        self._task = asyncio.get_running_loop().create_task(self._run(request, reply))
 
-    async def _run(self, message: CallerMessage, reply: Reply) -> None:
+    async def _run(self, request: CallerMessage, reply: Reply) -> None:
         try:
-            await self.state.serve(message, reply)
+            await self.state.serve(request, reply)
         finally:
             self._task = None
             if not reply.ended:
                 self.abort()
-        if self._gone:
+        if self._disconnected:
             return
         if self._waiting:
             self._serve_next()
-        elif self._refusal is not None:
-            self._send_refusal(self._refusal)
-        elif not self._refused:
+        elif self._pending_refusal is not None:
+            self._send_refusal(self._pending_refusal)
+        elif not self._input_ended:
             self._wait_for_request()
 
     def _wait_for_request(self) -> None:
@@ -342,32 +345,33 @@
         self._refuse(status)
 
     def _refuse(self, status: HTTPStatus) -> None:
-        """Answer a request that cannot be read, and close.
+        """Refuse an invalid request and close the connection.
 
-        Behind it nothing can be told apart, so a smuggled request ends here too.
+        The end of an invalid request is ambiguous, so nothing after it is read. This
+        also stops smuggled requests.
         """
-        if self._refused:
+        if self._input_ended:
             return
-        self._refused = True
+        self._input_ended = True
         self._stop_timer()
         if self.busy:
-            # The answers to what came before it go out first.
-            self._refusal = status
+            # Earlier requests get their responses first.
+            self._pending_refusal = status
             return
         self._send_refusal(status)
 
     def _send_refusal(self, status: HTTPStatus) -> None:
         headers = [(b'Content-Length', b'0'), (b'Connection', b'close')]
-        with suppress(CallerGone):
+        with suppress(CallerDisconnected):
             self.write(render_head(status, headers))
             self.close_after_write()
 
 
 def is_well_framed(headers: Headers, version: str) -> bool:
-    """Tell whether there is exactly one way to find a request's end and host.
+    """Tell whether a request's length and host are unambiguous.
 
-    Two readers that disagree on where a request ends would let a second one pass
-    inside it; so what leaves room for that is refused (RFC 9112, 6.1 and 6.3).
+    Where two HTTP implementations disagree on the end of a request, another request can
+    be smuggled inside it (RFC 9112, 6.1 and 6.3).
     """
     names = [name.lower() for name, _ in headers]
     if names.count(b'host') != 1:
@@ -382,6 +386,6 @@
     return version == '1.1' and coding.strip().lower() == b'chunked'
 
 
-def _length(headers: Headers) -> int:
+def _read_content_length(headers: Headers) -> int:
     text = find_header(headers, b'content-length')
     return int(text) if text and text.isdigit() else 0
--- a/libs/serving/fireflyhitch_serving/candidates.py
+++ b/libs/serving/fireflyhitch_serving/candidates.py
@@ -1,4 +1,4 @@
-"""Who takes a duty next, as each daemon works it out for itself."""
+"""Ranks the daemons for a duty; each daemon computes the same order by itself."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,27 +8,28 @@
 from fireflyhitch_serving.peers import PeerBook
 from fireflyhitch_serving.summaries import SummaryBook
 
-# Of each group; others would only wait for their turn in vain.
-MOST_CLAIMANTS = 4
+# For each group; further claimants would only wait in vain.
+MAX_CLAIMANTS = 4
 
 
 def rank_able(peers: PeerBook, duty: str) -> list[str]:
-    """Order the daemons of the own group that can take a duty, this one included.
+    """Rank the daemons of the local group that can take a duty, including this one.
 
-    Only those that hear the store and are heard now count. The first ones are of
-    different failure domains: a cut of one, or of its link to the store, leaves others.
+    Other daemons are eligible if they are responsive, reach the store and are not
+    stopping. The first ones are in different failure domains, so a partition of one
+    domain, or of its link to the store, leaves others.
     """
-    able = {
+    eligible = {
         daemon: news.failure_domain
         for daemon, news in peers.heard_lately().items()
         if news.hears_store and not news.stopping
     }
-    domains = {**able, peers.own: peers.own_domain}
+    domains = {**eligible, peers.own: peers.own_domain}
     return _alternate_domains(peers.rank(duty, domains), domains)
 
 
 class LeadTurns:
-    """In which order daemons claim the lead."""
+    """The order in which daemons claim leadership."""
 
     def __init__(
         self,
@@ -36,35 +37,36 @@
         summaries: SummaryBook,
         knows_peers: Callable[[], bool],
     ) -> None:
-        """Make turns by what peers and summaries tell.
+        """Create the order from the state of peers and domain summaries.
 
-        :param knows_peers: whether this daemon has had time to hear the others.
+        :param knows_peers: tells whether this daemon has had time to receive the others'
+            state.
         """
         self._peers = peers
         self._summaries = summaries
         self._knows_peers = knows_peers
 
     def find(self) -> int | None:
-        """Return how many claim before this daemon; ``None`` if it does not claim."""
+        """Return how many daemons claim first; ``None`` if this one does not claim."""
         if not self._knows_peers():
             return None
-        place = rank_able(self._peers, 'lead').index(self._peers.own)
-        if place >= MOST_CLAIMANTS:
+        position = rank_able(self._peers, 'lead').index(self._peers.own)
+        if position >= MAX_CLAIMANTS:
             return None
         own = self._peers.own_domain
         groups = {own}
         if self._peers.uses_summaries():
             groups.update(self._summaries.live())
-        return place * len(groups) + rank_by_hash('lead', groups).index(own)
+        return position * len(groups) + rank_by_hash('lead', groups).index(own)
 
 
 def _alternate_domains(
     ranked: list[str], domains: dict[str, FailureDomainId]
 ) -> list[str]:
-    """Return the first of each failure domain first, then the second of each."""
+    """Order the first daemon of each failure domain before the second of each."""
     seen: Counter[FailureDomainId] = Counter()
-    places: dict[str, int] = {}
+    positions: dict[str, int] = {}
     for daemon in ranked:
-        places[daemon] = seen[domains[daemon]]
+        positions[daemon] = seen[domains[daemon]]
         seen[domains[daemon]] += 1
-    return sorted(ranked, key=places.__getitem__)
+    return sorted(ranked, key=positions.__getitem__)
--- a/libs/serving/fireflyhitch_serving/catalog.py
+++ b/libs/serving/fireflyhitch_serving/catalog.py
@@ -1,4 +1,4 @@
-"""What the operators configured, as the path of a request looks it up."""
+"""The operators' configuration, indexed for request handling."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import field
@@ -9,7 +9,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests, and the form of the answer."""
+    """Whether a route's requests may be repeated, and the form of the response."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -18,9 +18,9 @@
 
 @immutable
 class ServiceShare:
-    """A part of a route's traffic.
+    """A service's share of a route's traffic.
 
-    :param weight: in relation to the route's other shares.
+    :param weight: relative to the route's other shares.
     """
 
     service: DeploymentId
@@ -29,14 +29,16 @@
 
 @immutable
 class Route:
-    """One kind of request.
+    """The handling of requests by host and path prefix.
 
-    :param timeout: seconds after which its caller gets a final answer.
-    :param target: seconds to the whole answer, or to a stream's first event.
-    :param gap_target: seconds between two events of a stream.
-    :param attempts: how many servers may run one request.
+    :param timeout: seconds until the caller gets a final response.
+    :param target: latency target in seconds to the complete response or a stream's first
+        event.
+    :param gap_target: latency target in seconds between two events of a stream.
+    :param attempts: number of servers that may run one request.
     :param priority: 0 is the most urgent.
-    :param resumable: whether a stream may go on at another server.
+    :param public: whether callers need no key.
+    :param resumable: whether a stream may be resumed at another server.
     """
 
     name: str
@@ -54,25 +56,25 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a second run does no harm."""
+        """Tell whether a request may run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
     def streaming(self) -> bool:
-        """Tell whether the answer is a stream of events."""
+        """Tell whether the response is a stream of events."""
         return self.kind is RouteKind.STREAMING
 
 
 @immutable
 class Quota:
-    """What a customer may use, over all daemons.
+    """A customer's rate limit over all daemons.
 
-    :param rate: units a second; 0 for no limit.
-    :param burst: units that may be saved up.
+    :param rate: units per second; 0 for no limit.
+    :param burst: maximum of saved units.
     :param in_tokens: whether a unit is a token rather than a request.
-    :param plain_tokens: tokens of a request that names no number.
+    :param plain_tokens: tokens charged for a request that states no number.
     """
 
     rate: float
@@ -85,7 +87,7 @@
 class Customer:
     """A customer.
 
-    :param priority: goes before the route's; ``None`` for the route's own.
+    :param priority: overrides the route's, unless ``None``.
     """
 
     name: CustomerId
@@ -95,10 +97,11 @@
 
 @immutable
 class EngineTraits:
-    """What the operators know of a service's model engines.
+    """Capacity of one of a service's model engines.
 
-    :param batch: requests worked on at once.
-    :param kv_tokens: tokens that running requests and cached prompts share.
+    :param batch: maximum of concurrent requests.
+    :param kv_tokens: size in tokens of the KV cache, which running requests and cached
+        prompts share.
     """
 
     batch: int
@@ -109,8 +112,8 @@
 class ScaleBounds:
     """Bounds on the servers that may be ordered, for each failure domain.
 
-    :param start_seconds: from the order until a server takes requests.
-    :param spot_price: price of a reclaimable server as a part of the other's.
+    :param start_seconds: from the order until a server accepts requests.
+    :param spot_price: price of a reclaimable server as a fraction of an on-demand one's.
     :param domain_prices: price of a server by failure domain.
     """
 
@@ -133,10 +136,10 @@
 
 @immutable
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Size and time limits for callers' requests.
 
-    :param header_seconds: for a whole head.
-    :param idle_seconds: for which a connection may stay without a request.
+    :param header_seconds: until the head is complete.
+    :param idle_seconds: until a connection without a request is closed.
     """
 
     header_bytes: int = 16384
@@ -147,7 +150,11 @@
 
 @immutable
 class Catalog:
-    """A whole configuration; ``version`` grows with each change."""
+    """A complete configuration.
+
+    :param version: increases with each change.
+    :param customers: by key; ``None`` if requests need no key.
+    """
 
     version: int
     routes: tuple[Route, ...]
@@ -158,14 +165,14 @@
     _quotas: Mapping[CustomerId, Quota] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        """Order the routes of each host by prefix, longest first; index quotas."""
+        """Sort the routes of each host by prefix length, longest first; index quotas."""
         object.__setattr__(self, '_by_host', _index_routes(self.routes))
         customers = (self.customers or {}).values()
         quotas = {customer.name: customer.quota for customer in customers}
         object.__setattr__(self, '_quotas', quotas)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest matching prefix."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
@@ -180,7 +187,7 @@
         return self._quotas.get(name)
 
     @property
-    def asks_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Tell whether requests must carry a customer's key."""
         return self.customers is not None
 
@@ -189,8 +196,8 @@
     hosts: dict[str, list[Route]] = {}
     for route in routes:
         hosts.setdefault(route.host.lower(), []).append(route)
-    return {host: tuple(_order(found)) for host, found in hosts.items()}
+    return {host: tuple(_sort_by_prefix(found)) for host, found in hosts.items()}
 
 
-def _order(routes: list[Route]) -> list[Route]:
+def _sort_by_prefix(routes: list[Route]) -> list[Route]:
     return sorted(routes, key=lambda route: -len(route.prefix))
--- a/libs/serving/fireflyhitch_serving/choices.py
+++ b/libs/serving/fireflyhitch_serving/choices.py
@@ -1,4 +1,4 @@
-"""Which server an attempt goes to, and whether there may be another attempt."""
+"""Chooses the server of an attempt and decides whether to make another attempt."""
 
 from collections.abc import Iterable
 
@@ -16,31 +16,32 @@
 )
 from fireflyhitch_serving.servers import ServerRecord
 
-# A silent server is given this many times its expected time and some on top, before a
-# repeatable request goes elsewhere. Mute servers say nothing at all, and one in some
-# hundred that are well is this late.
-PATIENCE_FACTOR = 2.0
-PATIENCE_SECONDS = 0.2
-LEAST_PATIENCE_SECONDS = 0.4
-# But at least this part of the latency target: there is time for another server then,
-# and a busy one that answers meanwhile has done its work for somebody.
-TARGET_PART = 0.5
-# Sends beyond a route's attempts that were told "not run"; each costs a round trip.
-EXTRA_SENDS = 2
+# Before a repeatable request is retried elsewhere, a server that sends nothing gets a
+# multiple of its expected time plus a margin. Hung servers send nothing at all; about
+# one in some hundred healthy responses is as late as this.
+SILENCE_TIMEOUT_FACTOR = 2.0
+SILENCE_TIMEOUT_MARGIN_SECONDS = 0.2
+MIN_SILENCE_TIMEOUT_SECONDS = 0.4
+# Minimum wait as a fraction of the latency target: it leaves time for another server, and
+# the work of a busy server that responds meanwhile is not wasted.
+MIN_TARGET_FRACTION = 0.5
+# Sends beyond a route's attempts, for servers that respond "not run"; each costs a round
+# trip.
+MAX_EXTRA_SENDS = 2
 
 
-class Choices:
-    """Decides on attempts by what is known of servers, versions and budgets."""
+class AttemptPolicy:
+    """Decides on attempts by the state of servers, versions and the retry budget."""
 
-    def __init__(self, parts: PathParts) -> None:
-        """Make choices on the parts' state."""
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, dependencies: PathParts) -> None:
+        """Create a policy that uses the given components."""
+        self._deps = dependencies
+        self._clock = dependencies.clock
 
     def find_candidates(self, exchange: Exchange) -> list[ServerRecord]:
-        """Return the servers that an attempt may go to."""
+        """Return the servers to which an attempt may be sent."""
         now = self._clock.monotonic()
-        servers = self._parts.servers
+        servers = self._deps.servers
         servers.judge(exchange.service, now)
         listed = [
             record
@@ -48,95 +49,109 @@
             if record.server.ready
         ]
         versions = frozenset(record.server.version for record in listed)
-        allowed = self._parts.versions.pick(
-            exchange.service, versions, self._parts.draw
-        )
+        allowed = self._deps.versions.pick(exchange.service, versions, self._deps.draw)
         ready = [record for record in listed if record.server.version in allowed]
         fresh = [
-            record for record in ready if record.server.server_id not in exchange.tried
+            record
+            for record in ready
+            if record.server.server_id not in exchange.tried_servers
         ]
         healthy = [
             record
             for record in fresh
             if not (record.failing or record.health.is_ejected(now))
         ]
-        # Both are guesses: with nobody else left, those that they may be wrong
-        # about are better than a refusal.
+        # Failure statistics and ejections may be wrong: without other servers, suspected
+        # ones are better than a refusal.
         return healthy or fresh
 
-    def find_able(self, candidates: list[ServerRecord]) -> list[ServerRecord]:
-        """Return the candidates that their limits, if they name any, let have work now."""
-        limits = self._parts.limits
+    def filter_by_rate_limit(
+        self, candidates: list[ServerRecord]
+    ) -> list[ServerRecord]:
+        """Return the candidates whose rate limit, if any, allows a request now."""
+        limits = self._deps.limits
         if not limits.are_named:
             return candidates
         return [record for record in candidates if limits.may_send(record.process)]
 
     def find_own_rate(self, candidates: Iterable[ServerRecord]) -> float:
-        """Return the requests a second that this daemon may send to servers."""
-        limits = self._parts.limits
+        """Return the requests per second that this daemon may send to servers."""
+        limits = self._deps.limits
         return sum(limits.find_own_rate(record.process) for record in candidates)
 
     def choose(
         self, exchange: Exchange, candidates: list[ServerRecord]
     ) -> Placement | None:
-        """Choose one of them; nothing if the request has to wait for a place."""
+        """Choose a candidate; ``None`` if the request has to wait for a free slot."""
         now = self._clock.monotonic()
-        facts = exchange.facts
-        place = Place(self._parts.own_domain, self._parts.silent_domains())
-        if facts.prompt_tokens is None:
-            return place_plain(candidates, place, now)
-        need = PromptNeed(
-            facts.prompt_tokens,
-            facts.parts,
+        info = exchange.info
+        locality = Place(self._deps.own_domain, self._deps.silent_domains())
+        if info.prompt_tokens is None:
+            return place_plain(candidates, locality, now)
+        prompt = PromptNeed(
+            info.prompt_tokens,
+            info.parts,
             exchange.route.target,
-            self._parts.workloads.pace_of(exchange.service).seconds_per_token,
+            self._deps.workloads.pace_of(exchange.service).seconds_per_token,
         )
         return place_prompt(
-            need, candidates, place, now, self._find_agreed(exchange, candidates)
+            prompt,
+            candidates,
+            locality,
+            now,
+            self._find_preferred(exchange, candidates),
         )
 
-    def _find_agreed(
+    def _find_preferred(
         self, exchange: Exchange, candidates: list[ServerRecord]
     ) -> list[BackendServerId]:
-        """Return the servers that the last part which prompts share belongs to."""
-        parts = exchange.facts.parts
+        """Return the servers that the prompt's last shared part hashes to.
+
+        The last part of a prompt is its own and not shared with others.
+        """
+        parts = exchange.info.parts
         if len(parts) < 2:
             return []
         among = {record.server.server_id for record in candidates}
-        return self._parts.servers.find_agreed(
+        return self._deps.servers.find_agreed(
             exchange.service, parts[-2].part_id, among
         )
 
-    def find_patience(self, exchange: Exchange, placement: Placement) -> float | None:
-        """Return how long a silent server is waited for before another is asked."""
+    def find_silence_timeout(
+        self, exchange: Exchange, placement: Placement
+    ) -> float | None:
+        """Return the seconds without data after which an attempt may be given up.
+
+        :returns: ``None`` if the request cannot be retried.
+        """
         route = exchange.route
         if not route.repeatable or exchange.runs + 1 >= route.attempts:
             return None
-        if exchange.facts.prompt_tokens is None:
-            return max(route.target, LEAST_PATIENCE_SECONDS)
-        pace = self._parts.workloads.pace_of(exchange.service)
+        if exchange.info.prompt_tokens is None:
+            return max(route.target, MIN_SILENCE_TIMEOUT_SECONDS)
+        pace = self._deps.workloads.pace_of(exchange.service)
         expected = pace.expect(placement.queued_tokens + placement.fresh_tokens)
         return max(
-            expected * PATIENCE_FACTOR + PATIENCE_SECONDS,
-            route.target * TARGET_PART,
-            LEAST_PATIENCE_SECONDS,
+            expected * SILENCE_TIMEOUT_FACTOR + SILENCE_TIMEOUT_MARGIN_SECONDS,
+            route.target * MIN_TARGET_FRACTION,
+            MIN_SILENCE_TIMEOUT_SECONDS,
         )
 
-    def may_leave(self, exchange: Exchange) -> bool:
-        """Take a repeat for a request whose server is silent, if it may have one."""
-        if not self.find_able(self.find_candidates(exchange)):
+    def reserve_retry(self, exchange: Exchange) -> bool:
+        """Take a retry from the budget if another server is available."""
+        if not self.filter_by_rate_limit(self.find_candidates(exchange)):
             return False
-        return self._parts.budget.take(exchange.service, self._clock.monotonic())
+        return self._deps.budget.take(exchange.service, self._clock.monotonic())
 
-    def may_go_on(self, exchange: Exchange, failure: AttemptFailure) -> bool:
-        """Tell whether there is another attempt, and take what it costs."""
-        if failure.paid:
+    def may_retry(self, exchange: Exchange, failure: AttemptFailure) -> bool:
+        """Tell whether to make another attempt, and take it from the retry budget."""
+        if failure.retry_reserved:
             return True
         route = exchange.route
         now = self._clock.monotonic()
-        if exchange.sends > route.attempts + EXTRA_SENDS:
+        if exchange.sends > route.attempts + MAX_EXTRA_SENDS:
             return False
-        if self._parts.crashes.quarantine.find_wait(exchange.content, now):
+        if self._deps.crashes.quarantine.find_wait(exchange.content, now):
             return False
         if failure.outcome is not Outcome.NOT_RUN:
             if not route.repeatable or exchange.runs >= route.attempts:
@@ -145,4 +160,4 @@
             return False
         if failure.ending is Ending.UNREACHED:
             return True
-        return self._parts.budget.take(exchange.service, now)
+        return self._deps.budget.take(exchange.service, now)
--- a/libs/serving/fireflyhitch_serving/client.py
+++ b/libs/serving/fireflyhitch_serving/client.py
@@ -1,4 +1,4 @@
-"""Whole calls over HTTP to one address, as the platform's services take them."""
+"""HTTP client for the platform's services."""
 
 import asyncio
 
@@ -14,22 +14,22 @@
 from fireflyhitch_serving.errors import ServerError
 from fireflyhitch_serving.messages import Headers, render_request
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 
 
 @immutable
 class HttpAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class HttpClient:
-    """Makes calls; each waiting call has a connection of its own."""
+    """Sends calls to one address; each pending call has a connection of its own."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
-        """Make a client without connections."""
+        """Create a client without connections."""
         self.address = address
         self._clock = clock
         self._pool = ConnectionPool()
@@ -43,15 +43,16 @@
         body: bytes = b'',
         timeout: float,
     ) -> HttpAnswer:
-        """Make one call.
+        """Send a request and return its response.
 
-        :param timeout: seconds to the whole answer.
-        :raises ServerError: if there is none; its outcome says what is known.
+        :param timeout: seconds to the complete response.
+        :raises ServerError: without a response; its outcome tells whether the call may
+            have run.
         """
         host = (b'Host', str(self.address).encode())
         request = render_request(method, target, [host, *(headers or ())], body)
         try:
-            # Opening a connection counts: a leader's call has to end before its lease.
+            # Includes connecting, since a leader's call must end before its lease does.
             async with asyncio.timeout(timeout):
                 return await self._call(request)
         except TimeoutError as error:
@@ -63,19 +64,19 @@
             ) from error
 
     async def _call(self, request: bytes) -> HttpAnswer:
-        kept = self._pool.take(self._clock.monotonic())
-        connection = kept or await connect(self.address, CONNECT_SECONDS)
-        whole = False
+        pooled = self._pool.take(self._clock.monotonic())
+        connection = pooled or await connect(self.address, CONNECT_TIMEOUT_SECONDS)
+        fully_read = False
         try:
-            answer = await _exchange(connection, request)
-            whole = True
+            response = await _exchange(connection, request)
+            fully_read = True
         finally:
-            if whole:
-                self._pool.give_back(connection, self._clock.monotonic())
+            if fully_read:
+                self._pool.release(connection, self._clock.monotonic())
             else:
-                # What is lost on a connection may come late on it.
+                # The missing response may still arrive on this connection.
                 connection.close()
-        return answer
+        return response
 
 
 async def _exchange(connection: ServerConnection, request: bytes) -> HttpAnswer:
--- a/libs/serving/fireflyhitch_serving/connections.py
+++ b/libs/serving/fireflyhitch_serving/connections.py
@@ -1,7 +1,7 @@
-"""Connections to backend servers and to the platform: one exchange at a time.
+"""HTTP/1.1 connections to backend servers and to the platform, without pipelining.
 
-``urllib3`` would need a thread for each answer awaited; here all connections of
-the process share one event loop, and ``httptools`` (llhttp) reads the answers.
+``urllib3`` would need a thread for each pending response. Here all connections share one
+event loop, and ``httptools`` (llhttp) parses the responses.
 """
 
 import asyncio
@@ -15,38 +15,42 @@
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_serving.errors import ServerError
 from fireflyhitch_serving.messages import Headers, find_header
-from fireflyhitch_serving.sockets import probe_peer, reset_on_close, send_at_once
-
-# A peer that acknowledges nothing for this long is taken for cut off. Links are
-# at most some ms long; a retransmission after a lost packet takes 0.2 to 0.8 s.
-SILENT_MS = 1500
-# A waiting connection whose peer is gone without a word is found by probes: after
-# 1 s of silence, then one each second, given up by SILENT_MS.
+from fireflyhitch_serving.sockets import (
+    enable_keepalive,
+    reset_on_close,
+    set_send_options,
+)
+
+# A peer that acknowledges nothing for this long is regarded as disconnected. Link latency
+# is at most a few ms; a retransmission after a lost packet takes 0.2 to 0.8 s.
+ACK_TIMEOUT_MS = 1500
+# TCP keep-alive detects a peer that vanished while a connection waits: the first probe is
+# sent after 1 s without data, then one each second until ACK_TIMEOUT_MS.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# An answer waits here until its caller has taken what came before it.
-MOST_UNREAD_BYTES = 262144
-# What a server's idle connection is kept for if it names no time.
-DEFAULT_KEEP_SECONDS = 4.0
-# Part of the named time for which a connection is used: the server's clock runs
-# from its last byte, and a request sent as it closes may or may not have run.
-KEEP_PART = 0.6
-# Idle connections kept to one server; it takes some hundred from all daemons.
-MOST_IDLE = 32
+# Reading from the server pauses while more than this waits for the caller.
+MAX_UNREAD_BYTES = 262144
+# Keep-alive timeout of a server that states none.
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
+# A connection is reused for this fraction of the server's keep-alive timeout: the server
+# counts from its last byte, and whether a request sent while it closes has run is unknown.
+KEEP_ALIVE_FRACTION = 0.6
+# Idle connections kept to one server, which accepts some hundred from all daemons.
+MAX_IDLE = 32
 
 
 @immutable
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
-        :raises ValueError: if it is none.
+        :raises ValueError: if the text has another form.
         """
         host, _, port = text.rpartition(':')
         if not host:
@@ -60,77 +64,77 @@
 
 @immutable
 class AnswerHead:
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
 
 
-class _Mark(Enum):
+class _Marker(Enum):
     END = 'end'
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection that carries requests one after the other."""
+    """A connection that sends requests one after the other."""
 
     def __init__(self, address: Address) -> None:
-        """Make a protocol; ``connect`` opens one."""
+        """Create a protocol; ``connect`` opens a connection with one."""
         self.address = address
         self.idle_since = 0.0
-        self.keep_seconds = DEFAULT_KEEP_SECONDS
+        self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._events: deque[AnswerHead | bytes | _Mark] = deque()
-        self._unread = 0
+        self._events: deque[AnswerHead | bytes | _Marker] = deque()
+        self._unread_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._headers: Headers = []
         self._until_close = False
-        self._in_answer = False
-        self._awaited = False
-        self._fault: str | None = None
-        self._keep = True
+        self._in_response = False
+        self._response_expected = False
+        self._error: str | None = None
+        self._keep_alive = True
         self._closed = False
-        self._bodyless = False
+        self._no_body = False
 
-    # What the owner calls
+    # Called by the owner
 
-    def send(self, request: bytes, *, bodyless: bool = False) -> None:
+    def send(self, request: bytes, *, no_body: bool = False) -> None:
         """Send a request.
 
-        :param bodyless: whether its answer has no body whatever its head says.
+        :param no_body: whether the response has no body, whatever its headers say.
         """
         assert self._transport is not None
-        self._awaited = True
-        self._bodyless = bodyless
-        self._keep = True
+        self._response_expected = True
+        self._no_body = no_body
+        self._keep_alive = True
         self._transport.write(request)
 
     async def read_head(self) -> AnswerHead:
-        """Wait for an answer's head.
+        """Wait for the head of a response.
 
-        :raises ServerError: if the connection ends or says something else.
+        :raises ServerError: if the connection closes or the response is invalid.
         """
-        event = await self._next()
-        while isinstance(event, bytes) or event is _Mark.END:
-            # What is left of an answer that was for nobody.
-            event = await self._next()
+        event = await self._next_event()
+        while isinstance(event, bytes) or event is _Marker.END:
+            # The rest of a response that was discarded.
+            event = await self._next_event()
         return event
 
     async def read_body(self) -> bytes:
-        """Return the next bytes of the body, none at its end.
+        """Return the next bytes of the body, or ``b''`` at its end.
 
-        :raises ServerError: if it breaks off.
+        :raises ServerError: if the connection closes before.
         """
-        event = await self._next()
-        if event is _Mark.END:
+        event = await self._next_event()
+        if event is _Marker.END:
             return b''
         assert isinstance(event, bytes)
         return event
 
     async def read_whole_body(self) -> bytes:
-        """Return all that is left of the body.
+        """Return the rest of the body.
 
-        :raises ServerError: if it breaks off.
+        :raises ServerError: if the connection closes before its end.
         """
         parts: list[bytes] = []
         while part := await self.read_body():
@@ -138,120 +142,124 @@
         return b''.join(parts)
 
     def finish(self, now: float) -> bool:
-        """End an exchange whose answer was read whole.
+        """End an exchange whose response was read completely.
 
-        :returns: whether the connection can carry another.
+        :param now: monotonic time.
+        :returns: whether the connection is reusable; if not, it is closed.
         """
-        self._awaited = False
+        self._response_expected = False
         self.idle_since = now
-        self._bodyless = False
-        if self._events or self._in_answer or not self._usable():
+        self._no_body = False
+        if self._events or self._in_response or not self._is_usable():
             self.close()
             return False
         return True
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether an idle connection may carry a request."""
-        return self._usable() and now - self.idle_since < self.keep_seconds * KEEP_PART
+        """Tell whether an idle connection may be used for a request."""
+        return (
+            self._is_usable()
+            and now - self.idle_since < self.keep_alive_seconds * KEEP_ALIVE_FRACTION
+        )
 
     def close(self) -> None:
-        """Close it; a server drops the request that it was working on."""
+        """Close the connection; the server cancels a request in progress."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
 
-    # What asyncio calls
+    # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set up the socket."""
+        """Set the socket's options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        send_at_once(transport, SILENT_MS)
-        probe_peer(transport, KEEPALIVE_SECONDS, KEEPALIVE_PROBES)
+        set_send_options(transport, ACK_TIMEOUT_MS)
+        enable_keepalive(transport, KEEPALIVE_SECONDS, KEEPALIVE_PROBES)
         reset_on_close(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes in."""
-        if not self._awaited:
-            # Nobody asked: such bytes belong to no request.
-            self._fail('bytes without a request')
+        """Parse received bytes."""
+        if not self._response_expected:
+            # The bytes belong to no request.
+            self._set_error('received bytes without a request')
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(f'not an HTTP answer: {error}')
+            self._set_error(f'invalid HTTP answer: {error}')
             self.close()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """End an answer that lasts until the connection's end."""
-        if self._until_close and self._in_answer:
-            self._in_answer = False
-            self._events.append(_Mark.END)
-        self._fail('closed by the server')
+        """End a response whose body lasts until the connection closes."""
+        if self._until_close and self._in_response:
+            self._in_response = False
+            self._events.append(_Marker.END)
+        self._set_error('connection closed by the server')
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end."""
+        """Record that the connection is closed."""
         self._closed = True
-        self._fail(repr(exc) if exc else 'closed')
+        self._set_error(repr(exc) if exc else 'connection closed')
 
-    # What the parser calls
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Reset the state for a new response."""
         self._headers = []
-        self._in_answer = True
+        self._in_response = True
         self._until_close = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header in."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take the head in."""
+        """Queue the head, except for interim responses (1xx)."""
         status = self._parser.get_status_code()
         if status < HTTPStatus.OK:
             return
         self._events.append(AnswerHead(status, self._headers))
-        self._note_framing()
+        self._record_framing()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body in."""
+        """Queue a part of the body."""
         self._events.append(body)
-        self._unread += len(body)
-        if self._unread > MOST_UNREAD_BYTES and self._transport is not None:
+        self._unread_bytes += len(body)
+        if self._unread_bytes > MAX_UNREAD_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """End an answer."""
-        self._in_answer = False
+        """Queue the end of the response."""
+        self._in_response = False
         if self._parser.get_status_code() >= HTTPStatus.OK:
-            self._keep = self._keep and self._parser.should_keep_alive()
-            self._events.append(_Mark.END)
+            self._keep_alive = self._keep_alive and self._parser.should_keep_alive()
+            self._events.append(_Marker.END)
 
-    def _note_framing(self) -> None:
+    def _record_framing(self) -> None:
         headers = self._headers
         length = find_header(headers, b'content-length')
         coding = find_header(headers, b'transfer-encoding')
         self._until_close = length is None and coding is None
-        if self._until_close or self._bodyless:
-            self._keep = False
-        if self._bodyless:
-            self._in_answer = False
-            self._events.append(_Mark.END)
+        if self._until_close or self._no_body:
+            self._keep_alive = False
+        if self._no_body:
+            self._in_response = False
+            self._events.append(_Marker.END)
         keep_alive = find_header(headers, b'keep-alive') or b''
         for word in keep_alive.split(b','):
             name, _, value = word.strip().partition(b'=')
             if name.lower() == b'timeout' and value.isdigit():
-                self.keep_seconds = float(value)
+                self.keep_alive_seconds = float(value)
 
-    async def _next(self) -> AnswerHead | bytes | _Mark:
+    async def _next_event(self) -> AnswerHead | bytes | _Marker:
         while not self._events:
-            if self._fault is not None:
+            if self._error is not None:
                 raise ServerError(
-                    self._fault,
+                    self._error,
                     step=Step.FIRST_BYTE,
                     peer=str(self.address),
                     outcome=Outcome.UNKNOWN,
@@ -263,35 +271,38 @@
                 self._waiter = None
         event = self._events.popleft()
         if isinstance(event, bytes):
-            self._unread -= len(event)
-            if self._transport is not None and self._unread <= MOST_UNREAD_BYTES:
+            self._unread_bytes -= len(event)
+            if self._transport is not None and self._unread_bytes <= MAX_UNREAD_BYTES:
                 self._transport.resume_reading()
         return event
 
-    def _usable(self) -> bool:
+    def _is_usable(self) -> bool:
         transport = self._transport
         return (
-            self._keep
-            and self._fault is None
+            self._keep_alive
+            and self._error is None
             and not self._closed
             and transport is not None
-            # A request whose body is not out yet must not get another's behind it.
+            # The request may not be sent completely, so no other can follow it.
             and not transport.get_write_buffer_size()
         )
 
-    def _fail(self, fault: str) -> None:
-        if self._fault is None:
-            self._fault = fault
-        self._wake()
+    def _set_error(self, error: str) -> None:
+        if self._error is None:
+            self._error = error
+        self._wake_reader()
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         waiter = self._waiter
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
 
 class Reach(Enum):
-    """What became of a try to open a connection."""
+    """The result of an attempt to open a connection.
+
+    ``SILENT`` stands for all errors other than a refused connection.
+    """
 
     OPEN = 'open'
     REFUSED = 'refused'
@@ -299,7 +310,7 @@
 
 
 async def reach(address: Address, timeout: float) -> Reach:
-    """Tell whether anybody listens at an address.
+    """Open and close a connection to find out whether a process listens at an address.
 
     :param timeout: seconds.
     """
@@ -316,7 +327,7 @@
     """Open a connection.
 
     :param timeout: seconds.
-    :raises ServerError: with outcome ``not-run``, since nothing was sent.
+    :raises ServerError: if it fails; its outcome is ``not-run``.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -326,7 +337,7 @@
             )
     except (OSError, TimeoutError) as error:
         raise ServerError(
-            f'not reached: {error!r}',
+            f'address not reached: {error!r}',
             step=Step.CONNECT,
             peer=str(address),
             outcome=Outcome.NOT_RUN,
@@ -335,15 +346,15 @@
 
 
 class ConnectionPool:
-    """Idle connections to one server, the last used first."""
+    """Idle connections to one server; the most recently used is reused first."""
 
-    def __init__(self, most_idle: int = MOST_IDLE) -> None:
-        """Make an empty pool."""
-        self._most_idle = most_idle
+    def __init__(self, max_idle: int = MAX_IDLE) -> None:
+        """Create an empty pool."""
+        self._max_idle = max_idle
         self._idle: list[ServerConnection] = []
 
     def take(self, now: float) -> ServerConnection | None:
-        """Return an idle connection that can be used."""
+        """Remove and return a reusable connection, if there is one."""
         while self._idle:
             found = self._idle.pop()
             if found.is_fresh(now):
@@ -351,11 +362,14 @@
             found.close()
         return None
 
-    def give_back(self, connection: ServerConnection, now: float) -> None:
-        """Keep a connection whose answer was read whole, if it can be kept."""
+    def release(self, connection: ServerConnection, now: float) -> None:
+        """Return a connection to the pool, or close it if it is not reusable.
+
+        Its last response must have been read completely.
+        """
         if not connection.finish(now):
             return
-        if len(self._idle) >= self._most_idle:
+        if len(self._idle) >= self._max_idle:
             connection.close()
             return
         self._idle.append(connection)
--- a/libs/serving/fireflyhitch_serving/edge.py
+++ b/libs/serving/fireflyhitch_serving/edge.py
@@ -1,4 +1,7 @@
-"""What an edge does: it turns bytes into typed facts and back, and decides nothing."""
+"""The interface of an edge, which translates between HTTP headers and typed values.
+
+An edge makes no routing decisions.
+"""
 
 from datetime import timedelta
 from typing import Protocol
@@ -17,12 +20,12 @@
 
 @immutable
 class Sending:
-    """What an attempt adds to its request.
+    """The values that an attempt adds to its request.
 
-    :param time_left: seconds that the server may work on it.
-    :param urgency: 0 is admitted first at a model engine; ``None`` for services
-        that know none.
-    :param last_event: id of the event after which the stream is to go on.
+    :param time_left: seconds that the server has to respond.
+    :param urgency: priority at a model engine, 0 is admitted first; ``None`` for other
+        services.
+    :param last_event: id of the event after which the stream resumes.
     """
 
     server_id: BackendServerId
@@ -34,10 +37,10 @@
 
 @immutable
 class Refusal:
-    """A final answer of the daemon's own.
+    """A final response by the daemon itself.
 
-    :param outcome: ``not-run`` only where that is certain.
-    :param retry_after: when the caller may ask again.
+    :param outcome: ``not-run`` only if that is certain.
+    :param retry_after: after which the caller may retry.
     """
 
     status: int
@@ -49,7 +52,7 @@
 
 @immutable
 class RenderedAnswer:
-    """An answer ready to be sent."""
+    """A complete response, ready to be sent."""
 
     status: int
     headers: Headers
@@ -57,25 +60,25 @@
 
 
 class BadRequestError(Exception):
-    """A request lacks what its edge asks for, or says it wrongly."""
+    """A request lacks a required header or has an invalid one."""
 
 
 class Edge(Protocol):
-    """An interface that requests come in by."""
+    """Parses and renders the messages of one kind of HTTP interface."""
 
     def read_request(self, message: CallerMessage) -> RequestFacts:
-        """Read a request's facts.
+        """Parse the information in a request.
 
-        :raises BadRequestError: if they cannot be read.
+        :raises BadRequestError: if a header is missing or invalid.
         """
 
-    def render_request(self, message: CallerMessage, sending: Sending) -> bytes:
-        """Return the request as it goes to a server."""
+    def render_request(self, message: CallerMessage, context: Sending) -> bytes:
+        """Return the request as it is sent to a server."""
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Read the facts in a server's answer."""
+        """Parse the information in the head of a server's response."""
 
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
     ) -> RenderedAnswer:
-        """Return a final answer of the daemon's own."""
+        """Return a final response by the daemon itself."""
--- a/libs/serving/fireflyhitch_serving/errors.py
+++ b/libs/serving/fireflyhitch_serving/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the path of a request."""
+"""Errors in handling a request."""
 
 from fireflyhitch_model.errors import FireflyhitchError
 from fireflyhitch_model.states import Outcome, Step
 
 
 class ServerError(FireflyhitchError):
-    """A server was not reached, broke off, or said something that is no answer.
+    """A server was unreachable, closed the connection, or sent an invalid response.
 
-    :param outcome: ``not-run`` if nothing can have run, else ``unknown``.
+    :param outcome: ``not-run`` if the request cannot have run, else ``unknown``.
     """
 
     def __init__(
@@ -17,9 +17,9 @@
         self.outcome = outcome
 
 
-class SilentError(ServerError):
-    """A server is silent, and another one has been paid for."""
+class UnresponsiveServerError(ServerError):
+    """A server sends nothing, and a retry has been taken from the budget."""
 
 
-class CallerGone(Exception):
-    """The caller closed its connection before its answer was whole."""
+class CallerDisconnected(Exception):
+    """The caller closed its connection before the response was complete."""
--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -1,4 +1,4 @@
-"""Cuts a stream's bytes into whole events and follows their ids."""
+"""Splits a stream of server-sent events into whole events and checks their ids."""
 
 from dataclasses import dataclass
 
@@ -7,51 +7,52 @@
 
 
 class EventOrderError(Exception):
-    """An event is missing or came twice."""
+    """An event id is not the successor of the last one."""
 
 
 @dataclass(slots=True)
 class EventCutter:
-    """The events of one attempt.
+    """Splits the streams of a request's attempts.
 
-    :param last_id: of the last event that was cut, by any attempt.
+    :param last_id: of the last event returned, over all attempts.
     """
 
     last_id: int | None = None
-    _rest: bytes = b''
+    _buffer: bytes = b''
 
     def cut(self, data: bytes) -> bytes:
-        """Return the whole events that have come, as their server wrote them.
+        """Return the events that are complete, as the server wrote them.
 
-        :raises EventOrderError: if ids do not follow one another. Events that the
-            caller has already are left out.
+        Events that the caller already has are left out.
+
+        :raises EventOrderError: if an event is missing.
         """
-        read = self._rest + data
+        read = self._buffer + data
         end = read.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = read
+            self._buffer = read
             return b''
-        self._rest = read[end:]
+        self._buffer = read[end:]
         return self._check(read[:end])
 
     @property
     def torn(self) -> bool:
-        """Tell whether a part of an event has come."""
-        return bool(self._rest)
+        """Tell whether an incomplete event is buffered."""
+        return bool(self._buffer)
 
     def restart(self) -> None:
-        """Begin to read another attempt's bytes."""
-        self._rest = b''
+        """Discard buffered bytes before another attempt."""
+        self._buffer = b''
 
     def _check(self, data: bytes) -> bytes:
         passed: list[bytes] = []
         for event in data.split(EVENT_END)[:-1]:
             event_id = _find_id(event)
-            if event_id is None or self._follows(event_id):
+            if event_id is None or self._accept_id(event_id):
                 passed.append(event + EVENT_END)
         return b''.join(passed)
 
-    def _follows(self, event_id: int) -> bool:
+    def _accept_id(self, event_id: int) -> bool:
         last = self.last_id
         if last is not None and event_id <= last:
             return False
--- a/libs/serving/fireflyhitch_serving/exchanges.py
+++ b/libs/serving/fireflyhitch_serving/exchanges.py
@@ -1,4 +1,4 @@
-"""One request on its way, and how its attempts ended."""
+"""The state of a request in flight and the failures of its attempts."""
 
 from dataclasses import dataclass, field
 
@@ -16,71 +16,72 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request that was admitted.
+    """An admitted request.
 
-    :param deadline: monotonic seconds by which its caller has a final answer.
-    :param content: the same for all requests that ask the same of it.
-    :param charged: units taken from the customer's quota.
-    :param tried: servers that it was sent to, or that could not be reached.
+    :param deadline: monotonic seconds by which the caller gets a final response.
+    :param content: identifies the request's content; equal for repeats of a request.
+    :param charged_units: units taken from the customer's quota.
+    :param tried_servers: servers of all attempts, unreachable ones included.
     :param runs: attempts that a server may have run.
     :param sends: attempts that were sent.
-    :param counted: whether it is in the usage of its customer.
-    :param waits: whether it has waited for a place at a server.
-    :param reading: prompt tokens that its present server has yet to read.
-    :param attempt_began: monotonic seconds of the present attempt's begin.
-    :param first_event_at: of the present attempt's first event or whole answer.
-    :param lateness: of that, as a multiple of what was expected.
+    :param usage_counted: whether it is in the usage of its customer.
+    :param has_waited: whether it has waited for a server.
+    :param unread_prompt_tokens: prompt tokens that the current server has yet to read.
+    :param attempt_started: monotonic start time of the current attempt.
+    :param first_event_at: monotonic time of the current attempt's first event or
+        complete response.
+    :param lateness: time to that event as a multiple of the expected time.
     """
 
-    message: CallerMessage
-    facts: RequestFacts
+    request: CallerMessage
+    info: RequestFacts
     route: Route
     service: DeploymentId
     customer: Customer | None
     reply: Reply
     deadline: float
     content: ContentId
-    charged: float = 0
-    tried: set[BackendServerId] = field(default_factory=set)
+    charged_units: float = 0
+    tried_servers: set[BackendServerId] = field(default_factory=set)
     runs: int = 0
     sends: int = 0
-    counted: bool = False
-    waits: bool = False
-    reading: int = 0
-    attempt_began: float = 0
+    usage_counted: bool = False
+    has_waited: bool = False
+    unread_prompt_tokens: int = 0
+    attempt_started: float = 0
     first_event_at: float | None = None
     lateness: float = 1
     events: EventCutter = field(default_factory=EventCutter)
 
     @property
     def urgency(self) -> int:
-        """Return the rank of its customer, or else of its route; 0 is first."""
+        """Return the priority of its customer, or else of its route; 0 is first."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
 
-def find_content(message: CallerMessage, customer: Customer | None) -> ContentId:
-    """Return what a request has in common with its repeats."""
+def find_content(request: CallerMessage, customer: Customer | None) -> ContentId:
+    """Return an id of a request's content, equal for repeats of the request."""
     return identify_content(
         customer.name if customer else None,
-        message.method.decode('latin-1'),
-        message.target.decode('latin-1'),
-        message.body,
+        request.method.decode('latin-1'),
+        request.target.decode('latin-1'),
+        request.body,
     )
 
 
 @immutable
 class AttemptFailure:
-    """An attempt that gave no answer which its caller can use.
+    """An attempt without a response that the caller can use.
 
-    :param outcome: ``not-run`` only where the server said so or nothing was sent.
-    :param paid: whether its repeat was taken from the budget already.
-    :param answer: the server's own failure, passed on if nothing better comes.
+    :param outcome: ``not-run`` only if the server said so or nothing was sent.
+    :param retry_reserved: whether a retry was already taken from the budget.
+    :param response: the server's error response, forwarded if no attempt succeeds.
     """
 
     ending: Ending
     outcome: Outcome
     detail: str
-    answer: RenderedAnswer | None = None
-    paid: bool = False
+    response: RenderedAnswer | None = None
+    retry_reserved: bool = False
--- a/libs/serving/fireflyhitch_serving/lifecycle.py
+++ b/libs/serving/fireflyhitch_serving/lifecycle.py
@@ -1,4 +1,4 @@
-"""When a daemon says that it is ready, and how it stops without cutting anyone off."""
+"""Readiness of a daemon and its graceful shutdown."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,25 +11,26 @@
 from fireflyhitch_serving.callers import FrontState, Reply
 from fireflyhitch_serving.messages import CallerMessage
 
-# The balancer asks once a second and leaves after two refusals: until then callers
-# still get this daemon for their new connections.
-BALANCER_SECONDS = 2.6
-# Answers get all of the time allowed but for this, in which the process ends.
-EXIT_SECONDS = 0.6
-LOOK_SECONDS = 0.05
-# Kept connections are closed in steps, so that callers do not all come back at once.
-QUIET_SECONDS = 0.3
+# The load balancer checks readiness once a second and removes the daemon after two
+# failures. Until then it still sends callers' new connections here.
+BALANCER_LEAVE_SECONDS = 2.6
+# Part of the grace period reserved for the process to exit after the last response.
+EXIT_MARGIN_SECONDS = 0.6
+POLL_SECONDS = 0.05
+# Idle connections are closed over several polls, so that callers don't all reconnect at
+# once; shutdown ends after this long without a connection.
+NO_CONNECTION_SECONDS = 0.3
 
 
 @dataclass(slots=True)
 class Lifecycle:
-    """A daemon's state towards the balancer.
+    """A daemon's state as seen by the load balancer.
 
-    :param serviceable: whether it knows enough to serve, and why not.
+    :param serviceable: returns why the daemon cannot serve yet, or ``None`` if it can.
     :param grace: seconds from the order to stop until the process is killed.
-    :param last_moment: monotonic seconds at which a stopping process ends, once the
-        balancer had time to leave. It goes on sending callers where it has too few
-        other daemons, and what is taken then must end before the process does.
+    :param last_moment: monotonic time at which a stopping process exits, set when the
+        balancer has had time to remove the daemon. A balancer with too few other daemons
+        still sends callers, whose requests must complete before the process exits.
     """
 
     front: FrontState
@@ -40,37 +41,37 @@
     was_ready: bool = False
     last_moment: float | None = None
 
-    async def answer_readiness(self, message: CallerMessage, reply: Reply) -> None:
-        """Answer the balancer."""
+    async def answer_readiness(self, request: CallerMessage, reply: Reply) -> None:
+        """Respond to a readiness check, whatever its path."""
         reason = 'stopping' if self.stopping else self.serviceable()
         ready = reason is None
         if ready != self.was_ready:
             self.was_ready = ready
             logger.bind(reason=reason).info('ready' if ready else 'not ready')
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
-        reply.send_whole(status, [], b'')
+        reply.send_response(status, [], b'')
 
     async def stop(self) -> None:
-        """Leave the balancer, answer what was asked, and return.
+        """Fail readiness checks, complete the requests in flight, and return.
 
-        Until the balancer has left, callers with new connections are served.
+        New connections are served until the balancer has removed the daemon.
         """
         started = self.clock.monotonic()
-        until = started + self.grace - EXIT_SECONDS
+        until = started + self.grace - EXIT_MARGIN_SECONDS
         self.stopping = True
         logger.bind(busy=self.front.busy).info('stopping')
-        await asyncio.sleep(BALANCER_SECONDS)
+        await asyncio.sleep(BALANCER_LEAVE_SECONDS)
         self.front.closing = True
         self.last_moment = until
-        quiet_since = self.clock.monotonic()
+        last_connected = self.clock.monotonic()
         while self.clock.monotonic() < until:
             self.front.close_idle()
             now = self.clock.monotonic()
             if self.front.connections:
-                quiet_since = now
-            if now - quiet_since > QUIET_SECONDS:
+                last_connected = now
+            if now - last_connected > NO_CONNECTION_SECONDS:
                 break
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         logger.bind(
             busy=self.front.busy, seconds=round(self.clock.monotonic() - started, 2)
         ).info('stopped')
--- a/libs/serving/fireflyhitch_serving/messages.py
+++ b/libs/serving/fireflyhitch_serving/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the path of a request holds them, and the typed facts in them."""
+"""HTTP messages and the typed information in them."""
 
 from http import HTTPStatus
 
@@ -8,7 +8,7 @@
 Header = tuple[bytes, bytes]
 Headers = list[Header]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1).
+# Hop-by-hop headers (RFC 9110, 7.6.1) and those that this proxy sets itself.
 CONNECTION_HEADERS = frozenset(
     (
         b'connection',
@@ -28,9 +28,9 @@
 
 @immutable
 class CallerMessage:
-    """A whole request as a caller sent it.
+    """A complete request as sent by a caller.
 
-    :param arrived: monotonic seconds at which its head was read.
+    :param arrived: monotonic time at which its head was complete.
     """
 
     method: bytes
@@ -42,7 +42,10 @@
 
 @immutable
 class PromptPart:
-    """A part of a prompt; equal ids have equal tokens."""
+    """A part of a prompt; parts with equal ids have the same tokens.
+
+    :param tokens: number of tokens.
+    """
 
     part_id: str
     tokens: int
@@ -50,14 +53,14 @@
 
 @immutable
 class RequestFacts:
-    """What decisions need to know of a request, whatever its edge.
+    """The information in a request that is used for routing, whatever its edge.
 
     :param host: without a port.
-    :param key: the caller's key; ``None`` if it sent none.
-    :param time_left: seconds that the caller will wait; ``None`` if unsaid.
-    :param last_event: id of the event after which a stream is to go on.
+    :param key: the caller's API key, if any.
+    :param time_left: seconds that the caller will wait, if stated.
+    :param last_event: id of the last event received; a stream resumes after it.
     :param parts: of the prompt, in order.
-    :param hinted_tokens: the caller's guess of the answer's tokens.
+    :param hinted_tokens: the caller's estimate of the response's tokens.
     """
 
     request_id: RequestId
@@ -74,7 +77,7 @@
 
     @property
     def tokens(self) -> int | None:
-        """Return prompt and answer tokens together, if the request says them."""
+        """Return the sum of prompt and response tokens, if the request states it."""
         if self.prompt_tokens is None:
             return None
         return self.prompt_tokens + (self.most_answer_tokens or 0)
@@ -82,7 +85,11 @@
 
 @immutable
 class ServerLoadNote:
-    """A server's account of its load in an answer."""
+    """The load that a server reports in a response.
+
+    :param running: requests.
+    :param waiting: requests.
+    """
 
     running: int
     waiting: int
@@ -91,14 +98,14 @@
 
 @immutable
 class AnswerFacts:
-    """What a server's answer says besides its body.
-
-    :param request_id: of the request that it answers; ``None`` if unsaid.
-    :param not_run: whether the server says that it did not run the request.
-    :param signed: whether it bears the server's signature.
-    :param encoded: whether the body is encoded, which nobody asked for.
-    :param limit: requests a second that the server takes from all daemons together;
-        ``None`` if it names none.
+    """The information in the head of a server's response.
+
+    :param request_id: of the request it responds to, if stated.
+    :param not_run: whether the server states that it did not run the request.
+    :param signed: whether it has the server's signature.
+    :param encoded: whether the body has a content encoding, which is never requested.
+    :param limit: requests per second that the server accepts from all daemons together,
+        if stated.
     """
 
     request_id: str | None
@@ -110,7 +117,10 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return a header's value by its name in lower case."""
+    """Return a header's value.
+
+    :param name: in lower case.
+    """
     for known, value in headers:
         if known.lower() == name:
             return value
@@ -118,7 +128,7 @@
 
 
 def drop_connection_headers(headers: Headers) -> Headers:
-    """Return the headers that are for the other end rather than for this one."""
+    """Return the end-to-end headers."""
     named = set(CONNECTION_HEADERS)
     for name, value in headers:
         if name.lower() == b'connection':
@@ -129,7 +139,7 @@
 def render_request(
     method: bytes, target: bytes, headers: Headers, body: bytes = b''
 ) -> bytes:
-    """Return a request's bytes; the body's length is added where there is one."""
+    """Return a request's bytes, with a ``Content-Length`` where it may have a body."""
     lines = [b'%b %b HTTP/1.1' % (method, target)]
     lines.extend(b'%b: %b' % header for header in headers)
     if body or method in {b'POST', b'PUT', b'PATCH'}:
@@ -138,7 +148,7 @@
 
 
 def render_head(status: int, headers: Headers) -> bytes:
-    """Return the head of an answer."""
+    """Return the head of a response."""
     lines = [b'HTTP/1.1 %d %b' % (status, _reason(status))]
     lines.extend(b'%b: %b' % header for header in headers)
     return b'%b\r\n\r\n' % b'\r\n'.join(lines)
--- a/libs/serving/fireflyhitch_serving/metrics_page.py
+++ b/libs/serving/fireflyhitch_serving/metrics_page.py
@@ -1,7 +1,7 @@
-"""The metrics address: counters and histograms in Prometheus' text form.
+"""The metrics endpoint: counters and histograms in the Prometheus text format.
 
-OpenTelemetry takes 0.09 s of processor time to import, which would be time not served
-after each restart. So records wait until the page is asked for the first time.
+Importing OpenTelemetry takes 0.09 s of CPU time, which would delay serving after each
+restart. So records are buffered until the endpoint is requested for the first time.
 """
 
 from collections import deque
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from fireflyhitch_telemetry.metrics import Metrics
 
-# Some minutes of a loaded daemon's requests, at some 200 bytes each.
-MOST_WAITING = 20_000
+# A few minutes of a loaded daemon's requests, at about 200 bytes each.
+MAX_PENDING = 20_000
 
 
 @immutable
 class RequestRecord:
-    """A request that has ended, as it is counted.
+    """A finished request, as counted in the metrics.
 
-    :param first_seconds: to a stream's first event or the whole answer; ``None`` if
-        there was none.
+    :param first_event_seconds: from the request to a stream's first event or the complete
+        response; ``None`` without a response.
     """
 
     customer: CustomerId
@@ -36,33 +36,33 @@
     status: int
     outcome: Outcome
     attempts: int
-    first_seconds: float | None
+    first_event_seconds: float | None
     seconds: float
 
 
 class MetricsPage:
-    """Takes records, and serves what they add up to."""
+    """Counts finished requests and serves the counts."""
 
     def __init__(self) -> None:
-        """Make a page that nobody has asked for."""
-        self._waiting: deque[RequestRecord] = deque(maxlen=MOST_WAITING)
+        """Create an endpoint that buffers records."""
+        self._pending: deque[RequestRecord] = deque(maxlen=MAX_PENDING)
         self._dropped = 0
         self._metrics: Metrics | None = None
 
     def add(self, record: RequestRecord) -> None:
-        """Count a request that has ended."""
+        """Count a finished request."""
         if self._metrics is not None:
             _count(self._metrics, record)
             return
-        self._dropped += len(self._waiting) == MOST_WAITING
-        self._waiting.append(record)
+        self._dropped += len(self._pending) == MAX_PENDING
+        self._pending.append(record)
 
-    async def serve(self, message: CallerMessage, reply: Reply) -> None:
-        """Answer a request for the page, whatever its path."""
+    async def serve(self, request: CallerMessage, reply: Reply) -> None:
+        """Respond with the metrics, whatever the path of the request."""
         if self._metrics is None:
             self._metrics = self._load()
         kind = b'text/plain; version=0.0.4; charset=utf-8'
-        reply.send_whole(
+        reply.send_response(
             HTTPStatus.OK, [(b'Content-Type', kind)], self._metrics.render()
         )
 
@@ -70,12 +70,12 @@
         from fireflyhitch_telemetry.metrics import Metrics  # noqa: PLC0415, WPS433
 
         metrics = Metrics()
-        for record in self._waiting:
+        for record in self._pending:
             _count(metrics, record)
-        logger.bind(records=len(self._waiting), dropped=self._dropped).info(
+        logger.bind(records=len(self._pending), dropped=self._dropped).info(
             'metrics loaded'
         )
-        self._waiting.clear()
+        self._pending.clear()
         return metrics
 
 
@@ -91,7 +91,7 @@
             outcome=record.outcome,
             tokens=0,
             attempts=record.attempts,
-            first_token_seconds=record.first_seconds,
+            first_token_seconds=record.first_event_seconds,
             longest_gap_seconds=0,
             seconds=record.seconds,
         )
--- a/libs/serving/fireflyhitch_serving/parts.py
+++ b/libs/serving/fireflyhitch_serving/parts.py
@@ -1,4 +1,4 @@
-"""What the path of a request is made of."""
+"""The components that handling a request depends on."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -24,7 +24,7 @@
 
 
 class CountAnswer(Protocol):
-    """Takes in how a version answered, as evidence for its move."""
+    """Records how a version responded, as evidence for its move."""
 
     def __call__(
         self,
@@ -35,34 +35,40 @@
         failed: bool,
         seconds: float,
     ) -> None:
-        """Count an answer."""
+        """Record a response.
+
+        :param seconds: to the first event or the complete response.
+        """
 
 
 class FreshParts:
-    """Prompt parts given to servers lately, to be told to peers."""
+    """Prompt parts recently sent to servers, to be reported to peers."""
 
     def __init__(self) -> None:
-        """Make an empty list."""
-        self._now: dict[BackendServerId, list[str]] = {}
-        self._before: dict[BackendServerId, list[str]] = {}
+        """Create an empty record."""
+        self._current: dict[BackendServerId, list[str]] = {}
+        self._previous: dict[BackendServerId, list[str]] = {}
 
     def add(self, server: BackendServerId, parts: Iterable[PromptPart]) -> None:
-        """Note the parts of a prompt that a server was given."""
-        self._now.setdefault(server, []).extend(part.part_id for part in parts)
+        """Record the parts of a prompt sent to a server."""
+        self._current.setdefault(server, []).extend(part.part_id for part in parts)
 
     def take(self) -> dict[BackendServerId, list[str]]:
-        """Return those of the last two turns, since a message may be lost."""
-        told = {server: list(parts) for server, parts in self._before.items()}
-        for server, parts in self._now.items():
-            told.setdefault(server, []).extend(parts)
-        self._before = self._now
-        self._now = {}
-        return told
+        """Return the parts added since the call before the last one.
+
+        Each part is returned twice, since a message may be lost.
+        """
+        recent = {server: list(parts) for server, parts in self._previous.items()}
+        for server, parts in self._current.items():
+            recent.setdefault(server, []).extend(parts)
+        self._previous = self._current
+        self._current = {}
+        return recent
 
 
 @immutable
 class CrashParts:
-    """What guards servers from requests that end them."""
+    """Tracks server crashes and holds back the requests that cause them."""
 
     book: CrashBook
     quarantine: Quarantine
@@ -70,18 +76,19 @@
 
 
 def make_crash_parts(clock: Clock, servers: ServerBook) -> CrashParts:
-    """Return parts that know of no request."""
+    """Create a tracking without records."""
     book = CrashBook()
     return CrashParts(book, Quarantine(book), ServerEndWatch(clock, servers.find, book))
 
 
 @immutable
 class PathParts:
-    """What the path of a request uses.
+    """The components that the request handler uses.
 
-    :param catalog: the configuration in force, if there is one yet.
-    :param last_moment: monotonic seconds by which a stopping process must be done.
-    :param wall: seconds since 1970, corrected by what peers say.
+    :param wall: wall clock in seconds since 1970, corrected by the peers' clocks.
+    :param catalog: the current configuration, if there is one yet.
+    :param silent_domains: failure domains that are probably partitioned from here.
+    :param last_moment: monotonic time by which a stopping process must have finished.
     """
 
     clock: Clock
--- a/libs/serving/fireflyhitch_serving/path.py
+++ b/libs/serving/fireflyhitch_serving/path.py
@@ -1,4 +1,4 @@
-"""The path of a request: admission, choice, attempts, and its final answer."""
+"""Handles a request from admission over its attempts to the final response."""
 
 import asyncio
 from collections.abc import Sequence
@@ -9,12 +9,12 @@
 
 from fireflyhitch_model.ids import CustomerId
 from fireflyhitch_model.states import Outcome
-from fireflyhitch_serving.admission import Admission, RefusedError, refuse_for
-from fireflyhitch_serving.attempts import Attempt, AttemptEvents
+from fireflyhitch_serving.admission import Admission, RefusedError, build_refusal
+from fireflyhitch_serving.attempts import Attempt, AttemptCallbacks
 from fireflyhitch_serving.callers import Reply
-from fireflyhitch_serving.choices import Choices
+from fireflyhitch_serving.choices import AttemptPolicy
 from fireflyhitch_serving.edge import BadRequestError, Refusal
-from fireflyhitch_serving.errors import CallerGone
+from fireflyhitch_serving.errors import CallerDisconnected
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
 from fireflyhitch_serving.messages import AnswerFacts, CallerMessage, RequestFacts
@@ -25,150 +25,155 @@
 from fireflyhitch_serving.servers import ServerRecord
 from fireflyhitch_serving.waiting import WaitingRequests
 
-# An answer needs at least this much; with less left a send would be a token one.
-LEAST_SEND_SECONDS = 0.03
-# In metrics, for requests on public routes.
-NOBODY = CustomerId('')
+# No server can respond in less than this, so no attempt starts with less time left.
+MIN_SEND_SECONDS = 0.03
+# The customer in the metrics of public routes.
+ANONYMOUS = CustomerId('')
 
 
 class RequestPath:
-    """Serves requests; all on one event loop."""
-
-    def __init__(self, parts: PathParts) -> None:
-        """Make a path with nothing in flight."""
-        self._parts = parts
-        self._clock = parts.clock
-        self._admission = Admission(parts)
-        self._choices = Choices(parts)
-        self._events = AttemptEvents(began=self._note_begin, answered=self._note_answer)
+    """Serves requests, all of them on one event loop."""
+
+    def __init__(self, dependencies: PathParts) -> None:
+        """Create a handler without requests in flight."""
+        self._deps = dependencies
+        self._clock = dependencies.clock
+        self._admission = Admission(dependencies)
+        self._policy = AttemptPolicy(dependencies)
+        self._callbacks = AttemptCallbacks(
+            on_progress=self._on_progress, on_head=self._on_head
+        )
         self._waiting = WaitingRequests()
 
-    async def serve(self, message: CallerMessage, reply: Reply) -> None:
-        """Serve one request to its final answer."""
+    async def serve(self, request: CallerMessage, reply: Reply) -> None:
+        """Serve one request up to its final response."""
         try:
-            facts = self._parts.edge.read_request(message)
+            info = self._deps.edge.read_request(request)
         except BadRequestError as error:
             refusal = Refusal(HTTPStatus.BAD_REQUEST, 'bad_request', str(error))
-            self._refuse(refusal, None, reply)
+            self._send_refusal(refusal, None, reply)
             return
         try:
-            exchange = self._admission.admit(message, facts, reply)
+            exchange = self._admission.admit(request, info, reply)
         except RefusedError as error:
-            self._refuse(error.refusal, facts, reply)
+            self._send_refusal(error.refusal, info, reply)
             return
         try:
-            await self._carry_in_time(exchange)
+            await self._serve_with_deadline(exchange)
         except RefusedError as error:
-            self._end_refused(exchange, error.refusal)
-        except CallerGone:
-            logger.bind(request_id=facts.request_id).info('caller left')
+            self._handle_refusal(exchange, error.refusal)
+        except CallerDisconnected:
+            logger.bind(request_id=info.request_id).info('caller left')
         finally:
-            self._record(exchange)
+            self._record_metrics(exchange)
 
-    def _end_refused(self, exchange: Exchange, refusal: Refusal) -> None:
+    def _handle_refusal(self, exchange: Exchange, refusal: Refusal) -> None:
         if exchange.reply.begun:
-            self._break_off(exchange, refusal.message)
+            self._abort_response(exchange, refusal.message)
             return
-        self._refuse(refusal, exchange.facts, exchange.reply)
+        self._send_refusal(refusal, exchange.info, exchange.reply)
 
-    async def _carry_in_time(self, exchange: Exchange) -> None:
+    async def _serve_with_deadline(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
         try:
             async with asyncio.timeout(exchange.deadline - now):
-                await self._carry(exchange)
+                await self._run_attempts(exchange)
         except TimeoutError:
-            self._end_late(exchange)
+            self._handle_timeout(exchange)
         except asyncio.CancelledError:
             logger.bind(
-                request_id=exchange.facts.request_id,
+                request_id=exchange.info.request_id,
                 route=exchange.route.name,
                 runs=exchange.runs,
             ).info('caller left')
             raise
         finally:
-            self._settle(exchange)
+            self._refund_quota(exchange)
 
-    async def _carry(self, exchange: Exchange) -> None:
-        """Send to one server after another until the caller has its answer."""
+    async def _run_attempts(self, exchange: Exchange) -> None:
+        """Try one server after another until the caller has its response."""
         while True:
-            placement = await self._place(exchange)
-            failure = await self._try(exchange, placement)
+            placement = await self._wait_for_placement(exchange)
+            failure = await self._run_attempt(exchange, placement)
             if failure is None:
-                self._log_end(exchange, placement)
+                self._log_success(exchange, placement)
                 return
-            if not self._choices.may_go_on(exchange, failure):
-                self._give_up(exchange, failure)
+            if not self._policy.may_retry(exchange, failure):
+                self._send_failure(exchange, failure)
                 return
 
-    async def _place(self, exchange: Exchange) -> Placement:
+    async def _wait_for_placement(self, exchange: Exchange) -> Placement:
         while True:
-            candidates = self._choices.find_candidates(exchange)
-            able = self._choices.find_able(candidates)
-            placement = self._choices.choose(exchange, able)
+            candidates = self._policy.find_candidates(exchange)
+            available = self._policy.filter_by_rate_limit(candidates)
+            placement = self._policy.choose(exchange, available)
             if placement is not None:
                 return placement
             if not candidates:
-                raise self._without_server(exchange)
-            if not able:
-                self._check_limits(exchange, candidates)
+                raise self._make_no_server_error(exchange)
+            if not available:
+                self._check_rate_limits(exchange, candidates)
             await self._waiting.wait(exchange)
 
-    def _check_limits(
+    def _check_rate_limits(
         self, exchange: Exchange, candidates: Sequence[ServerRecord]
     ) -> None:
-        """Refuse a request whose turn at servers that name limits comes too late.
+        """Refuse a request that cannot be sent within the servers' rate limits in time.
 
-        :raises RefusedError: if so many wait already; those go on waiting.
+        :raises RefusedError: if the requests already waiting use up the rate until
+            this request's deadline. Requests that already wait are not refused.
         """
-        if exchange.waits:
+        if exchange.has_waited:
             return
         waiting = self._waiting.count(exchange.service) + 1
-        wait = waiting / self._choices.find_own_rate(candidates)
+        wait = waiting / self._policy.find_own_rate(candidates)
         if self._clock.monotonic() + wait < exchange.deadline:
             return
         if exchange.runs:
-            raise self._without_server(exchange)
-        raise refuse_for(wait, 'servers_limited', 'the servers take no more requests')
+            raise self._make_no_server_error(exchange)
+        raise build_refusal(
+            wait, 'servers_limited', 'the servers take no more requests'
+        )
 
-    async def _try(
+    async def _run_attempt(
         self, exchange: Exchange, placement: Placement
     ) -> AttemptFailure | None:
         record = placement.record
-        exchange.tried.add(record.server.server_id)
-        if exchange.deadline - self._clock.monotonic() < LEAST_SEND_SECONDS:
+        exchange.tried_servers.add(record.server.server_id)
+        if exchange.deadline - self._clock.monotonic() < MIN_SEND_SECONDS:
             raise TimeoutError
         attempt = Attempt(
             exchange,
             placement,
-            self._parts.edge,
+            self._deps.edge,
             self._clock,
-            self._events,
-            partial(self._choices.may_leave, exchange),
+            self._callbacks,
+            partial(self._policy.reserve_retry, exchange),
         )
         record.requests += 1
-        self._parts.limits.note_sent(record.process)
+        self._deps.limits.note_sent(record.process)
         record.prompt_tokens += placement.fresh_tokens
-        self._parts.workloads.note_read(exchange.service, placement.fresh_tokens)
-        exchange.reading = placement.fresh_tokens
-        record.note_parts(exchange.facts.parts, self._clock.monotonic())
-        self._parts.fresh_parts.add(record.server.server_id, exchange.facts.parts)
+        self._deps.workloads.note_read(exchange.service, placement.fresh_tokens)
+        exchange.unread_prompt_tokens = placement.fresh_tokens
+        record.note_parts(exchange.info.parts, self._clock.monotonic())
+        self._deps.fresh_parts.add(record.server.server_id, exchange.info.parts)
         ending = Ending.CANCELLED
-        exchange.attempt_began = self._clock.monotonic()
+        exchange.attempt_started = self._clock.monotonic()
         exchange.first_event_at = None
         exchange.lateness = 1
         try:
             failure = await attempt.run(
-                self._choices.find_patience(exchange, placement)
+                self._policy.find_silence_timeout(exchange, placement)
             )
             ending = failure.ending if failure else Ending.GOOD
         finally:
-            _end_work(exchange, record)
-            self._note_attempt(exchange, record, ending, sent=attempt.sent)
+            _release_load(exchange, record)
+            self._record_attempt(exchange, record, ending, sent=attempt.sent)
         if failure is not None:
             self._log_failure(exchange, placement, failure)
         return failure
 
-    def _note_attempt(
+    def _record_attempt(
         self, exchange: Exchange, record: ServerRecord, ending: Ending, *, sent: bool
     ) -> None:
         now = self._clock.monotonic()
@@ -176,28 +181,31 @@
             exchange.sends += 1
             exchange.runs += ending is not Ending.REFUSED
         if sent and ending in {Ending.GOOD, Ending.FAILED, Ending.BROKEN}:
-            self._parts.count_answer(
+            self._deps.count_answer(
                 record.server.service,
                 record.server.version,
                 exchange.route.name,
                 failed=ending is not Ending.GOOD,
-                seconds=(exchange.first_event_at or now) - exchange.attempt_began,
+                seconds=(exchange.first_event_at or now) - exchange.attempt_started,
             )
-        self._note_evidence(exchange, record, ending)
-        self._note_crash(exchange, record, ending)
-        usual = self._parts.servers.find_usual_failure_rate(record.server.service)
+        self._record_statistics(exchange, record, ending)
+        self._record_crash(exchange, record, ending)
+        usual = self._deps.servers.find_usual_failure_rate(record.server.service)
         if record.health.record(ending, usual, now):
             logger.bind(
                 server=record.server.server_id,
                 failure_rate=round(record.health.rate, 2),
                 seconds=round(record.health.ejected_until - now, 1),
             ).warning('server ejected')
-        self._waiting.note_freed(exchange.service)
+        self._waiting.wake(exchange.service)
 
-    def _note_evidence(
+    def _record_statistics(
         self, exchange: Exchange, record: ServerRecord, ending: Ending
     ) -> None:
-        """Count an attempt for all daemons; callers that leave say nothing."""
+        """Count an attempt in the failure statistics shared by all daemons.
+
+        Cancelled and refused attempts are no evidence on the server.
+        """
         if ending in {Ending.CANCELLED, Ending.REFUSED}:
             return
         failed = ending is not Ending.GOOD
@@ -205,33 +213,33 @@
         now = self._clock.monotonic()
         record.evidence.note_answer(now, failed=failed, lateness=lateness)
 
-    def _note_crash(
+    def _record_crash(
         self, exchange: Exchange, record: ServerRecord, ending: Ending
     ) -> None:
-        """Have the server looked after if it broke off, or note that it did not end."""
-        crashes = self._parts.crashes
+        """Check for a crash after a broken response; record a complete response."""
+        crashes = self._deps.crashes
         if ending is Ending.BROKEN:
-            crashes.ends.note_broken(record, exchange.content, exchange.attempt_began)
+            crashes.ends.note_broken(record, exchange.content, exchange.attempt_started)
         elif ending is Ending.GOOD:
             crashes.book.note_answer(exchange.content, self._clock.monotonic())
 
-    def _give_up(self, exchange: Exchange, failure: AttemptFailure) -> None:
+    def _send_failure(self, exchange: Exchange, failure: AttemptFailure) -> None:
         reply = exchange.reply
         if reply.begun:
-            self._break_off(exchange, failure.detail)
+            self._abort_response(exchange, failure.detail)
             return
-        if failure.answer is not None:
-            answer = failure.answer
-            reply.send_whole(answer.status, answer.headers, answer.body)
+        if failure.response is not None:
+            response = failure.response
+            reply.send_response(response.status, response.headers, response.body)
             return
-        raise self._without_server(exchange)
+        raise self._make_no_server_error(exchange)
 
-    def _end_late(self, exchange: Exchange) -> None:
+    def _handle_timeout(self, exchange: Exchange) -> None:
         if exchange.reply.begun:
-            self._break_off(exchange, 'the time allowed is over')
+            self._abort_response(exchange, 'the time limit was exceeded')
             return
         if not exchange.runs:
-            raise self._without_server(exchange)
+            raise self._make_no_server_error(exchange)
         raise RefusedError(
             Refusal(
                 HTTPStatus.GATEWAY_TIMEOUT,
@@ -241,10 +249,10 @@
             )
         )
 
-    def _break_off(self, exchange: Exchange, reason: str) -> None:
-        """End a stream that has begun, so that its caller sees that it is not whole."""
+    def _abort_response(self, exchange: Exchange, reason: str) -> None:
+        """Abort a response that has begun, so that the caller sees it is incomplete."""
         logger.bind(
-            request_id=exchange.facts.request_id,
+            request_id=exchange.info.request_id,
             route=exchange.route.name,
             sends=exchange.sends,
             last_event=exchange.events.last_id,
@@ -252,63 +260,63 @@
         ).warning('answer broken off')
         exchange.reply.abort()
 
-    def _settle(self, exchange: Exchange) -> None:
+    def _refund_quota(self, exchange: Exchange) -> None:
         customer = exchange.customer
-        if customer is not None and exchange.charged and not exchange.runs:
-            self._parts.quotas.give_back(customer, exchange.charged)
+        if customer is not None and exchange.charged_units and not exchange.runs:
+            self._deps.quotas.give_back(customer, exchange.charged_units)
 
-    def _record(self, exchange: Exchange) -> None:
+    def _record_metrics(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
-        arrived = exchange.message.arrived
+        arrived = exchange.request.arrived
         first = exchange.first_event_at
-        self._parts.record(
+        self._deps.record(
             RequestRecord(
-                customer=exchange.customer.name if exchange.customer else NOBODY,
+                customer=exchange.customer.name if exchange.customer else ANONYMOUS,
                 service=exchange.service,
                 status=exchange.reply.status,
                 outcome=Outcome.RAN if exchange.runs else Outcome.NOT_RUN,
                 attempts=exchange.sends,
-                first_seconds=None if first is None else first - arrived,
+                first_event_seconds=None if first is None else first - arrived,
                 seconds=now - arrived,
             )
         )
 
-    def _note_begin(self, exchange: Exchange, placement: Placement) -> None:
-        _end_reading(exchange, placement.record)
+    def _on_progress(self, exchange: Exchange, placement: Placement) -> None:
+        _release_prompt_tokens(exchange, placement.record)
         if exchange.first_event_at is None:
             exchange.first_event_at = self._clock.monotonic()
-            self._note_pace(exchange, placement)
-        if exchange.counted:
+            self._record_first_event(exchange, placement)
+        if exchange.usage_counted:
             return
-        exchange.counted = True
+        exchange.usage_counted = True
         if exchange.customer is not None:
-            self._parts.usage.count(exchange.customer.name, self._parts.wall())
+            self._deps.usage.count(exchange.customer.name, self._deps.wall())
 
-    def _note_pace(self, exchange: Exchange, placement: Placement) -> None:
+    def _record_first_event(self, exchange: Exchange, placement: Placement) -> None:
         if exchange.first_event_at is None:
             return
-        seconds = exchange.first_event_at - exchange.attempt_began
-        pace = self._parts.workloads.pace_of(exchange.service)
+        seconds = exchange.first_event_at - exchange.attempt_started
+        pace = self._deps.workloads.pace_of(exchange.service)
         tokens = placement.queued_tokens + placement.fresh_tokens
         exchange.lateness = compare_times(seconds, pace.expect(tokens))
         pace.note(tokens, seconds)
 
-    def _note_answer(
-        self, exchange: Exchange, placement: Placement, facts: AnswerFacts
+    def _on_head(
+        self, exchange: Exchange, placement: Placement, info: AnswerFacts
     ) -> None:
-        if facts.load is not None:
-            placement.record.note_load(facts.load, self._clock.monotonic())
-        # Without a signature it may be another server's, at an address used anew.
-        if facts.signed or facts.limit is not None:
-            self._parts.limits.note_answer(
+        if info.load is not None:
+            placement.record.note_load(info.load, self._clock.monotonic())
+        # An unsigned response may come from another server that reuses the address.
+        if info.signed or info.limit is not None:
+            self._deps.limits.note_answer(
                 placement.record.process,
                 placement.record.server.server_id,
-                facts.limit,
-                exchange.attempt_began,
+                info.limit,
+                exchange.attempt_started,
                 self._clock.monotonic(),
             )
 
-    def _without_server(self, exchange: Exchange) -> RefusedError:
+    def _make_no_server_error(self, exchange: Exchange) -> RefusedError:
         if exchange.runs:
             return RefusedError(
                 Refusal(
@@ -318,46 +326,46 @@
                     Outcome.UNKNOWN,
                 )
             )
-        return self._admission.refuse_for_now(
+        return self._admission.build_transient_refusal(
             'no_server', 'no server can take the request'
         )
 
-    def _refuse(
-        self, refusal: Refusal, facts: RequestFacts | None, reply: Reply
+    def _send_refusal(
+        self, refusal: Refusal, info: RequestFacts | None, reply: Reply
     ) -> None:
-        request_id = facts.request_id if facts else None
+        request_id = info.request_id if info else None
         logger.bind(
             request_id=request_id,
             status=refusal.status,
             code=refusal.code,
             outcome=refusal.outcome.value,
         ).info('request refused')
-        answer = self._parts.edge.render_refusal(refusal, request_id)
+        response = self._deps.edge.render_refusal(refusal, request_id)
         try:
-            reply.send_whole(answer.status, answer.headers, answer.body)
-        except CallerGone:
-            logger.bind(request_id=request_id).info('caller left before its refusal')
+            reply.send_response(response.status, response.headers, response.body)
+        except CallerDisconnected:
+            logger.bind(request_id=request_id).info('caller left before the refusal')
 
     def _log_failure(
         self, exchange: Exchange, placement: Placement, failure: AttemptFailure
     ) -> None:
         logger.bind(
-            request_id=exchange.facts.request_id,
+            request_id=exchange.info.request_id,
             route=exchange.route.name,
             content=exchange.content,
             server=placement.record.server.server_id,
             beside=placement.record.requests,
-            seconds=round(self._clock.monotonic() - exchange.attempt_began, 3),
+            seconds=round(self._clock.monotonic() - exchange.attempt_started, 3),
             ending=failure.ending.value,
             outcome=failure.outcome.value,
             detail=failure.detail,
         ).warning('attempt failed')
 
-    def _log_end(self, exchange: Exchange, placement: Placement) -> None:
+    def _log_success(self, exchange: Exchange, placement: Placement) -> None:
         now = self._clock.monotonic()
-        arrived = exchange.message.arrived
+        arrived = exchange.request.arrived
         logger.bind(
-            request_id=exchange.facts.request_id,
+            request_id=exchange.info.request_id,
             customer=exchange.customer and exchange.customer.name,
             route=exchange.route.name,
             server=placement.record.server.server_id,
@@ -371,11 +379,11 @@
         ).info('request answered')
 
 
-def _end_work(exchange: Exchange, record: ServerRecord) -> None:
+def _release_load(exchange: Exchange, record: ServerRecord) -> None:
     record.requests -= 1
-    _end_reading(exchange, record)
+    _release_prompt_tokens(exchange, record)
 
 
-def _end_reading(exchange: Exchange, record: ServerRecord) -> None:
-    record.prompt_tokens -= exchange.reading
-    exchange.reading = 0
+def _release_prompt_tokens(exchange: Exchange, record: ServerRecord) -> None:
+    record.prompt_tokens -= exchange.unread_prompt_tokens
+    exchange.unread_prompt_tokens = 0
--- a/libs/serving/fireflyhitch_serving/placing.py
+++ b/libs/serving/fireflyhitch_serving/placing.py
@@ -1,9 +1,9 @@
-"""Chooses a server for an attempt; pure functions over what is known.
+"""Chooses a server for an attempt; pure functions of the servers' records.
 
-Model engines read prompts one after the other: the time to a first token is the
-prompt tokens waiting there, divided by the speed of reading, and it grows a little
-with each running request, since each step of the batch takes longer. Plain services
-work on few requests at once, and the rest wait there.
+Model engines read prompts one after the other. The time to a first token is the number
+of prompt tokens queued there divided by the reading speed, and it grows a little with
+each running request, since each step of the batch takes longer. Plain services run a
+few requests at once and queue the rest.
 """
 
 from collections.abc import Container, Iterable, Sequence
@@ -14,42 +14,45 @@
 from fireflyhitch_serving.messages import PromptPart
 from fireflyhitch_serving.servers import ServerRecord
 
-# What each running request adds to another's first token, from the step time that
-# grows by 0.09 to 0.12 ms a request over some steps of reading.
-SECONDS_PER_RUNNING = 0.002
-# What each request beyond an engine's batch waits for: a place is free when one of
-# some dozens, each of which takes some seconds, has ended.
-SECONDS_PER_SLOT = 0.05
-# Bytes between failure domains cost; a server in the own one is preferred by as much
-# as a caller would hardly notice.
-ELSEWHERE_SECONDS = 0.004
-# A part of a prompt is kept about this long without use in a busy cache.
-PART_SECONDS = 20.0
-# Nobody is known to have these parts; the server that all daemons would pick by hash
-# is preferred by this part of what its cache would save.
-AGREED_PART = 0.5
-# A server that a prompt's parts do not belong to by hash is chosen only where a caller
-# would wait this part of the latency target longer at all of those.
-STRANGER_PART = 0.4
-MOST_STRANGER_SECONDS = 0.5
-# Of more servers so many are weighed for a prompt, others for each: the least busy of
-# some dozens is hardly busier than that of hundreds, and weighing all takes longer.
-MOST_WEIGHED = 64
-# A leaving or returning server's own account of waiting requests is believed this long.
-LOAD_SECONDS = 0.5
-# A request to a failure domain that is cut off waits for a connection's time limit, or
-# in vain on a kept one.
-SILENT_SECONDS = 0.3
-# A cold server is slower than a warm one; as much as an aim is lost by waiting there.
-COLD_SECONDS = 0.15
+# Added to the time to first token by each running request: it lengthens a step by 0.09
+# to 0.12 ms, and reading a prompt takes several steps.
+SECONDS_PER_RUNNING_REQUEST = 0.002
+# Added by each request beyond an engine's batch: a slot is freed when one of some dozens
+# of requests, each of which takes some seconds, completes.
+SECONDS_PER_QUEUED_REQUEST = 0.05
+# Traffic between failure domains costs money, so a local server is preferred by a time
+# that a caller hardly notices.
+REMOTE_DOMAIN_SECONDS = 0.004
+# A busy engine's cache keeps an unused prompt part for about this long.
+CACHED_PART_TTL_SECONDS = 20.0
+# The first server by hash counts as if it had cached this fraction of a prompt's shared
+# parts, so that daemons agree on one server for parts that no server is known to have.
+PREFERRED_CACHE_FRACTION = 0.5
+# A server without the prompt's parts that is not preferred by hash is chosen only if the
+# wait at the preferred ones is longer by this fraction of the latency target.
+NON_PREFERRED_TARGET_FRACTION = 0.4
+MAX_NON_PREFERRED_SECONDS = 0.5
+# Of more servers only a sample of this size is compared, another one for each prompt. The
+# least busy of some dozens is hardly busier than that of hundreds, and comparing all
+# takes longer.
+MAX_COMPARED = 64
+# A server's own report of waiting requests, also of a draining or returning server, is
+# used for this long.
+LOAD_REPORT_TTL_SECONDS = 0.5
+# Added in a partitioned failure domain: a request there waits for the connect timeout, or
+# in vain on a pooled connection.
+UNREACHABLE_DOMAIN_SECONDS = 0.3
+# Added for a cold server, which is slower than a warm one and may miss the latency target.
+COLD_SERVER_SECONDS = 0.15
 
 
 @immutable
 class PromptNeed:
-    """What an engine has to read for a request.
+    """The prompt that an engine has to read for a request.
 
-    :param target: seconds in which its first token is due.
-    :param seconds_per_token: that engines of the service take to read.
+    :param tokens: length of the prompt.
+    :param target: seconds within which the first token is due.
+    :param seconds_per_token: reading time of the service's engines.
     """
 
     tokens: int
@@ -60,9 +63,9 @@
 
 @immutable
 class Place:
-    """Where the daemon is among the failure domains.
+    """The daemon's view of the failure domains.
 
-    :param silent_domains: that are probably cut off from here.
+    :param silent_domains: probably partitioned from this daemon.
     """
 
     own_domain: FailureDomainId
@@ -71,12 +74,12 @@
 
 @immutable
 class Placement:
-    """The server chosen.
+    """The chosen server.
 
-    :param wait: seconds expected to the first token, or until it is worked on.
-    :param fresh_tokens: prompt tokens that the server has to read.
-    :param requests: that it has from all daemons.
-    :param queued_tokens: prompt tokens that it has yet to read for them.
+    :param wait: expected seconds to the first token; 0 for plain services.
+    :param fresh_tokens: prompt tokens of this request that are not cached there.
+    :param requests: in flight there from all daemons.
+    :param queued_tokens: prompt tokens that it has yet to read for those.
     """
 
     record: ServerRecord
@@ -87,111 +90,119 @@
 
 
 def place_prompt(
-    need: PromptNeed,
+    prompt: PromptNeed,
     records: Sequence[ServerRecord],
-    place: Place,
+    locality: Place,
     now: float,
-    agreed: Sequence[BackendServerId] = (),
+    preferred: Sequence[BackendServerId] = (),
 ) -> Placement | None:
-    """Choose the engine with the least expected time to a first token.
+    """Choose the engine with the lowest expected time to first token.
 
-    :param agreed: the servers that the prompt's parts belong to, the first one first.
+    :param preferred: servers that the prompt's parts hash to, in order of preference.
     """
     best: Placement | None = None
-    least = float('inf')
-    for record in thin_out(records, need.parts, agreed):
-        cached = count_cached(need.parts, record, now)
-        fresh = need.tokens - cached
-        weighed = fresh
-        if agreed and record.server.server_id == agreed[0]:
-            weighed = min(fresh, need.tokens - int(AGREED_PART * _shared(need.parts)))
+    lowest_cost = float('inf')
+    for record in sample_candidates(records, prompt.parts, preferred):
+        cached = count_cached_tokens(prompt.parts, record, now)
+        fresh = prompt.tokens - cached
+        counted_tokens = fresh
+        if preferred and record.server.server_id == preferred[0]:
+            counted_tokens = min(
+                fresh,
+                prompt.tokens
+                - int(PREFERRED_CACHE_FRACTION * _count_shared_tokens(prompt.parts)),
+            )
         work = record.total(now)
-        wait = (work.prompt_tokens + weighed) * need.seconds_per_token
-        wait += work.requests * SECONDS_PER_RUNNING
+        wait = (work.prompt_tokens + counted_tokens) * prompt.seconds_per_token
+        wait += work.requests * SECONDS_PER_RUNNING_REQUEST
         wait *= record.slowness
-        wait += _wait_for_slot(record, work.requests)
-        cost = wait + _weigh_place(record, place)
-        if agreed and not cached and record.server.server_id not in agreed:
-            cost += min(need.target * STRANGER_PART, MOST_STRANGER_SECONDS)
-        if cost < least:
-            least = cost
+        wait += _estimate_slot_wait(record, work.requests)
+        cost = wait + _find_locality_cost(record, locality)
+        if preferred and not cached and record.server.server_id not in preferred:
+            cost += min(
+                prompt.target * NON_PREFERRED_TARGET_FRACTION, MAX_NON_PREFERRED_SECONDS
+            )
+        if cost < lowest_cost:
+            lowest_cost = cost
             best = Placement(record, wait, fresh, *work)
     return best
 
 
 def place_plain(
-    records: Sequence[ServerRecord], place: Place, now: float
+    records: Sequence[ServerRecord], locality: Place, now: float
 ) -> Placement | None:
-    """Choose the server with the most free slots, one in the own domain first.
+    """Choose the server with the lowest share of used slots, preferably a local one.
 
-    :returns: nothing if all slots of all servers are taken.
+    :returns: ``None`` if all slots of all servers are used.
     """
     best: Placement | None = None
-    least = float('inf')
+    lowest_cost = float('inf')
     for record in records:
-        busy = _count_busy(record, now)
-        if busy >= record.server.slots:
+        used_slots = _count_used_slots(record, now)
+        if used_slots >= record.server.slots:
             continue
-        cost = record.slowness * (busy + 1) / record.server.slots
-        cost += 10 * _weigh_place(record, place)
-        if cost < least:
-            least = cost
-            best = Placement(record, 0, 0, busy, 0)
+        cost = record.slowness * (used_slots + 1) / record.server.slots
+        cost += 10 * _find_locality_cost(record, locality)
+        if cost < lowest_cost:
+            lowest_cost = cost
+            best = Placement(record, 0, 0, used_slots, 0)
     return best
 
 
-def count_cached(parts: Iterable[PromptPart], record: ServerRecord, now: float) -> int:
-    """Return the tokens of a prompt's first parts that a server has read lately."""
+def count_cached_tokens(
+    parts: Iterable[PromptPart], record: ServerRecord, now: float
+) -> int:
+    """Return the number of leading prompt tokens that a server has read recently."""
     cached = 0
     for part in parts:
         read_at = record.parts.get(part.part_id)
-        if read_at is None or now - read_at > PART_SECONDS:
+        if read_at is None or now - read_at > CACHED_PART_TTL_SECONDS:
             break
         cached += part.tokens
     return cached
 
 
-def _shared(parts: Sequence[PromptPart]) -> int:
+def _count_shared_tokens(parts: Sequence[PromptPart]) -> int:
     return sum(part.tokens for part in parts[:-1])
 
 
-def thin_out(
+def sample_candidates(
     records: Sequence[ServerRecord],
     parts: Sequence[PromptPart],
-    agreed: Container[BackendServerId],
+    preferred: Container[BackendServerId],
 ) -> Sequence[ServerRecord]:
-    """Return the servers that are weighed for a prompt, those agreed on among them."""
+    """Return the servers to compare for a prompt, including the preferred ones."""
     count = len(records)
-    if count <= MOST_WEIGHED:
+    if count <= MAX_COMPARED:
         return records
     start = hash_text(parts[-1].part_id) % count if parts else 0
-    step = count / MOST_WEIGHED
-    places = {int(start + number * step) % count for number in range(MOST_WEIGHED)}
+    step = count / MAX_COMPARED
+    sampled = {int(start + number * step) % count for number in range(MAX_COMPARED)}
     return [
         record
-        for place, record in enumerate(records)
-        if place in places or record.server.server_id in agreed
+        for index, record in enumerate(records)
+        if index in sampled or record.server.server_id in preferred
     ]
 
 
-def _wait_for_slot(record: ServerRecord, requests: int) -> float:
-    over = requests + 1 - record.server.slots
-    return max(over, 0) * SECONDS_PER_SLOT
+def _estimate_slot_wait(record: ServerRecord, requests: int) -> float:
+    excess = requests + 1 - record.server.slots
+    return max(excess, 0) * SECONDS_PER_QUEUED_REQUEST
 
 
-def _count_busy(record: ServerRecord, now: float) -> int:
-    busy = record.total(now).requests
+def _count_used_slots(record: ServerRecord, now: float) -> int:
+    used_slots = record.total(now).requests
     load = record.load
-    if load is not None and now - record.load_at < LOAD_SECONDS:
-        busy = max(busy, record.requests + load.waiting)
-    return busy
+    if load is not None and now - record.load_at < LOAD_REPORT_TTL_SECONDS:
+        used_slots = max(used_slots, record.requests + load.waiting)
+    return used_slots
 
 
-def _weigh_place(record: ServerRecord, place: Place) -> float:
+def _find_locality_cost(record: ServerRecord, locality: Place) -> float:
     domain = record.server.failure_domain
-    cost = 0.0 if domain == place.own_domain else ELSEWHERE_SECONDS
-    if domain in place.silent_domains:
-        cost += SILENT_SECONDS
+    cost = 0.0 if domain == locality.own_domain else REMOTE_DOMAIN_SECONDS
+    if domain in locality.silent_domains:
+        cost += UNREACHABLE_DOMAIN_SECONDS
     if record.server.cold_seconds > 0:
-        cost += COLD_SECONDS
+        cost += COLD_SERVER_SECONDS
     return cost
--- a/libs/serving/fireflyhitch_serving/sockets.py
+++ b/libs/serving/fireflyhitch_serving/sockets.py
@@ -1,35 +1,36 @@
-"""Socket options for peers that went away without a word, and for what they get late."""
+"""Socket options that detect vanished peers and drop undelivered data."""
 
 import asyncio
 import socket
 import struct
 
-# On, and zero seconds to wait.
-_RESET_AT_ONCE = struct.pack('ii', 1, 0)
+# ``struct linger``: enabled, with a timeout of 0 s.
+_LINGER_ZERO = struct.pack('ii', 1, 0)
 
 
 def find_socket(transport: asyncio.Transport) -> socket.socket | None:
-    """Return a transport's socket; tests' transports have none."""
+    """Return a transport's socket; the transports of tests have none."""
     found: socket.socket | None = transport.get_extra_info('socket')
     return found
 
 
-def send_at_once(transport: asyncio.Transport, silent_ms: int) -> None:
-    """Have bytes go out as they are written, and the peer acknowledge them in time.
+def set_send_options(transport: asyncio.Transport, ack_timeout_ms: int) -> None:
+    """Send data without delay, and bound the time until it is acknowledged.
 
-    :param silent_ms: after which a peer that acknowledges nothing is taken for cut off;
-        by default that takes many minutes.
+    :param ack_timeout_ms: milliseconds until a connection with unacknowledged data is
+        closed; by default that takes many minutes.
     """
     sock = find_socket(transport)
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silent_ms)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ack_timeout_ms)
 
 
-def probe_peer(transport: asyncio.Transport, seconds: int, probes: int) -> None:
-    """Have the kernel ask a silent peer whether it is there.
+def enable_keepalive(transport: asyncio.Transport, seconds: int, probes: int) -> None:
+    """Enable TCP keep-alive.
 
-    :param seconds: of silence before the first probe, and between two.
+    :param seconds: without data before the first probe, and between probes.
+    :param probes: without a response until the connection is closed.
     """
     sock = find_socket(transport)
     if sock is not None:
@@ -40,12 +41,12 @@
 
 
 def reset_on_close(transport: asyncio.Transport) -> None:
-    """Have the connection reset when it is closed, also by the end of the process.
+    """Reset the connection when it is closed or the process exits.
 
-    Otherwise the kernel goes on sending what was written, and a request that was given
-    up in a cut runs once the cut has healed, seconds after another process took over.
-    A reset drops what the peer has not acknowledged.
+    Otherwise the kernel continues to send data that was written. A request given up
+    during a network partition would run when the partition heals, seconds after another
+    process took over. A reset drops unacknowledged data.
     """
     sock = find_socket(transport)
     if sock is not None:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_AT_ONCE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
--- a/libs/serving/fireflyhitch_serving/versions.py
+++ b/libs/serving/fireflyhitch_serving/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service may be given a request."""
+"""Chooses the versions of a service that a request may be sent to."""
 
 import random
 
@@ -10,7 +10,8 @@
 class VersionShare:
     """A move of a service's traffic to another version.
 
-    :param share: part of the requests that the new version gets, 0 to 1.
+    :param target: the new version.
+    :param share: fraction of the requests for the new version, 0 to 1.
     """
 
     target: str
@@ -18,10 +19,10 @@
 
 
 class VersionShares:
-    """The moves in force; what is under no move may use any version listed."""
+    """The current moves; services without a move use all listed versions."""
 
     def __init__(self) -> None:
-        """Make shares without a move."""
+        """Create shares without moves."""
         self._moves: dict[DeploymentId, VersionShare] = {}
 
     def put(self, service: DeploymentId, move: VersionShare) -> None:
@@ -35,9 +36,9 @@
     def pick(
         self, service: DeploymentId, listed: frozenset[str], draw: random.Random
     ) -> frozenset[str]:
-        """Return which of the listed versions one attempt may go to.
+        """Return the listed versions that one attempt may be sent to.
 
-        An untried version has no servers at first: its share goes to the old one.
+        A new version has no servers at first; until then its share goes to the others.
         """
         move = self._moves.get(service)
         if move is None:
--- a/libs/serving/fireflyhitch_serving/waiting.py
+++ b/libs/serving/fireflyhitch_serving/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place or a turn at a server."""
+"""Requests that wait for a free slot or for a server's rate limit."""
 
 import asyncio
 from collections import Counter
@@ -6,37 +6,37 @@
 from fireflyhitch_model.ids import DeploymentId
 from fireflyhitch_serving.exchanges import Exchange
 
-# A waiting request looks again this often even if nothing was heard of.
-LOOK_SECONDS = 0.02
+# A waiting request checks again this often even without a wake-up.
+POLL_SECONDS = 0.02
 
 
 class WaitingRequests:
-    """Who waits, by service; all on one event loop."""
+    """The waiting requests of each service, all on one event loop."""
 
     def __init__(self) -> None:
-        """Make a state in which nobody waits."""
-        self._freed: dict[DeploymentId, asyncio.Event] = {}
+        """Create a state without waiting requests."""
+        self._events: dict[DeploymentId, asyncio.Event] = {}
         self._counts: Counter[DeploymentId] = Counter()
 
     def count(self, service: DeploymentId) -> int:
-        """Return how many requests wait for a service's servers."""
+        """Return how many requests wait for servers of a service."""
         return self._counts[service]
 
-    def note_freed(self, service: DeploymentId) -> None:
-        """Have those that wait look again at once."""
-        freed = self._freed.get(service)
-        if freed is not None:
-            freed.set()
+    def wake(self, service: DeploymentId) -> None:
+        """Wake the requests that wait for a service."""
+        event = self._events.get(service)
+        if event is not None:
+            event.set()
 
     async def wait(self, exchange: Exchange) -> None:
-        """Wait until it is time to look again."""
-        freed = self._freed.setdefault(exchange.service, asyncio.Event())
-        freed.clear()
-        exchange.waits = True
+        """Wait for a wake-up, at most ``POLL_SECONDS``."""
+        event = self._events.setdefault(exchange.service, asyncio.Event())
+        event.clear()
+        exchange.has_waited = True
         self._counts[exchange.service] += 1
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
-                await freed.wait()
+            async with asyncio.timeout(POLL_SECONDS):
+                await event.wait()
         except TimeoutError:
             return
         finally:
--- a/libs/serving/tests/scene.py
+++ b/libs/serving/tests/scene.py
@@ -1,4 +1,4 @@
-"""A daemon's path of requests between callers and scripted servers, on loopback."""
+"""Test harness: one daemon's request handler and scripted servers on loopback."""
 
 import asyncio
 import random
@@ -54,17 +54,17 @@
 from fireflyhitch_standins.scripted_server import Script, ScriptedServer
 
 SERVICE = DeploymentId('bookings')
-HERE = FailureDomainId('gent')
+LOCAL_DOMAIN = FailureDomainId('gent')
 KEY = 'key-1'
 CUSTOMER = CustomerId('bakery')
 UNLIMITED = Quota(rate=0, burst=0, in_tokens=False, plain_tokens=0)
 
 
 class PlainEdge:
-    """The smallest edge: ids, keys and events in headers of its own."""
+    """A minimal edge with headers of its own for ids, keys and events."""
 
     def read_request(self, message: CallerMessage) -> RequestFacts:
-        """Read a request's facts."""
+        """Parse the information in a request."""
         headers = {name.lower(): value.decode() for name, value in message.headers}
         return RequestFacts(
             request_id=RequestId(headers[b'x-id']),
@@ -80,17 +80,17 @@
             hinted_tokens=None,
         )
 
-    def render_request(self, message: CallerMessage, sending: Sending) -> bytes:
-        """Return the request as it goes to a server."""
+    def render_request(self, message: CallerMessage, context: Sending) -> bytes:
+        """Return the request as it is sent to a server."""
         headers = drop_connection_headers(message.headers)
-        headers.append((b'X-Server', sending.server_id.encode()))
-        headers.append((b'X-Time-Left', b'%.3f' % sending.time_left))
-        if sending.last_event is not None:
-            headers.append((b'X-Last', b'%d' % sending.last_event))
+        headers.append((b'X-Server', context.server_id.encode()))
+        headers.append((b'X-Time-Left', b'%.3f' % context.time_left))
+        if context.last_event is not None:
+            headers.append((b'X-Last', b'%d' % context.last_event))
         return render_request(message.method, message.target, headers, message.body)
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Read the facts in a server's answer."""
+        """Parse the information in the head of a server's response."""
         request_id = find_header(head.headers, b'x-id')
         return AnswerFacts(
             request_id=request_id.decode() if request_id else None,
@@ -104,7 +104,7 @@
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
     ) -> RenderedAnswer:
-        """Return a refusal that says what is known."""
+        """Return a refusal with its outcome and retry time."""
         headers = [(b'X-Outcome', refusal.outcome.value.encode())]
         if refusal.retry_after is not None:
             seconds = refusal.retry_after.total_seconds()
@@ -135,14 +135,16 @@
 CHAT = replace(
     ROUTE, name='chat', prefix='/chat/', kind=RouteKind.STREAMING, resumable=True
 )
-ONCE = replace(CHAT, name='once', prefix='/once/', resumable=False, attempts=1)
+ONE_ATTEMPT_CHAT = replace(
+    CHAT, name='once', prefix='/once/', resumable=False, attempts=1
+)
 
 
 def make_catalog(quota: Quota = UNLIMITED, **changes: object) -> Catalog:
     """Return a configuration with a route of each kind."""
     fields: dict[str, object] = {
         'version': 1,
-        'routes': (ROUTE, BOOK, CHAT, ONCE),
+        'routes': (ROUTE, BOOK, CHAT, ONE_ATTEMPT_CHAT),
         'services': {SERVICE: Service(SERVICE, 100)},
         'limits': CallerLimits(),
         'customers': {KEY: Customer(CUSTOMER, quota)},
@@ -152,9 +154,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """What a caller got.
+    """A response as received by a caller.
 
-    :param whole: whether the answer ended as answers do.
+    :param whole: whether the response is complete.
     """
 
     status: int
@@ -164,7 +166,7 @@
 
 
 class Scene:
-    """One daemon's path with its servers."""
+    """One daemon's request handler with its servers."""
 
     def __init__(self, catalog: Catalog | None = None) -> None:
         self.catalog: Catalog | None = catalog or make_catalog()
@@ -173,7 +175,7 @@
         self.budget = RepeatBudget(RepeatBounds(ratio=0.2, slack=20))
         self.usage = UsageBook('here', 5)
         self.versions = VersionShares()
-        self.counted: list[tuple[str, bool]] = []
+        self.recorded_outcomes: list[tuple[str, bool]] = []
         self.servers: list[ScriptedServer] = []
         self.clock = SystemClock()
         self.metrics = MetricsPage()
@@ -192,12 +194,12 @@
                 usage=self.usage,
                 workloads=Workloads(),
                 versions=self.versions,
-                count_answer=self._count,
+                count_answer=self._record_outcome,
                 fresh_parts=FreshParts(),
                 silent_domains=frozenset,
                 record=self.metrics.add,
                 last_moment=lambda: self.last_moment,
-                own_domain=HERE,
+                own_domain=LOCAL_DOMAIN,
                 draw=random.Random(1),  # noqa: S311
                 crashes=self.crashes,
                 limits=self.limits,
@@ -225,19 +227,28 @@
         await asyncio.sleep(0)
 
     async def add(self, name: str, script: Script, **changes: object) -> ScriptedServer:
-        """Add a server; those with lower names are preferred by their slots."""
+        """Add a server.
+
+        :param changes: overrides of its entry; more slots make a server preferred.
+        """
         server = ScriptedServer(name, script)
         self.servers.append(server)
-        listed = ServerEntry(
-            BackendServerId(name), SERVICE, await server.start(), HERE, 'v1', 4, True
+        entry = ServerEntry(
+            BackendServerId(name),
+            SERVICE,
+            await server.start(),
+            LOCAL_DOMAIN,
+            'v1',
+            4,
+            True,
         )
-        self.book.put(replace(listed, **changes))  # type: ignore[arg-type]
+        self.book.put(replace(entry, **changes))  # type: ignore[arg-type]
         return server
 
     async def ask(
         self, path: str = '/read/1', method: str = 'GET', body: bytes = b'', **more: str
     ) -> Received:
-        """Send a request on a new connection and return what came back."""
+        """Send a request on a new connection and return the response."""
         headers = [
             (b'Host', b'shop.example'),
             (b'X-Id', more.pop('request_id', 'r1').encode()),
@@ -254,7 +265,7 @@
     def _limits(self) -> CallerLimits:
         return self.catalog.limits if self.catalog else CallerLimits()
 
-    def _count(
+    def _record_outcome(
         self,
         service: DeploymentId,
         version: str,
@@ -263,11 +274,11 @@
         failed: bool,
         seconds: float,
     ) -> None:
-        self.counted.append((version, failed))
+        self.recorded_outcomes.append((version, failed))
 
 
 async def exchange(address: Address, request: bytes) -> Received:
-    """Send bytes on a new connection and read an answer."""
+    """Send bytes on a new connection and read a response."""
     connection = await connect(address, 5)
     try:
         connection.send(request)
@@ -282,7 +293,7 @@
 
 
 async def _read_body(connection: ServerConnection) -> tuple[bytes, bool]:
-    """Return a body, and whether it ended as bodies do."""
+    """Return a body, and whether it is complete."""
     parts: list[bytes] = []
     try:
         while part := await connection.read_body():
@@ -295,11 +306,11 @@
 Play = Callable[[Scene], Awaitable[None]]
 
 
-def play(scene: Scene, script: Play) -> None:
-    """Play a script on a scene, on an event loop of its own."""
+def play(harness: Scene, script: Play) -> None:
+    """Run a script with the harness, on an event loop of its own."""
 
     async def run() -> None:
-        async with asyncio.timeout(20), scene:
-            await script(scene)
+        async with asyncio.timeout(20), harness:
+            await script(harness)
 
     asyncio.run(run())
--- a/libs/serving/tests/scripted_servers.py
+++ b/libs/serving/tests/scripted_servers.py
@@ -1,11 +1,11 @@
-"""Scripts of backend servers for the tests of the path."""
+"""Scripts of backend servers for the tests of request handling."""
 
 import asyncio
 
 from fireflyhitch_standins.scripted_server import Script, SeenRequest
 
 
-def answer(
+def respond(
     status: int = 200,
     body: bytes = b'done',
     *,
@@ -13,7 +13,7 @@
     request_id: str | None = None,
     not_run: bool = False,
 ) -> Script:
-    """Return a script that answers whole."""
+    """Return a script that sends a complete response."""
 
     async def script(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
         own = request.request_id if request_id is None else request_id
@@ -30,7 +30,7 @@
 
 
 def close_connection() -> Script:
-    """Return a script that closes the connection without an answer."""
+    """Return a script that closes the connection without a response."""
 
     async def script(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
         writer.close()
@@ -39,7 +39,7 @@
 
 
 def stay_silent() -> Script:
-    """Return a script that never answers."""
+    """Return a script that never responds."""
 
     async def script(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
         await request.closed.wait()
@@ -48,8 +48,12 @@
     return script
 
 
-def stream(*ids: int, whole: bool = True, torn: bytes = b'') -> Script:
-    """Return a script that streams events, and ends or breaks off."""
+def stream(*ids: int, whole: bool = True, incomplete: bytes = b'') -> Script:
+    """Return a script that streams events.
+
+    :param whole: whether the stream is terminated rather than cut off.
+    :param incomplete: an incomplete event after the others.
+    """
 
     async def script(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(
@@ -58,8 +62,8 @@
         )
         for number in ids:
             _write_chunk(writer, b'id: %d\ndata: t%d\n\n' % (number, number))
-        if torn:
-            _write_chunk(writer, torn)
+        if incomplete:
+            _write_chunk(writer, incomplete)
         if whole:
             writer.write(b'0\r\n\r\n')
         else:
--- a/libs/serving/tests/test_lifecycle.py
+++ b/libs/serving/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon's last seconds."""
+"""Tests of graceful shutdown."""
 
 import asyncio
 
@@ -8,17 +8,19 @@
 from fireflyhitch_serving.lifecycle import Lifecycle
 
 
-async def serve_nothing(message: object, reply: object) -> None:
-    """Serve nobody."""
+async def ignore_request(message: object, reply: object) -> None:
+    """Serve nothing."""
 
 
-class TestLastMoment:
-    def test_it_is_known_once_the_balancer_had_time_to_leave(self, monkeypatch) -> None:
-        # Until then callers come as before, and what they ask is served; afterwards
-        # only what ends before the process does.
-        monkeypatch.setattr(f'{Lifecycle.__module__}.BALANCER_SECONDS', 0.05)
+class TestShutdownDeadline:
+    def test_deadline_is_set_after_balancer_had_time_to_leave(
+        self, monkeypatch
+    ) -> None:
+        # Until then all requests are served; afterwards only those that complete before
+        # the process exits.
+        monkeypatch.setattr(f'{Lifecycle.__module__}.BALANCER_LEAVE_SECONDS', 0.05)
         clock = SystemClock()
-        front = FrontState(serve_nothing, CallerLimits, clock)
+        front = FrontState(ignore_request, CallerLimits, clock)
         lifecycle = Lifecycle(front, clock, lambda: None, grace=1.2)
 
         async def script() -> tuple[float | None, float | None]:
