--- a/libs/serving/tests/test_client.py
+++ b/libs/serving/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over a link that holds bytes back."""
+"""Tests of calls to the platform over a link with a network partition."""
 
 import asyncio
 import socket
@@ -11,112 +11,114 @@
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.errors import ServerError
 
-GIVEN_UP_SECONDS = 0.1
-HEALED_SECONDS = 0.2
-ARRIVAL_SECONDS = 0.3
+TIMEOUT_SECONDS = 0.1
+HEAL_DELAY_SECONDS = 0.2
+DELIVERY_SECONDS = 0.3
 
 
-class CutLink(asyncio.Protocol):
-    """One end of a link that is cut: what was sent arrives once the link has healed.
+class PartitionedLink(asyncio.Protocol):
+    """A receiver behind a partition: sent bytes are delivered once the link heals.
 
-    Bytes of a sender that reset its connection are lost, as they are in a kernel's
-    send buffer; those of a sender that closed it are not.
+    If the sender resets the connection, undelivered bytes are lost, as in a kernel's
+    send buffer; if it closes the connection, they are not.
     """
 
     def __init__(self) -> None:
-        """Make a link that carries nothing yet."""
-        self.arrived = b''
-        self._held = b''
+        """Create a partitioned link."""
+        self.delivered = b''
+        self._buffered = b''
         self._healed = False
 
     def data_received(self, data: bytes) -> None:
-        """Hold bytes until the link has healed."""
-        self._held += data
-        self._pass_on()
+        """Buffer bytes until the link has healed."""
+        self._buffered += data
+        self._deliver()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Lose what a sender had not got through when it reset the connection."""
+        """Drop undelivered bytes if the sender reset the connection."""
         if exc is not None:
-            self._held = b''
+            self._buffered = b''
 
     def heal(self) -> None:
-        """Let what is held arrive, and all that comes later."""
+        """Deliver buffered and later bytes."""
         self._healed = True
-        self._pass_on()
+        self._deliver()
 
-    def _pass_on(self) -> None:
+    def _deliver(self) -> None:
         if self._healed:
-            self.arrived += self._held
-            self._held = b''
+            self.delivered += self._buffered
+            self._buffered = b''
 
 
-async def give_up_a_call(link: CutLink, *, healed_after: float) -> None:
-    """Make a call over a cut link, and give it up before the link has healed."""
+async def time_out_call(link: PartitionedLink, *, heal_delay: float) -> None:
+    """Make a call that times out before the link heals."""
     server = await asyncio.get_running_loop().create_server(
         lambda: link, '127.0.0.1', 0
     )
     address: tuple[str, int] = server.sockets[0].getsockname()
     client = HttpClient(Address(*address), SystemClock())
     with pytest.raises(ServerError):
-        await client.call(b'POST', b'/orders', timeout=GIVEN_UP_SECONDS)
-    await asyncio.sleep(healed_after)
+        await client.call(b'POST', b'/orders', timeout=TIMEOUT_SECONDS)
+    await asyncio.sleep(heal_delay)
     link.heal()
-    await asyncio.sleep(ARRIVAL_SECONDS)
+    await asyncio.sleep(DELIVERY_SECONDS)
     server.close()
 
 
-class TestGivenUpCalls:
-    """Callers see nothing of it; the platform sees an order of a former leader.
+class TestTimedOutCalls:
+    """Guards against orders of a former leader that reach the platform late.
 
-    A leader is cut off as it orders servers, gives the call up in time, and loses its
-    lease. A successor orders. The cut heals, and the kernel, which had kept the former
-    leader's bytes, delivers them: the platform hears two leaders by turns.
+    A partitioned leader orders servers, the call times out, and its lease expires. A new
+    leader orders servers. When the partition heals, the kernel would deliver the former
+    leader's bytes, so the platform would receive orders of two leaders alternately.
     """
 
     @staticmethod
-    def test_a_call_that_was_given_up_never_arrives() -> None:
-        """Its connection is reset, so that the kernel drops what it holds."""
-        link = CutLink()
-        asyncio.run(give_up_a_call(link, healed_after=HEALED_SECONDS))
-        assert not link.arrived
+    def test_timed_out_call_is_never_delivered() -> None:
+        """The connection is reset, so that the kernel drops its send buffer."""
+        link = PartitionedLink()
+        asyncio.run(time_out_call(link, heal_delay=HEAL_DELAY_SECONDS))
+        assert not link.delivered
 
     @staticmethod
-    def test_a_killed_process_leaves_no_call_behind(
+    def test_sockets_are_reset_on_process_exit(
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """The kernel resets the connections of a process that ends without closing."""
-        lingering: list[tuple[int, int, Any]] = []
+        """``SO_LINGER`` makes the kernel reset the connections of a killed process."""
+        set_options: list[tuple[int, int, Any]] = []
         original = socket.socket.setsockopt
 
-        def note(sock: socket.socket, level: int, option: int, setting: Any) -> None:
-            lingering.append((level, option, setting))
+        def record_option(
+            sock: socket.socket, level: int, option: int, setting: Any
+        ) -> None:
+            set_options.append((level, option, setting))
             original(sock, level, option, setting)
 
-        monkeypatch.setattr(socket.socket, 'setsockopt', note)
-        asyncio.run(give_up_a_call(CutLink(), healed_after=0))
+        monkeypatch.setattr(socket.socket, 'setsockopt', record_option)
+        asyncio.run(time_out_call(PartitionedLink(), heal_delay=0))
         assert any(
             option == socket.SO_LINGER and setting == b'\x01\0\0\0\0\0\0\0'
-            for _, option, setting in lingering
+            for _, option, setting in set_options
         )
 
     @staticmethod
-    def test_opening_a_connection_counts_into_a_call_s_time() -> None:
-        """Else a leader's call could go out when its lease has little left."""
-        asyncio.run(_call_unreached())
+    def test_timeout_includes_connecting() -> None:
+        """Otherwise a leader's call could be sent just before its lease expires."""
+        asyncio.run(_call_unresponsive_address())
 
 
-async def _call_unreached() -> None:
-    """Make a call to an address that accepts nothing."""
-    with socket.socket() as silent:
-        silent.bind(('127.0.0.1', 0))
-        silent.listen(0)
-        # Connections that nobody accepts fill the queue; the next ones hang.
+async def _call_unresponsive_address() -> None:
+    """Make a call to an address that accepts no connections."""
+    with socket.socket() as unresponsive:
+        unresponsive.bind(('127.0.0.1', 0))
+        unresponsive.listen(0)
+        # These connections fill the accept queue, so the next ones hang.
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
-            filler.connect_ex(silent.getsockname())
-        client = HttpClient(Address(*silent.getsockname()), SystemClock())
+            filler.connect_ex(unresponsive.getsockname())
+        client = HttpClient(Address(*unresponsive.getsockname()), SystemClock())
         with pytest.raises(ServerError, match=r'no answer in 0\.1 s'):
-            await client.call(b'POST', b'/orders', timeout=GIVEN_UP_SECONDS)
+            await client.call(b'POST', b'/orders', timeout=TIMEOUT_SECONDS)
         for filler in fillers:
             filler.close()
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Tests of how daemons learn of a request that ends servers, in virtual time."""
+"""Tests of sharing the records of a crashing request, in virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,11 +11,12 @@
 
 CRASHING = ContentId('crashing')
 HARMLESS = ContentId('harmless')
-# As the platform has it: in this time daemons that it reaches know, of few and of many.
-CONTACT_SECONDS = 3.0
-CONTACT_SECONDS_OF_MANY = 4.0
-FEW = 20
-TRY_SECONDS = 0.5
+# The platform's bounds, for small and large clusters, on the time until all daemons that
+# can communicate hold a crashing request.
+BOUND_SECONDS = 3.0
+LARGE_BOUND_SECONDS = 4.0
+MAX_SMALL_CLUSTER = 20
+RETRY_INTERVAL_SECONDS = 0.5
 
 SIZES = [{'gent': 5}, {'gent': 7, 'aalst': 7}, {'gent': 12, 'aalst': 12}]
 LARGE = {'gent': 22, 'aalst': 22, 'brugge': 22}
@@ -23,110 +24,113 @@
 Fault = Callable[[Daemons], Awaitable[None]]
 
 
-async def change_nothing(scene: Daemons) -> None:
-    """Leave all as it is."""
+async def do_nothing(cluster: Daemons) -> None:
+    """Inject no fault."""
 
 
-async def lose_messages(scene: Daemons) -> None:
-    """Lose one message in ten from now on."""
-    draw = scene.draw
-    scene.net.loses = lambda sender, to, data: draw.random() < 0.1
+async def lose_messages(cluster: Daemons) -> None:
+    """Drop one message in ten from now on."""
+    draw = cluster.draw
+    cluster.net.loses = lambda sender, to, data: draw.random() < 0.1
 
 
-async def cut_one_off(scene: Daemons) -> None:
-    """Cut the last daemon off from all others; the store still answers it."""
-    last = list(scene.daemons)[-1]
-    scene.net.loses = lambda sender, to, data: last in {sender, to}
-    await asyncio.sleep(CONTACT_SECONDS_OF_MANY)
+async def partition_last_daemon(cluster: Daemons) -> None:
+    """Partition the last daemon from all others; the store still responds to it."""
+    last = list(cluster.daemons)[-1]
+    cluster.net.loses = lambda sender, to, data: last in {sender, to}
+    await asyncio.sleep(LARGE_BOUND_SECONDS)
 
 
-async def end_the_hub(scene: Daemons) -> None:
-    """End a failure domain's hub, if it has one."""
-    for hub in scene.find_hubs('gent')[:1]:
-        scene.kill(hub)
+async def kill_hub(cluster: Daemons) -> None:
+    """Kill a failure domain's hub, if it has one."""
+    for hub in cluster.find_hubs('gent')[:1]:
+        cluster.kill(hub)
 
 
-def find_bound(scene: Daemons) -> float:
-    """Return the seconds in which all have to know."""
-    few = len(scene.daemons) <= FEW
-    return CONTACT_SECONDS if few else CONTACT_SECONDS_OF_MANY
+def find_bound(cluster: Daemons) -> float:
+    """Return the seconds within which all daemons have to hold the request."""
+    small = len(cluster.daemons) <= MAX_SMALL_CLUSTER
+    return BOUND_SECONDS if small else LARGE_BOUND_SECONDS
 
 
-async def end_three_servers(scene: Daemons, *contents: ContentId) -> None:
-    """Have three servers end under requests, each at another daemon."""
-    names = list(scene.daemons)
+async def crash_three_servers(cluster: Daemons, *contents: ContentId) -> None:
+    """Have three servers crash under requests, each sent by another daemon."""
+    names = list(cluster.daemons)
     for number, name in enumerate((names[0], names[-2], names[1])):
         for content in contents:
-            scene.daemons[name].note_end(content, number)
-        await asyncio.sleep(TRY_SECONDS)
+            cluster.daemons[name].note_end(content, number)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
 
-def find_unknowing(scene: Daemons, content: ContentId) -> list[str]:
-    """Return the daemons that would send a request on."""
-    return [name for name, daemon in scene.daemons.items() if not daemon.holds(content)]
+def find_not_holding(cluster: Daemons, content: ContentId) -> list[str]:
+    """Return the daemons that would forward a request."""
+    return [
+        name for name, daemon in cluster.daemons.items() if not daemon.holds(content)
+    ]
 
 
-def play_fault(counts: dict[str, int], fault: Fault, seed: int = 1) -> list[str]:
-    """Return who does not hold the request back in time."""
-    unknowing: list[str] = []
+def run_fault(counts: dict[str, int], fault: Fault, seed: int = 1) -> list[str]:
+    """Return the daemons that do not hold the request in time."""
+    not_holding: list[str] = []
 
     async def script() -> None:
-        scene = Daemons(seed, **counts)
-        await scene.start_all()
-        await fault(scene)
-        await end_three_servers(scene, CRASHING)
-        await asyncio.sleep(find_bound(scene) - TRY_SECONDS)
-        unknowing.extend(find_unknowing(scene, CRASHING))
+        cluster = Daemons(seed, **counts)
+        await cluster.start_all()
+        await fault(cluster)
+        await crash_three_servers(cluster, CRASHING)
+        await asyncio.sleep(find_bound(cluster) - RETRY_INTERVAL_SECONDS)
+        not_holding.extend(find_not_holding(cluster, CRASHING))
 
     play(script())
-    return unknowing
+    return not_holding
 
 
-class TestKnowledgeOfCrashingRequests:
+class TestSharedCrashRecords:
     @pytest.mark.parametrize('counts', [*SIZES, LARGE])
     @pytest.mark.parametrize(
-        'fault', [change_nothing, lose_messages, cut_one_off, end_the_hub]
+        'fault', [do_nothing, lose_messages, partition_last_daemon, kill_hub]
     )
-    def test_all_daemons_hold_it_in_time(
+    def test_all_daemons_hold_request_in_time(
         self, counts: dict[str, int], fault: Fault
     ) -> None:
-        assert not play_fault(counts, fault)
+        assert not run_fault(counts, fault)
 
     @pytest.mark.parametrize('seed', range(2, 8))
-    def test_all_daemons_hold_it_in_time_though_messages_are_lost(
+    def test_all_daemons_hold_request_in_time_despite_lost_messages(
         self, seed: int
     ) -> None:
-        assert not play_fault(SIZES[2], lose_messages, seed)
+        assert not run_fault(SIZES[2], lose_messages, seed)
 
-    def test_daemons_that_start_after_all_were_killed_hold_it(self) -> None:
-        # Only the store knows it then.
+    def test_hold_survives_restart_of_all_daemons(self) -> None:
+        # Only the store has the records then.
         async def script() -> None:
-            scene = Daemons(1, **SIZES[1])
-            await scene.start_all()
-            await end_three_servers(scene, CRASHING)
-            await asyncio.sleep(CONTACT_SECONDS)
-            names = list(scene.daemons)
+            cluster = Daemons(1, **SIZES[1])
+            await cluster.start_all()
+            await crash_three_servers(cluster, CRASHING)
+            await asyncio.sleep(BOUND_SECONDS)
+            names = list(cluster.daemons)
             for name in names:
-                scene.kill(name)
+                cluster.kill(name)
             for name in names:
-                scene.start(name)
-            await asyncio.sleep(CONTACT_SECONDS)
-            assert not find_unknowing(scene, CRASHING)
+                cluster.start(name)
+            await asyncio.sleep(BOUND_SECONDS)
+            assert not find_not_holding(cluster, CRASHING)
 
         play(script())
 
-    def test_what_one_daemon_has_answered_is_held_by_none(self) -> None:
-        # Three servers end by another's doing under a request that is well elsewhere.
+    def test_request_with_a_complete_response_is_never_held(self) -> None:
+        # Three servers crash under a harmless request because of another request. One
+        # daemon has a complete response to it, which exonerates it.
         async def script() -> None:
-            scene = Daemons(1, **LARGE)
-            await scene.start_all()
-            answerer = list(scene.daemons.values())[-1]
+            cluster = Daemons(1, **LARGE)
+            await cluster.start_all()
+            responder = list(cluster.daemons.values())[-1]
             now = asyncio.get_running_loop().time()
-            answerer.crashes.book.note_answer(HARMLESS, now)
-            await end_three_servers(scene, CRASHING, HARMLESS)
+            responder.crashes.book.note_answer(HARMLESS, now)
+            await crash_three_servers(cluster, CRASHING, HARMLESS)
             for _ in range(50):
-                assert len(find_unknowing(scene, HARMLESS)) == len(scene.daemons)
+                assert len(find_not_holding(cluster, HARMLESS)) == len(cluster.daemons)
                 await asyncio.sleep(0.1)
-            assert not find_unknowing(scene, CRASHING)
+            assert not find_not_holding(cluster, CRASHING)
 
         play(script())
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -1,4 +1,4 @@
-"""Tests that every daemon knows of a leaving server before its drain time is over."""
+"""Tests that all daemons learn of a draining server before its drain time is over."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,73 +7,78 @@
 from daemons_scene import Daemons, is_change
 from virtual_time import play
 
-# The shortest drain time that deployments have.
+# The shortest drain time of all deployments.
 DRAIN_SECONDS = 2.0
 SERVER = 'i-1'
-# Daemons of two failure domains, and seeds; the last size is known by summaries.
+# Daemons in each of two failure domains, and number of seeds. Clusters of the last size
+# exchange summaries.
 SIZES = ((8, 4, 5), (3, 3, 5), (15, 14, 1))
-# How old reads are that may be old, while the store's copies are behind.
-BEHIND_SECONDS = 6.0
+# Staleness of non-linearizable reads while the store's replicas lag.
+STALE_SECONDS = 6.0
 
 Fault = Callable[[Daemons], Awaitable[None]]
 
 
-async def lose_messages_of_watchers_that_end(scene: Daemons) -> None:
-    """Lose all that tells a daemon of the change, and end those who passed it on."""
-    watchers = scene.find_watchers('gent')
-    missed = next(name for name in scene.daemons if name not in watchers)
-    scene.net.loses = lambda sender, to, data: to == missed and is_change(data)
-    scene.leave(SERVER)
+async def drop_messages_of_killed_watchers(cluster: Daemons) -> None:
+    """Drop all messages of the change to one daemon, and kill their senders."""
+    watchers = cluster.find_watchers('gent')
+    missed = next(name for name in cluster.daemons if name not in watchers)
+    cluster.net.loses = lambda sender, to, data: to == missed and is_change(data)
+    cluster.leave(SERVER)
     await asyncio.sleep(0.1)
     for name in watchers:
-        scene.kill(name)
+        cluster.kill(name)
 
 
-async def cut_watchers_off_from_the_store(scene: Daemons) -> None:
-    """Have the store answer none of a failure domain's watchers."""
-    scene.store.silent_to.update(scene.find_watchers('gent'))
-    scene.leave(SERVER)
+async def partition_watchers_from_store(cluster: Daemons) -> None:
+    """Make the store unresponsive to a failure domain's watchers."""
+    cluster.store.silent_to.update(cluster.find_watchers('gent'))
+    cluster.leave(SERVER)
 
 
-async def keep_watches_without_answers(scene: Daemons) -> None:
-    """Have the waiting watches of a failure domain never get their answer."""
-    scene.store.deaf.update(scene.find_watchers('gent'))
-    scene.leave(SERVER)
+async def stall_watches(cluster: Daemons) -> None:
+    """Keep the pending watches of a failure domain from ever receiving a change."""
+    cluster.store.deaf.update(cluster.find_watchers('gent'))
+    cluster.leave(SERVER)
 
 
-async def end_both_watchers(scene: Daemons) -> None:
-    """End a failure domain's watchers just before the change."""
-    for name in scene.find_watchers('gent'):
-        scene.kill(name)
-    scene.leave(SERVER)
+async def kill_watchers(cluster: Daemons) -> None:
+    """Kill a failure domain's watchers just before the change."""
+    for name in cluster.find_watchers('gent'):
+        cluster.kill(name)
+    cluster.leave(SERVER)
 
 
-async def start_unheard(scene: Daemons) -> None:
-    """Start a daemon that its neighbours do not hear until after the change."""
-    scene.net.loses = lambda sender, to, data: sender == 'gent-9'
-    scene.start('gent-9')
+async def start_unheard_daemon(cluster: Daemons) -> None:
+    """Start a daemon whose messages are dropped until after the change."""
+    cluster.net.loses = lambda sender, to, data: sender == 'gent-9'
+    cluster.start('gent-9')
     await asyncio.sleep(0.05)
-    scene.leave(SERVER)
+    cluster.leave(SERVER)
     await asyncio.sleep(0.5)
-    scene.net.loses = lambda sender, to, data: False
+    cluster.net.loses = lambda sender, to, data: False
 
 
-class TestLateKnowledge:
+class TestStateDelay:
     @pytest.mark.parametrize(
         'fault',
         [
-            lose_messages_of_watchers_that_end,
-            cut_watchers_off_from_the_store,
-            keep_watches_without_answers,
-            end_both_watchers,
-            start_unheard,
+            drop_messages_of_killed_watchers,
+            partition_watchers_from_store,
+            stall_watches,
+            kill_watchers,
+            start_unheard_daemon,
         ],
     )
-    def test_nobody_sends_to_a_server_that_has_drained(self, fault: Fault) -> None:
-        """Guards against requests to leaving servers by daemons that missed the word."""
-        for near, far, seeds in SIZES:
+    def test_no_daemon_sends_to_drained_server(self, fault: Fault) -> None:
+        """Guards against requests to drained servers by daemons that missed the change."""
+        for local, remote, seeds in SIZES:
             for seed in range(seeds):
-                assert not find_unaware(fault, near, far, seed), (near, far, seed)
+                assert not find_unaware(fault, local, remote, seed), (
+                    local,
+                    remote,
+                    seed,
+                )
 
     @pytest.mark.parametrize(
         ('names', 'sizes'),
@@ -84,44 +89,44 @@
             (('gent', 'aalst'), (33, 33)),
         ],
     )
-    def test_a_failure_domain_that_the_store_turns_away_is_told(
+    def test_failure_domain_without_store_learns_of_drain(
         self, names: tuple[str, str], sizes: tuple[int, int]
     ) -> None:
-        """Guards against daemons without the store that are helped by nobody."""
-        silent = names[-1]
-        unaware: list[str] = []
+        """Guards against daemons without the store that get no changes from others."""
+        partitioned = names[-1]
+        outdated: list[str] = []
 
         async def script() -> None:
-            scene = Daemons(0, **dict(zip(names, sizes, strict=True)))
-            await scene.start_all()
-            scene.store.silent_to.update(scene.find_daemons(silent))
+            cluster = Daemons(0, **dict(zip(names, sizes, strict=True)))
+            await cluster.start_all()
+            cluster.store.silent_to.update(cluster.find_daemons(partitioned))
             await asyncio.sleep(3)
-            scene.leave(SERVER)
+            cluster.leave(SERVER)
             await asyncio.sleep(DRAIN_SECONDS)
-            unaware.extend(scene.find_unaware(SERVER))
+            outdated.extend(cluster.find_unaware(SERVER))
 
         play(script())
-        assert not unaware
+        assert not outdated
 
 
-def find_unaware(fault: Fault, near: int, far: int, seed: int) -> list[str]:
-    """Play a fault; return who sends to a server after its drain time.
+def find_unaware(fault: Fault, local: int, remote: int, seed: int) -> list[str]:
+    """Inject a fault; return the daemons that use a server after its drain time.
 
-    Daemons that the store does not answer are left out.
+    Daemons without access to the store are left out.
     """
-    unaware: list[str] = []
+    outdated: list[str] = []
 
     async def script() -> None:
-        scene = Daemons(seed, gent=near, aalst=far)
-        await scene.start_all()
+        cluster = Daemons(seed, gent=local, aalst=remote)
+        await cluster.start_all()
         await asyncio.sleep(seed / 3)
-        scene.store.stale_seconds = BEHIND_SECONDS
-        await fault(scene)
+        cluster.store.stale_seconds = STALE_SECONDS
+        await fault(cluster)
         await asyncio.sleep(DRAIN_SECONDS)
-        silent = scene.store.silent_to
-        unaware.extend(
-            name for name in scene.find_unaware(SERVER) if name not in silent
+        partitioned = cluster.store.silent_to
+        outdated.extend(
+            name for name in cluster.find_unaware(SERVER) if name not in partitioned
         )
 
     play(script())
-    return unaware
+    return outdated
