--- a/libs/serving/fireflyhitch_serving/admission.py
+++ b/libs/serving/fireflyhitch_serving/admission.py
@@ -8,10 +8,10 @@
 from fireflyhitch_model.ids import ContentId, DeploymentId
 from fireflyhitch_serving.callers import Reply
 from fireflyhitch_serving.catalog import Catalog, Customer, Route
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.edge import Refusal
 from fireflyhitch_serving.exchanges import Exchange, find_content
-from fireflyhitch_serving.messages import CallerMessage, RequestFacts
-from fireflyhitch_serving.parts import PathParts
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo
 
 # Callers retry after about the time in which drained servers are replaced or the server
 # list is read. The time is jittered, so that callers don't retry all at once.
@@ -30,13 +30,13 @@
 class Admission:
     """Admits requests or refuses them at once."""
 
-    def __init__(self, dependencies: PathParts) -> None:
+    def __init__(self, dependencies: RequestDependencies) -> None:
         """Create an admission that uses the current configuration."""
         self._deps = dependencies
         self._clock = dependencies.clock
 
     def admit(
-        self, request: CallerMessage, info: RequestFacts, reply: Reply
+        self, request: CallerRequest, info: RequestInfo, reply: Reply
     ) -> Exchange:
         """Return an exchange for a request that may be sent.
 
@@ -73,10 +73,10 @@
         self._charge(exchange)
         return exchange
 
-    def _check_quarantine(self, content: ContentId, info: RequestFacts) -> None:
+    def _check_quarantine(self, content: ContentId, info: RequestInfo) -> None:
         """Refuse a request that probably crashes the server it is sent to."""
         now = self._clock.monotonic()
-        wait = self._deps.crashes.quarantine.find_wait(content, now)
+        wait = self._deps.crashes.quarantine.find_remaining_hold(content, now)
         if wait is None:
             return
         logger.bind(
@@ -85,12 +85,12 @@
         message = 'servers have ended under this request; it is held back'
         raise build_refusal(wait, 'held', message)
 
-    def _check_shutdown(self, route: Route, info: RequestFacts) -> None:
+    def _check_shutdown(self, route: Route, info: RequestInfo) -> None:
         """Refuse a request that may outlast this process.
 
         It would be cut off midway; another daemon can serve it now.
         """
-        deadline = self._deps.last_moment()
+        deadline = self._deps.shutdown_deadline()
         if deadline is None:
             return
         if self._clock.monotonic() + _find_time_limit(route, info) > deadline:
@@ -99,7 +99,7 @@
             )
 
     def _find_customer(
-        self, catalog: Catalog, route: Route, info: RequestFacts
+        self, catalog: Catalog, route: Route, info: RequestInfo
     ) -> Customer | None:
         if not catalog.requires_keys or route.public:
             return None
@@ -114,7 +114,7 @@
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
-        return self._deps.draw.choices(route.shares, weights)[0].service
+        return self._deps.rng.choices(route.shares, weights)[0].service
 
     def _charge(self, exchange: Exchange) -> None:
         customer = exchange.customer
@@ -142,14 +142,14 @@
                 )
             )
         exchange.charged_units = units
-        self._deps.workloads.note_units(units)
+        self._deps.workloads.record_units(units)
 
     def build_transient_refusal(self, code: str, message: str) -> RefusedError:
         """Return the error for a request that did not run, with a jittered retry time.
 
         :param code: for the caller, as is ``message``.
         """
-        seconds = RETRY_SECONDS * self._deps.draw.uniform(
+        seconds = RETRY_SECONDS * self._deps.rng.uniform(
             1 - RETRY_SPREAD, 1 + RETRY_SPREAD
         )
         return build_refusal(seconds, code, message)
@@ -170,6 +170,6 @@
     )
 
 
-def _find_time_limit(route: Route, info: RequestFacts) -> float:
+def _find_time_limit(route: Route, info: RequestInfo) -> float:
     """Return the seconds within which a request gets its final response."""
     return min(route.timeout, info.time_left or route.timeout)
--- a/libs/serving/fireflyhitch_serving/choices.py
+++ b/libs/serving/fireflyhitch_serving/attempt_policy.py
@@ -4,13 +4,13 @@
 
 from fireflyhitch_model.ids import BackendServerId
 from fireflyhitch_model.states import Outcome
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.parts import PathParts
-from fireflyhitch_serving.placing import (
-    Place,
+from fireflyhitch_serving.placement import (
+    Locality,
     Placement,
-    PromptNeed,
+    PromptRequest,
     place_plain,
     place_prompt,
 )
@@ -33,7 +33,7 @@
 class AttemptPolicy:
     """Decides on attempts by the state of servers, versions and the retry budget."""
 
-    def __init__(self, dependencies: PathParts) -> None:
+    def __init__(self, dependencies: RequestDependencies) -> None:
         """Create a policy that uses the given components."""
         self._deps = dependencies
         self._clock = dependencies.clock
@@ -42,14 +42,14 @@
         """Return the servers to which an attempt may be sent."""
         now = self._clock.monotonic()
         servers = self._deps.servers
-        servers.judge(exchange.service, now)
+        servers.evaluate(exchange.service, now)
         listed = [
             record
-            for record in servers.of_service(exchange.service)
+            for record in servers.find_by_service(exchange.service)
             if record.server.ready
         ]
         versions = frozenset(record.server.version for record in listed)
-        allowed = self._deps.versions.pick(exchange.service, versions, self._deps.draw)
+        allowed = self._deps.versions.pick(exchange.service, versions, self._deps.rng)
         ready = [record for record in listed if record.server.version in allowed]
         fresh = [
             record
@@ -70,14 +70,14 @@
     ) -> list[ServerRecord]:
         """Return the candidates whose rate limit, if any, allows a request now."""
         limits = self._deps.limits
-        if not limits.are_named:
+        if not limits.has_limits:
             return candidates
         return [record for record in candidates if limits.may_send(record.process)]
 
-    def find_own_rate(self, candidates: Iterable[ServerRecord]) -> float:
+    def find_local_rate(self, candidates: Iterable[ServerRecord]) -> float:
         """Return the requests per second that this daemon may send to servers."""
         limits = self._deps.limits
-        return sum(limits.find_own_rate(record.process) for record in candidates)
+        return sum(limits.find_local_rate(record.process) for record in candidates)
 
     def choose(
         self, exchange: Exchange, candidates: list[ServerRecord]
@@ -85,14 +85,14 @@
         """Choose a candidate; ``None`` if the request has to wait for a free slot."""
         now = self._clock.monotonic()
         info = exchange.info
-        locality = Place(self._deps.own_domain, self._deps.silent_domains())
+        locality = Locality(self._deps.own_domain, self._deps.unreachable_domains())
         if info.prompt_tokens is None:
             return place_plain(candidates, locality, now)
-        prompt = PromptNeed(
+        prompt = PromptRequest(
             info.prompt_tokens,
             info.parts,
             exchange.route.target,
-            self._deps.workloads.pace_of(exchange.service).seconds_per_token,
+            self._deps.workloads.prefill_model(exchange.service).seconds_per_token,
         )
         return place_prompt(
             prompt,
@@ -113,7 +113,7 @@
         if len(parts) < 2:
             return []
         among = {record.server.server_id for record in candidates}
-        return self._deps.servers.find_agreed(
+        return self._deps.servers.find_affinity_servers(
             exchange.service, parts[-2].part_id, among
         )
 
@@ -129,8 +129,8 @@
             return None
         if exchange.info.prompt_tokens is None:
             return max(route.target, MIN_SILENCE_TIMEOUT_SECONDS)
-        pace = self._deps.workloads.pace_of(exchange.service)
-        expected = pace.expect(placement.queued_tokens + placement.fresh_tokens)
+        pace = self._deps.workloads.prefill_model(exchange.service)
+        expected = pace.predict(placement.queued_tokens + placement.fresh_tokens)
         return max(
             expected * SILENCE_TIMEOUT_FACTOR + SILENCE_TIMEOUT_MARGIN_SECONDS,
             route.target * MIN_TARGET_FRACTION,
@@ -151,7 +151,7 @@
         now = self._clock.monotonic()
         if exchange.sends > route.attempts + MAX_EXTRA_SENDS:
             return False
-        if self._deps.crashes.quarantine.find_wait(exchange.content, now):
+        if self._deps.crashes.quarantine.find_remaining_hold(exchange.content, now):
             return False
         if failure.outcome is not Outcome.NOT_RUN:
             if not route.repeatable or exchange.runs >= route.attempts:
--- a/libs/serving/fireflyhitch_serving/attempts.py
+++ b/libs/serving/fireflyhitch_serving/attempts.py
@@ -8,14 +8,14 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.records import immutable
 from fireflyhitch_model.states import Outcome, Step
-from fireflyhitch_serving.connections import AnswerHead, ServerConnection, connect
-from fireflyhitch_serving.edge import Edge, RenderedAnswer, Sending
+from fireflyhitch_serving.connections import ResponseHead, ServerConnection, connect
+from fireflyhitch_serving.edge import AttemptContext, Edge, RenderedResponse
 from fireflyhitch_serving.errors import ServerError, UnresponsiveServerError
 from fireflyhitch_serving.events import EventOrderError
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import AnswerFacts, drop_connection_headers
-from fireflyhitch_serving.placing import Placement
+from fireflyhitch_serving.messages import ResponseInfo, drop_connection_headers
+from fireflyhitch_serving.placement import Placement
 
 # A link takes a few ms. A lost SYN is sent again only after 1 s; another server
 # responds sooner.
@@ -43,7 +43,7 @@
     """
 
     on_progress: Callable[[Exchange, Placement], None]
-    on_head: Callable[[Exchange, Placement, AnswerFacts], None]
+    on_head: Callable[[Exchange, Placement, ResponseInfo], None]
 
 
 class Attempt:
@@ -128,7 +128,7 @@
         exchange = self._exchange
         server = self._placement.record.server
         time_left = exchange.deadline - self._clock.monotonic()
-        context = Sending(
+        context = AttemptContext(
             server.server_id,
             exchange.customer.name if exchange.customer else None,
             time_left,
@@ -144,7 +144,7 @@
 
     async def _read_head(
         self, connection: ServerConnection, silence_timeout: float | None
-    ) -> tuple[AnswerHead, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseInfo]:
         """Wait for the head of the response to this request.
 
         A server may respond twice to an earlier request; the request id tells.
@@ -152,7 +152,7 @@
         request_id = self._exchange.info.request_id
         for _ in range(MAX_MISMATCHED_RESPONSES):
             head = await self._read_with_timeout(connection.read_head, silence_timeout)
-            info = self._edge.read_answer(head)
+            info = self._edge.parse_response_head(head)
             if info.request_id in {request_id, None}:
                 return head, info
         raise self._make_relay_error('received only answers to other requests')
@@ -160,8 +160,8 @@
     async def _forward_response(
         self,
         connection: ServerConnection,
-        head: AnswerHead,
-        info: AnswerFacts,
+        head: ResponseHead,
+        info: ResponseInfo,
         silence_timeout: float | None,
     ) -> AttemptFailure | None:
         if info.not_run:
@@ -180,13 +180,13 @@
     async def _forward_whole(
         self,
         connection: ServerConnection,
-        head: AnswerHead,
-        info: AnswerFacts,
+        head: ResponseHead,
+        info: ResponseInfo,
         silence_timeout: float | None,
     ) -> AttemptFailure | None:
         body = await self._read_whole(connection, silence_timeout)
         headers = drop_connection_headers(head.headers)
-        response = RenderedAnswer(head.status, headers, body)
+        response = RenderedResponse(head.status, headers, body)
         if head.status >= MIN_SERVER_ERROR:
             detail = f'status {head.status}'
             return AttemptFailure(Ending.FAILED, Outcome.RAN, detail, response)
@@ -209,7 +209,7 @@
     async def _relay_stream(
         self,
         connection: ServerConnection,
-        head: AnswerHead,
+        head: ResponseHead,
         silence_timeout: float | None,
     ) -> None:
         exchange = self._exchange
@@ -223,14 +223,14 @@
             if not part:
                 break
             silence_timeout = gap
-            whole = events.cut(part)
+            whole = events.feed(part)
             if whole:
                 await self._forward_events(head, whole)
-        if events.torn or not exchange.reply.begun:
+        if events.has_partial_event or not exchange.reply.begun:
             raise self._make_relay_error('stream ended within an event or without one')
         exchange.reply.finish()
 
-    async def _forward_events(self, head: AnswerHead, events: bytes) -> None:
+    async def _forward_events(self, head: ResponseHead, events: bytes) -> None:
         reply = self._exchange.reply
         if not reply.begun:
             reply.begin(head.status, drop_connection_headers(head.headers))
--- a/libs/serving/fireflyhitch_serving/callers.py
+++ b/libs/serving/fireflyhitch_serving/callers.py
@@ -13,7 +13,7 @@
 from fireflyhitch_serving.catalog import CallerLimits
 from fireflyhitch_serving.errors import CallerDisconnected
 from fireflyhitch_serving.messages import (
-    CallerMessage,
+    CallerRequest,
     Header,
     Headers,
     find_header,
@@ -30,11 +30,11 @@
 # The head's size is counted in whole reads, which may include some of the body.
 HEAD_SLACK_BYTES = 4096
 
-Serve = Callable[[CallerMessage, 'Reply'], Awaitable[None]]
+Serve = Callable[[CallerRequest, 'Reply'], Awaitable[None]]
 
 
 @dataclass(slots=True)
-class FrontState:
+class ListenerState:
     """State shared by all connections of a listener.
 
     :param closing: whether responses ask callers to close their connections.
@@ -116,12 +116,12 @@
 class CallerConnection(asyncio.Protocol):
     """Reads requests and serves them in order."""
 
-    def __init__(self, state: FrontState) -> None:
+    def __init__(self, state: ListenerState) -> None:
         """Create a protocol for one connection of the listener."""
         self.state = state
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[tuple[CallerMessage, bool]] = deque()
+        self._waiting: deque[tuple[CallerRequest, bool]] = deque()
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._writable: asyncio.Future[None] | None = None
@@ -282,7 +282,7 @@
         self._head_bytes = 0
         if self._input_ended:
             return
-        request = CallerMessage(
+        request = CallerRequest(
             self._parser.get_method(),
             self._target,
             self._headers,
@@ -305,7 +305,7 @@
         reply = Reply(self, keep_alive)
         self._task = asyncio.get_running_loop().create_task(self._run(request, reply))
 
-    async def _run(self, request: CallerMessage, reply: Reply) -> None:
+    async def _run(self, request: CallerRequest, reply: Reply) -> None:
         try:
             await self.state.serve(request, reply)
         finally:
--- a/libs/serving/fireflyhitch_serving/catalog.py
+++ b/libs/serving/fireflyhitch_serving/catalog.py
@@ -96,7 +96,7 @@
 
 
 @immutable
-class EngineTraits:
+class EngineCapacity:
     """Capacity of one of a service's model engines.
 
     :param batch: maximum of concurrent requests.
@@ -117,8 +117,8 @@
     :param domain_prices: price of a server by failure domain.
     """
 
-    least: int
-    most: int
+    min_servers: int
+    max_servers: int
     start_seconds: float
     spot_price: float
     domain_prices: Mapping[FailureDomainId, float]
@@ -129,8 +129,8 @@
     """A kind of backend server."""
 
     name: DeploymentId
-    most_connections: int
-    engine: EngineTraits | None = None
+    max_connections: int
+    engine: EngineCapacity | None = None
     scale: ScaleBounds | None = None
 
 
--- a/libs/serving/fireflyhitch_serving/client.py
+++ b/libs/serving/fireflyhitch_serving/client.py
@@ -18,7 +18,7 @@
 
 
 @immutable
-class HttpAnswer:
+class HttpResponse:
     """A complete response."""
 
     status: int
@@ -42,7 +42,7 @@
         headers: Headers | None = None,
         body: bytes = b'',
         timeout: float,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send a request and return its response.
 
         :param timeout: seconds to the complete response.
@@ -63,7 +63,7 @@
                 outcome=Outcome.UNKNOWN,
             ) from error
 
-    async def _call(self, request: bytes) -> HttpAnswer:
+    async def _call(self, request: bytes) -> HttpResponse:
         pooled = self._pool.take(self._clock.monotonic())
         connection = pooled or await connect(self.address, CONNECT_TIMEOUT_SECONDS)
         fully_read = False
@@ -79,7 +79,7 @@
         return response
 
 
-async def _exchange(connection: ServerConnection, request: bytes) -> HttpAnswer:
+async def _exchange(connection: ServerConnection, request: bytes) -> HttpResponse:
     connection.send(request)
     head = await connection.read_head()
-    return HttpAnswer(head.status, await connection.read_whole_body())
+    return HttpResponse(head.status, await connection.read_whole_body())
--- a/libs/serving/fireflyhitch_serving/connections.py
+++ b/libs/serving/fireflyhitch_serving/connections.py
@@ -63,7 +63,7 @@
 
 
 @immutable
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a response."""
 
     status: int
@@ -84,7 +84,7 @@
         self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._events: deque[AnswerHead | bytes | _Marker] = deque()
+        self._events: deque[ResponseHead | bytes | _Marker] = deque()
         self._unread_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._headers: Headers = []
@@ -109,7 +109,7 @@
         self._keep_alive = True
         self._transport.write(request)
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for the head of a response.
 
         :raises ServerError: if the connection closes or the response is invalid.
@@ -222,7 +222,7 @@
         status = self._parser.get_status_code()
         if status < HTTPStatus.OK:
             return
-        self._events.append(AnswerHead(status, self._headers))
+        self._events.append(ResponseHead(status, self._headers))
         self._record_framing()
 
     def on_body(self, body: bytes) -> None:
@@ -255,7 +255,7 @@
             if name.lower() == b'timeout' and value.isdigit():
                 self.keep_alive_seconds = float(value)
 
-    async def _next_event(self) -> AnswerHead | bytes | _Marker:
+    async def _next_event(self) -> ResponseHead | bytes | _Marker:
         while not self._events:
             if self._error is not None:
                 raise ServerError(
@@ -298,18 +298,18 @@
             waiter.set_result(None)
 
 
-class Reach(Enum):
+class ConnectResult(Enum):
     """The result of an attempt to open a connection.
 
-    ``SILENT`` stands for all errors other than a refused connection.
+    ``UNREACHABLE`` stands for all errors other than a refused connection.
     """
 
     OPEN = 'open'
     REFUSED = 'refused'
-    SILENT = 'silent'
+    UNREACHABLE = 'silent'
 
 
-async def reach(address: Address, timeout: float) -> Reach:
+async def try_connect(address: Address, timeout: float) -> ConnectResult:
     """Open and close a connection to find out whether a process listens at an address.
 
     :param timeout: seconds.
@@ -318,9 +318,9 @@
         connection = await connect(address, timeout)
     except ServerError as error:
         refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Reach.REFUSED if refused else Reach.SILENT
+        return ConnectResult.REFUSED if refused else ConnectResult.UNREACHABLE
     connection.close()
-    return Reach.OPEN
+    return ConnectResult.OPEN
 
 
 async def connect(address: Address, timeout: float) -> ServerConnection:
--- a/libs/serving/fireflyhitch_serving/candidates.py
+++ b/libs/serving/fireflyhitch_serving/duty_ranking.py
@@ -5,14 +5,14 @@
 
 from fireflyhitch_model.hashing import rank_by_hash
 from fireflyhitch_model.ids import FailureDomainId
-from fireflyhitch_serving.peers import PeerBook
-from fireflyhitch_serving.summaries import SummaryBook
+from fireflyhitch_serving.peers import PeerRegistry
+from fireflyhitch_serving.summaries import SummaryTable
 
 # For each group; further claimants would only wait in vain.
 MAX_CLAIMANTS = 4
 
 
-def rank_able(peers: PeerBook, duty: str) -> list[str]:
+def rank_eligible(peers: PeerRegistry, duty: str) -> list[str]:
     """Rank the daemons of the local group that can take a duty, including this one.
 
     Other daemons are eligible if they are responsive, reach the store and are not
@@ -21,36 +21,36 @@
     """
     eligible = {
         daemon: news.failure_domain
-        for daemon, news in peers.heard_lately().items()
+        for daemon, news in peers.unsuspected_members().items()
         if news.hears_store and not news.stopping
     }
     domains = {**eligible, peers.own: peers.own_domain}
     return _alternate_domains(peers.rank(duty, domains), domains)
 
 
-class LeadTurns:
+class LeadershipOrder:
     """The order in which daemons claim leadership."""
 
     def __init__(
         self,
-        peers: PeerBook,
-        summaries: SummaryBook,
-        knows_peers: Callable[[], bool],
+        peers: PeerRegistry,
+        summaries: SummaryTable,
+        has_discovered_peers: Callable[[], bool],
     ) -> None:
         """Create the order from the state of peers and domain summaries.
 
-        :param knows_peers: tells whether this daemon has had time to receive the others'
+        :param has_discovered_peers: tells whether this daemon has had time to receive the others'
             state.
         """
         self._peers = peers
         self._summaries = summaries
-        self._knows_peers = knows_peers
+        self._knows_peers = has_discovered_peers
 
     def find(self) -> int | None:
         """Return how many daemons claim first; ``None`` if this one does not claim."""
         if not self._knows_peers():
             return None
-        position = rank_able(self._peers, 'lead').index(self._peers.own)
+        position = rank_eligible(self._peers, 'lead').index(self._peers.own)
         if position >= MAX_CLAIMANTS:
             return None
         own = self._peers.own_domain
--- a/libs/serving/fireflyhitch_serving/edge.py
+++ b/libs/serving/fireflyhitch_serving/edge.py
@@ -9,17 +9,17 @@
 from fireflyhitch_model.ids import BackendServerId, CustomerId, RequestId
 from fireflyhitch_model.records import immutable
 from fireflyhitch_model.states import Outcome
-from fireflyhitch_serving.connections import AnswerHead
+from fireflyhitch_serving.connections import ResponseHead
 from fireflyhitch_serving.messages import (
-    AnswerFacts,
-    CallerMessage,
+    CallerRequest,
     Headers,
-    RequestFacts,
+    RequestInfo,
+    ResponseInfo,
 )
 
 
 @immutable
-class Sending:
+class AttemptContext:
     """The values that an attempt adds to its request.
 
     :param time_left: seconds that the server has to respond.
@@ -51,7 +51,7 @@
 
 
 @immutable
-class RenderedAnswer:
+class RenderedResponse:
     """A complete response, ready to be sent."""
 
     status: int
@@ -66,19 +66,19 @@
 class Edge(Protocol):
     """Parses and renders the messages of one kind of HTTP interface."""
 
-    def read_request(self, message: CallerMessage) -> RequestFacts:
+    def parse_request(self, message: CallerRequest) -> RequestInfo:
         """Parse the information in a request.
 
         :raises BadRequestError: if a header is missing or invalid.
         """
 
-    def render_request(self, message: CallerMessage, context: Sending) -> bytes:
+    def render_request(self, message: CallerRequest, context: AttemptContext) -> bytes:
         """Return the request as it is sent to a server."""
 
-    def read_answer(self, head: AnswerHead) -> AnswerFacts:
+    def parse_response_head(self, head: ResponseHead) -> ResponseInfo:
         """Parse the information in the head of a server's response."""
 
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
-    ) -> RenderedAnswer:
+    ) -> RenderedResponse:
         """Return a final response by the daemon itself."""
--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class EventCutter:
+class EventSplitter:
     """Splits the streams of a request's attempts.
 
     :param last_id: of the last event returned, over all attempts.
@@ -20,7 +20,7 @@
     last_id: int | None = None
     _buffer: bytes = b''
 
-    def cut(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return the events that are complete, as the server wrote them.
 
         Events that the caller already has are left out.
@@ -36,7 +36,7 @@
         return self._check(read[:end])
 
     @property
-    def torn(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether an incomplete event is buffered."""
         return bool(self._buffer)
 
--- a/libs/serving/fireflyhitch_serving/exchanges.py
+++ b/libs/serving/fireflyhitch_serving/exchanges.py
@@ -8,10 +8,10 @@
 from fireflyhitch_model.states import Outcome
 from fireflyhitch_serving.callers import Reply
 from fireflyhitch_serving.catalog import Customer, Route
-from fireflyhitch_serving.edge import RenderedAnswer
-from fireflyhitch_serving.events import EventCutter
+from fireflyhitch_serving.edge import RenderedResponse
+from fireflyhitch_serving.events import EventSplitter
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import CallerMessage, RequestFacts
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo
 
 
 @dataclass(slots=True, eq=False)
@@ -30,11 +30,11 @@
     :param attempt_started: monotonic start time of the current attempt.
     :param first_event_at: monotonic time of the current attempt's first event or
         complete response.
-    :param lateness: time to that event as a multiple of the expected time.
+    :param relative_latency: time to that event as a multiple of the expected time.
     """
 
-    request: CallerMessage
-    info: RequestFacts
+    request: CallerRequest
+    info: RequestInfo
     route: Route
     service: DeploymentId
     customer: Customer | None
@@ -50,8 +50,8 @@
     unread_prompt_tokens: int = 0
     attempt_started: float = 0
     first_event_at: float | None = None
-    lateness: float = 1
-    events: EventCutter = field(default_factory=EventCutter)
+    relative_latency: float = 1
+    events: EventSplitter = field(default_factory=EventSplitter)
 
     @property
     def urgency(self) -> int:
@@ -61,7 +61,7 @@
         return self.route.priority
 
 
-def find_content(request: CallerMessage, customer: Customer | None) -> ContentId:
+def find_content(request: CallerRequest, customer: Customer | None) -> ContentId:
     """Return an id of a request's content, equal for repeats of the request."""
     return identify_content(
         customer.name if customer else None,
@@ -83,5 +83,5 @@
     ending: Ending
     outcome: Outcome
     detail: str
-    response: RenderedAnswer | None = None
+    response: RenderedResponse | None = None
     retry_reserved: bool = False
--- a/libs/serving/fireflyhitch_serving/lifecycle.py
+++ b/libs/serving/fireflyhitch_serving/lifecycle.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.callers import FrontState, Reply
-from fireflyhitch_serving.messages import CallerMessage
+from fireflyhitch_serving.callers import ListenerState, Reply
+from fireflyhitch_serving.messages import CallerRequest
 
 # The load balancer checks readiness once a second and removes the daemon after two
 # failures. Until then it still sends callers' new connections here.
@@ -28,20 +28,20 @@
 
     :param serviceable: returns why the daemon cannot serve yet, or ``None`` if it can.
     :param grace: seconds from the order to stop until the process is killed.
-    :param last_moment: monotonic time at which a stopping process exits, set when the
+    :param shutdown_deadline: monotonic time at which a stopping process exits, set when the
         balancer has had time to remove the daemon. A balancer with too few other daemons
         still sends callers, whose requests must complete before the process exits.
     """
 
-    front: FrontState
+    front: ListenerState
     clock: Clock
     serviceable: Callable[[], str | None]
     grace: float
     stopping: bool = False
     was_ready: bool = False
-    last_moment: float | None = None
+    shutdown_deadline: float | None = None
 
-    async def answer_readiness(self, request: CallerMessage, reply: Reply) -> None:
+    async def answer_readiness(self, request: CallerRequest, reply: Reply) -> None:
         """Respond to a readiness check, whatever its path."""
         reason = 'stopping' if self.stopping else self.serviceable()
         ready = reason is None
@@ -62,7 +62,7 @@
         logger.bind(busy=self.front.busy).info('stopping')
         await asyncio.sleep(BALANCER_LEAVE_SECONDS)
         self.front.closing = True
-        self.last_moment = until
+        self.shutdown_deadline = until
         last_connected = self.clock.monotonic()
         while self.clock.monotonic() < until:
             self.front.close_idle()
--- a/libs/serving/fireflyhitch_serving/messages.py
+++ b/libs/serving/fireflyhitch_serving/messages.py
@@ -27,7 +27,7 @@
 
 
 @immutable
-class CallerMessage:
+class CallerRequest:
     """A complete request as sent by a caller.
 
     :param arrived: monotonic time at which its head was complete.
@@ -52,7 +52,7 @@
 
 
 @immutable
-class RequestFacts:
+class RequestInfo:
     """The information in a request that is used for routing, whatever its edge.
 
     :param host: without a port.
@@ -71,7 +71,7 @@
     last_event: int | None
     model: str | None
     prompt_tokens: int | None
-    most_answer_tokens: int | None
+    max_answer_tokens: int | None
     parts: tuple[PromptPart, ...]
     hinted_tokens: int | None
 
@@ -80,11 +80,11 @@
         """Return the sum of prompt and response tokens, if the request states it."""
         if self.prompt_tokens is None:
             return None
-        return self.prompt_tokens + (self.most_answer_tokens or 0)
+        return self.prompt_tokens + (self.max_answer_tokens or 0)
 
 
 @immutable
-class ServerLoadNote:
+class ReportedLoad:
     """The load that a server reports in a response.
 
     :param running: requests.
@@ -97,7 +97,7 @@
 
 
 @immutable
-class AnswerFacts:
+class ResponseInfo:
     """The information in the head of a server's response.
 
     :param request_id: of the request it responds to, if stated.
@@ -112,7 +112,7 @@
     not_run: bool
     signed: bool
     encoded: bool
-    load: ServerLoadNote | None
+    load: ReportedLoad | None
     limit: float | None = None
 
 
--- a/libs/serving/fireflyhitch_serving/placing.py
+++ b/libs/serving/fireflyhitch_serving/placement.py
@@ -47,7 +47,7 @@
 
 
 @immutable
-class PromptNeed:
+class PromptRequest:
     """The prompt that an engine has to read for a request.
 
     :param tokens: length of the prompt.
@@ -62,14 +62,14 @@
 
 
 @immutable
-class Place:
+class Locality:
     """The daemon's view of the failure domains.
 
-    :param silent_domains: probably partitioned from this daemon.
+    :param unreachable_domains: probably partitioned from this daemon.
     """
 
     own_domain: FailureDomainId
-    silent_domains: frozenset[FailureDomainId] = frozenset()
+    unreachable_domains: frozenset[FailureDomainId] = frozenset()
 
 
 @immutable
@@ -90,9 +90,9 @@
 
 
 def place_prompt(
-    prompt: PromptNeed,
+    prompt: PromptRequest,
     records: Sequence[ServerRecord],
-    locality: Place,
+    locality: Locality,
     now: float,
     preferred: Sequence[BackendServerId] = (),
 ) -> Placement | None:
@@ -129,7 +129,7 @@
 
 
 def place_plain(
-    records: Sequence[ServerRecord], locality: Place, now: float
+    records: Sequence[ServerRecord], locality: Locality, now: float
 ) -> Placement | None:
     """Choose the server with the lowest share of used slots, preferably a local one.
 
@@ -193,15 +193,15 @@
 def _count_used_slots(record: ServerRecord, now: float) -> int:
     used_slots = record.total(now).requests
     load = record.load
-    if load is not None and now - record.load_at < LOAD_REPORT_TTL_SECONDS:
+    if load is not None and now - record.load_received_at < LOAD_REPORT_TTL_SECONDS:
         used_slots = max(used_slots, record.requests + load.waiting)
     return used_slots
 
 
-def _find_locality_cost(record: ServerRecord, locality: Place) -> float:
+def _find_locality_cost(record: ServerRecord, locality: Locality) -> float:
     domain = record.server.failure_domain
     cost = 0.0 if domain == locality.own_domain else REMOTE_DOMAIN_SECONDS
-    if domain in locality.silent_domains:
+    if domain in locality.unreachable_domains:
         cost += UNREACHABLE_DOMAIN_SECONDS
     if record.server.cold_seconds > 0:
         cost += COLD_SERVER_SECONDS
--- a/libs/serving/fireflyhitch_serving/path.py
+++ b/libs/serving/fireflyhitch_serving/request_handler.py
@@ -10,18 +10,21 @@
 from fireflyhitch_model.ids import CustomerId
 from fireflyhitch_model.states import Outcome
 from fireflyhitch_serving.admission import Admission, RefusedError, build_refusal
+from fireflyhitch_serving.attempt_policy import AttemptPolicy
 from fireflyhitch_serving.attempts import Attempt, AttemptCallbacks
 from fireflyhitch_serving.callers import Reply
-from fireflyhitch_serving.choices import AttemptPolicy
+from fireflyhitch_serving.dependencies import RequestDependencies
 from fireflyhitch_serving.edge import BadRequestError, Refusal
 from fireflyhitch_serving.errors import CallerDisconnected
 from fireflyhitch_serving.exchanges import AttemptFailure, Exchange
 from fireflyhitch_serving.health import Ending
-from fireflyhitch_serving.messages import AnswerFacts, CallerMessage, RequestFacts
-from fireflyhitch_serving.metrics_page import RequestRecord
-from fireflyhitch_serving.parts import PathParts
-from fireflyhitch_serving.placing import Placement
-from fireflyhitch_serving.server_evidence import LATEST, compare_times
+from fireflyhitch_serving.messages import CallerRequest, RequestInfo, ResponseInfo
+from fireflyhitch_serving.metrics_endpoint import RequestRecord
+from fireflyhitch_serving.placement import Placement
+from fireflyhitch_serving.server_statistics import (
+    MAX_RELATIVE_LATENCY,
+    compute_relative_latency,
+)
 from fireflyhitch_serving.servers import ServerRecord
 from fireflyhitch_serving.waiting import WaitingRequests
 
@@ -31,10 +34,10 @@
 ANONYMOUS = CustomerId('')
 
 
-class RequestPath:
+class RequestHandler:
     """Serves requests, all of them on one event loop."""
 
-    def __init__(self, dependencies: PathParts) -> None:
+    def __init__(self, dependencies: RequestDependencies) -> None:
         """Create a handler without requests in flight."""
         self._deps = dependencies
         self._clock = dependencies.clock
@@ -45,10 +48,10 @@
         )
         self._waiting = WaitingRequests()
 
-    async def serve(self, request: CallerMessage, reply: Reply) -> None:
+    async def serve(self, request: CallerRequest, reply: Reply) -> None:
         """Serve one request up to its final response."""
         try:
-            info = self._deps.edge.read_request(request)
+            info = self._deps.edge.parse_request(request)
         except BadRequestError as error:
             refusal = Refusal(HTTPStatus.BAD_REQUEST, 'bad_request', str(error))
             self._send_refusal(refusal, None, reply)
@@ -126,7 +129,7 @@
         if exchange.has_waited:
             return
         waiting = self._waiting.count(exchange.service) + 1
-        wait = waiting / self._policy.find_own_rate(candidates)
+        wait = waiting / self._policy.find_local_rate(candidates)
         if self._clock.monotonic() + wait < exchange.deadline:
             return
         if exchange.runs:
@@ -151,16 +154,18 @@
             partial(self._policy.reserve_retry, exchange),
         )
         record.requests += 1
-        self._deps.limits.note_sent(record.process)
+        self._deps.limits.record_sent(record.process)
         record.prompt_tokens += placement.fresh_tokens
-        self._deps.workloads.note_read(exchange.service, placement.fresh_tokens)
+        self._deps.workloads.record_prompt_tokens(
+            exchange.service, placement.fresh_tokens
+        )
         exchange.unread_prompt_tokens = placement.fresh_tokens
-        record.note_parts(exchange.info.parts, self._clock.monotonic())
+        record.add_cached_parts(exchange.info.parts, self._clock.monotonic())
         self._deps.fresh_parts.add(record.server.server_id, exchange.info.parts)
         ending = Ending.CANCELLED
         exchange.attempt_started = self._clock.monotonic()
         exchange.first_event_at = None
-        exchange.lateness = 1
+        exchange.relative_latency = 1
         try:
             failure = await attempt.run(
                 self._policy.find_silence_timeout(exchange, placement)
@@ -181,7 +186,7 @@
             exchange.sends += 1
             exchange.runs += ending is not Ending.REFUSED
         if sent and ending in {Ending.GOOD, Ending.FAILED, Ending.BROKEN}:
-            self._deps.count_answer(
+            self._deps.record_outcome(
                 record.server.service,
                 record.server.version,
                 exchange.route.name,
@@ -190,7 +195,7 @@
             )
         self._record_statistics(exchange, record, ending)
         self._record_crash(exchange, record, ending)
-        usual = self._deps.servers.find_usual_failure_rate(record.server.service)
+        usual = self._deps.servers.find_median_failure_rate(record.server.service)
         if record.health.record(ending, usual, now):
             logger.bind(
                 server=record.server.server_id,
@@ -209,9 +214,11 @@
         if ending in {Ending.CANCELLED, Ending.REFUSED}:
             return
         failed = ending is not Ending.GOOD
-        lateness = LATEST if failed else exchange.lateness
+        relative_latency = MAX_RELATIVE_LATENCY if failed else exchange.relative_latency
         now = self._clock.monotonic()
-        record.evidence.note_answer(now, failed=failed, lateness=lateness)
+        record.evidence.record_response(
+            now, failed=failed, relative_latency=relative_latency
+        )
 
     def _record_crash(
         self, exchange: Exchange, record: ServerRecord, ending: Ending
@@ -219,9 +226,11 @@
         """Check for a crash after a broken response; record a complete response."""
         crashes = self._deps.crashes
         if ending is Ending.BROKEN:
-            crashes.ends.note_broken(record, exchange.content, exchange.attempt_started)
+            crashes.ends.record_broken_response(
+                record, exchange.content, exchange.attempt_started
+            )
         elif ending is Ending.GOOD:
-            crashes.book.note_answer(exchange.content, self._clock.monotonic())
+            crashes.book.record_response(exchange.content, self._clock.monotonic())
 
     def _send_failure(self, exchange: Exchange, failure: AttemptFailure) -> None:
         reply = exchange.reply
@@ -263,7 +272,7 @@
     def _refund_quota(self, exchange: Exchange) -> None:
         customer = exchange.customer
         if customer is not None and exchange.charged_units and not exchange.runs:
-            self._deps.quotas.give_back(customer, exchange.charged_units)
+            self._deps.quotas.refund(customer, exchange.charged_units)
 
     def _record_metrics(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
@@ -296,19 +305,21 @@
         if exchange.first_event_at is None:
             return
         seconds = exchange.first_event_at - exchange.attempt_started
-        pace = self._deps.workloads.pace_of(exchange.service)
+        pace = self._deps.workloads.prefill_model(exchange.service)
         tokens = placement.queued_tokens + placement.fresh_tokens
-        exchange.lateness = compare_times(seconds, pace.expect(tokens))
-        pace.note(tokens, seconds)
+        exchange.relative_latency = compute_relative_latency(
+            seconds, pace.predict(tokens)
+        )
+        pace.add_sample(tokens, seconds)
 
     def _on_head(
-        self, exchange: Exchange, placement: Placement, info: AnswerFacts
+        self, exchange: Exchange, placement: Placement, info: ResponseInfo
     ) -> None:
         if info.load is not None:
-            placement.record.note_load(info.load, self._clock.monotonic())
+            placement.record.update_load(info.load, self._clock.monotonic())
         # An unsigned response may come from another server that reuses the address.
         if info.signed or info.limit is not None:
-            self._deps.limits.note_answer(
+            self._deps.limits.record_response(
                 placement.record.process,
                 placement.record.server.server_id,
                 info.limit,
@@ -331,7 +342,7 @@
         )
 
     def _send_refusal(
-        self, refusal: Refusal, info: RequestFacts | None, reply: Reply
+        self, refusal: Refusal, info: RequestInfo | None, reply: Reply
     ) -> None:
         request_id = info.request_id if info else None
         logger.bind(
--- a/libs/serving/fireflyhitch_serving/budgets.py
+++ b/libs/serving/fireflyhitch_serving/retry_budget.py
@@ -17,7 +17,7 @@
 
 
 @immutable
-class RepeatBounds:
+class RetryBounds:
     """The platform's bound on retries.
 
     :param ratio: retries for each request in a window.
@@ -36,10 +36,10 @@
     retries: deque[float] = field(default_factory=deque)
 
 
-class RepeatBudget:
+class RetryBudget:
     """The retry budgets of one daemon, by service."""
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: RetryBounds) -> None:
         """Create a budget without retries."""
         self.bounds = bounds
         self._services: dict[DeploymentId, _Counts] = {}
--- a/libs/serving/fireflyhitch_serving/versions.py
+++ b/libs/serving/fireflyhitch_serving/versions.py
@@ -34,7 +34,7 @@
         return self._moves.get(service)
 
     def pick(
-        self, service: DeploymentId, listed: frozenset[str], draw: random.Random
+        self, service: DeploymentId, listed: frozenset[str], rng: random.Random
     ) -> frozenset[str]:
         """Return the listed versions that one attempt may be sent to.
 
@@ -43,6 +43,6 @@
         move = self._moves.get(service)
         if move is None:
             return listed
-        if move.target in listed and draw.random() < move.share:
+        if move.target in listed and rng.random() < move.share:
             return frozenset((move.target,))
         return listed - {move.target}
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 from daemons_scene import Daemons
-from virtual_time import play
+from virtual_time import run_virtual
 
 from fireflyhitch_model.ids import ContentId
 
@@ -30,14 +30,14 @@
 
 async def lose_messages(cluster: Daemons) -> None:
     """Drop one message in ten from now on."""
-    draw = cluster.draw
-    cluster.net.loses = lambda sender, to, data: draw.random() < 0.1
+    rng = cluster.rng
+    cluster.net.should_drop = lambda sender, to, data: rng.random() < 0.1
 
 
 async def partition_last_daemon(cluster: Daemons) -> None:
     """Partition the last daemon from all others; the store still responds to it."""
     last = list(cluster.daemons)[-1]
-    cluster.net.loses = lambda sender, to, data: last in {sender, to}
+    cluster.net.should_drop = lambda sender, to, data: last in {sender, to}
     await asyncio.sleep(LARGE_BOUND_SECONDS)
 
 
@@ -58,7 +58,7 @@
     names = list(cluster.daemons)
     for number, name in enumerate((names[0], names[-2], names[1])):
         for content in contents:
-            cluster.daemons[name].note_end(content, number)
+            cluster.daemons[name].record_crash(content, number)
         await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
 
@@ -81,7 +81,7 @@
         await asyncio.sleep(find_bound(cluster) - RETRY_INTERVAL_SECONDS)
         not_holding.extend(find_not_holding(cluster, CRASHING))
 
-    play(script())
+    run_virtual(script())
     return not_holding
 
 
@@ -116,7 +116,7 @@
             await asyncio.sleep(BOUND_SECONDS)
             assert not find_not_holding(cluster, CRASHING)
 
-        play(script())
+        run_virtual(script())
 
     def test_request_with_a_complete_response_is_never_held(self) -> None:
         # Three servers crash under a harmless request because of another request. One
@@ -126,11 +126,11 @@
             await cluster.start_all()
             responder = list(cluster.daemons.values())[-1]
             now = asyncio.get_running_loop().time()
-            responder.crashes.book.note_answer(HARMLESS, now)
+            responder.crashes.book.record_response(HARMLESS, now)
             await crash_three_servers(cluster, CRASHING, HARMLESS)
             for _ in range(50):
                 assert len(find_not_holding(cluster, HARMLESS)) == len(cluster.daemons)
                 await asyncio.sleep(0.1)
             assert not find_not_holding(cluster, CRASHING)
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -5,7 +5,7 @@
 
 import pytest
 from daemons_scene import Daemons, is_change
-from virtual_time import play
+from virtual_time import run_virtual
 
 # The shortest drain time of all deployments.
 DRAIN_SECONDS = 2.0
@@ -23,7 +23,7 @@
     """Drop all messages of the change to one daemon, and kill their senders."""
     watchers = cluster.find_watchers('gent')
     missed = next(name for name in cluster.daemons if name not in watchers)
-    cluster.net.loses = lambda sender, to, data: to == missed and is_change(data)
+    cluster.net.should_drop = lambda sender, to, data: to == missed and is_change(data)
     cluster.leave(SERVER)
     await asyncio.sleep(0.1)
     for name in watchers:
@@ -32,13 +32,13 @@
 
 async def partition_watchers_from_store(cluster: Daemons) -> None:
     """Make the store unresponsive to a failure domain's watchers."""
-    cluster.store.silent_to.update(cluster.find_watchers('gent'))
+    cluster.store.unresponsive_to.update(cluster.find_watchers('gent'))
     cluster.leave(SERVER)
 
 
 async def stall_watches(cluster: Daemons) -> None:
     """Keep the pending watches of a failure domain from ever receiving a change."""
-    cluster.store.deaf.update(cluster.find_watchers('gent'))
+    cluster.store.stalled_watchers.update(cluster.find_watchers('gent'))
     cluster.leave(SERVER)
 
 
@@ -51,12 +51,12 @@
 
 async def start_unheard_daemon(cluster: Daemons) -> None:
     """Start a daemon whose messages are dropped until after the change."""
-    cluster.net.loses = lambda sender, to, data: sender == 'gent-9'
+    cluster.net.should_drop = lambda sender, to, data: sender == 'gent-9'
     cluster.start('gent-9')
     await asyncio.sleep(0.05)
     cluster.leave(SERVER)
     await asyncio.sleep(0.5)
-    cluster.net.loses = lambda sender, to, data: False
+    cluster.net.should_drop = lambda sender, to, data: False
 
 
 class TestStateDelay:
@@ -74,7 +74,7 @@
         """Guards against requests to drained servers by daemons that missed the change."""
         for local, remote, seeds in SIZES:
             for seed in range(seeds):
-                assert not find_unaware(fault, local, remote, seed), (
+                assert not find_outdated(fault, local, remote, seed), (
                     local,
                     remote,
                     seed,
@@ -99,17 +99,17 @@
         async def script() -> None:
             cluster = Daemons(0, **dict(zip(names, sizes, strict=True)))
             await cluster.start_all()
-            cluster.store.silent_to.update(cluster.find_daemons(partitioned))
+            cluster.store.unresponsive_to.update(cluster.find_daemons(partitioned))
             await asyncio.sleep(3)
             cluster.leave(SERVER)
             await asyncio.sleep(DRAIN_SECONDS)
-            outdated.extend(cluster.find_unaware(SERVER))
+            outdated.extend(cluster.find_outdated(SERVER))
 
-        play(script())
+        run_virtual(script())
         assert not outdated
 
 
-def find_unaware(fault: Fault, local: int, remote: int, seed: int) -> list[str]:
+def find_outdated(fault: Fault, local: int, remote: int, seed: int) -> list[str]:
     """Inject a fault; return the daemons that use a server after its drain time.
 
     Daemons without access to the store are left out.
@@ -123,10 +123,10 @@
         cluster.store.stale_seconds = STALE_SECONDS
         await fault(cluster)
         await asyncio.sleep(DRAIN_SECONDS)
-        partitioned = cluster.store.silent_to
+        partitioned = cluster.store.unresponsive_to
         outdated.extend(
-            name for name in cluster.find_unaware(SERVER) if name not in partitioned
+            name for name in cluster.find_outdated(SERVER) if name not in partitioned
         )
 
-    play(script())
+    run_virtual(script())
     return outdated
--- a/libs/serving/tests/test_placing.py
+++ b/libs/serving/tests/test_placement.py
@@ -8,26 +8,26 @@
 from fireflyhitch_serving.connections import Address, ConnectionPool
 from fireflyhitch_serving.health import ServerHealth
 from fireflyhitch_serving.messages import PromptPart
-from fireflyhitch_serving.placing import (
+from fireflyhitch_serving.placement import (
     MAX_COMPARED,
-    Place,
+    Locality,
     Placement,
-    PromptNeed,
+    PromptRequest,
     place_plain,
     place_prompt,
     sample_candidates,
 )
 from fireflyhitch_serving.servers import (
     InFlight,
-    ServerBook,
     ServerEntry,
     ServerRecord,
+    ServerRegistry,
 )
 
 LOCAL_DOMAIN = FailureDomainId('gent')
 REMOTE_DOMAIN = FailureDomainId('brugge')
 TOKENS_PER_SECOND = 56_600.0
-Choose = Callable[[PromptNeed, Sequence[ServerRecord], float], ServerRecord]
+Choose = Callable[[PromptRequest, Sequence[ServerRecord], float], ServerRecord]
 
 
 def make_server(
@@ -55,7 +55,7 @@
         self._completions: list[tuple[float, int, int]] = []
         self.reread_tokens = 0
 
-    def send(self, need: PromptNeed, record: ServerRecord, now: float) -> float:
+    def send(self, need: PromptRequest, record: ServerRecord, now: float) -> float:
         """Send a prompt to an engine; return the seconds to its first token."""
         place = self.records.index(record)
         cached = 0
@@ -70,13 +70,13 @@
         begin = max(now, self._free_at[place])
         end = begin + fresh / TOKENS_PER_SECOND
         self._free_at[place] = end
-        record.note_parts(need.parts, now)
+        record.add_cached_parts(need.parts, now)
         record.requests += 1
         record.prompt_tokens += fresh
         heapq.heappush(self._completions, (end, place, fresh))
         return end - now
 
-    def end_until(self, now: float) -> None:
+    def complete_until(self, now: float) -> None:
         """Complete the prompts that have been read by then."""
         while self._completions and self._completions[0][0] <= now:
             _, place, fresh = heapq.heappop(self._completions)
@@ -84,31 +84,31 @@
             self.records[place].prompt_tokens -= fresh
 
 
-def find_agreed(
-    need: PromptNeed, records: Sequence[ServerRecord]
+def find_affinity_servers(
+    need: PromptRequest, records: Sequence[ServerRecord]
 ) -> list[BackendServerId]:
     """Return the servers that a prompt's parts hash to, as the daemon does."""
     if len(need.parts) < 2:
         return []
-    book = ServerBook()
+    book = ServerRegistry()
     for record in records:
         book.put(record.server)
     service = records[0].server.service
-    return book.find_agreed(service, need.parts[-2].part_id, book.all())
+    return book.find_affinity_servers(service, need.parts[-2].part_id, book.all())
 
 
 def choose_by_wait(
-    need: PromptNeed, records: Sequence[ServerRecord], now: float
+    need: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose as the daemon does."""
-    agreed = find_agreed(need, records)
-    placement = place_prompt(need, records, Place(LOCAL_DOMAIN), now, agreed)
+    agreed = find_affinity_servers(need, records)
+    placement = place_prompt(need, records, Locality(LOCAL_DOMAIN), now, agreed)
     assert placement is not None
     return placement.record
 
 
 def choose_by_requests(
-    need: PromptNeed, records: Sequence[ServerRecord], now: float
+    need: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose the server with the fewest requests, as a simple load balancer does."""
     return min(records, key=lambda record: record.requests)
@@ -120,21 +120,21 @@
     :returns: the fraction of first tokens within 0.6 s, and the number of tokens in
         shared parts that were read again although an engine had them cached.
     """
-    draw = random.Random(7)  # noqa: S311
+    rng = random.Random(7)  # noqa: S311
     engines = Engines(5)
     now = 0.0
     within = 0
     sent_prompts = 0
     while now < 40:
-        now += draw.expovariate(prompts_per_second)
-        engines.end_until(now)
-        long = draw.random() < 0.3
-        shared = PromptPart(f'p{draw.randrange(40)}', 5000 if long else 300)
+        now += rng.expovariate(prompts_per_second)
+        engines.complete_until(now)
+        long = rng.random() < 0.3
+        shared = PromptPart(f'p{rng.randrange(40)}', 5000 if long else 300)
         own = PromptPart(
-            f'own{sent_prompts}', draw.choice((500, 2000, 12000 if long else 900))
+            f'own{sent_prompts}', rng.choice((500, 2000, 12000 if long else 900))
         )
         tokens = shared.tokens + own.tokens
-        need = PromptNeed(tokens, (shared, own), 0.6, 1 / TOKENS_PER_SECOND)
+        need = PromptRequest(tokens, (shared, own), 0.6, 1 / TOKENS_PER_SECOND)
         record = choose(need, engines.records, now)
         sent_prompts += 1
         within += engines.send(need, record, now) <= 0.6
@@ -163,20 +163,20 @@
     def test_request_is_not_placed_on_full_server(self) -> None:
         record = make_server('a', slots=2)
         record.requests = 2
-        assert place_plain([record], Place(LOCAL_DOMAIN), 0) is None
+        assert place_plain([record], Locality(LOCAL_DOMAIN), 0) is None
 
     def test_peers_requests_in_flight_count(self) -> None:
         local = make_server('a', slots=6)
         remote = make_server('b', REMOTE_DOMAIN, slots=6)
-        local.note_peer('d2', InFlight(5, 0), 0)
-        assert _name(place_plain([local, remote], Place(LOCAL_DOMAIN), 0.1)) == 'b'
-        assert _name(place_plain([local, remote], Place(LOCAL_DOMAIN), 60)) == 'a'
+        local.update_peer('d2', InFlight(5, 0), 0)
+        assert _name(place_plain([local, remote], Locality(LOCAL_DOMAIN), 0.1)) == 'b'
+        assert _name(place_plain([local, remote], Locality(LOCAL_DOMAIN), 60)) == 'a'
 
     def test_unreachable_domain_is_chosen_last(self) -> None:
         local = make_server('a', slots=6)
         local.requests = 4
         remote = make_server('b', REMOTE_DOMAIN, slots=6)
-        place = Place(LOCAL_DOMAIN, frozenset((REMOTE_DOMAIN,)))
+        place = Locality(LOCAL_DOMAIN, frozenset((REMOTE_DOMAIN,)))
         assert _name(place_plain([local, remote], place, 0)) == 'a'
         local.requests = 6
         assert _name(place_plain([local, remote], place, 0)) == 'b'
@@ -195,8 +195,8 @@
             make_server(f's{number}', LOCAL_DOMAIN, 12) for number in range(1000)
         ]
         parts = (PromptPart('shared', 2000), PromptPart('own', 100))
-        need = PromptNeed(2100, parts, 1.0, 1 / 60_000)
-        agreed = find_agreed(need, records)
+        need = PromptRequest(2100, parts, 1.0, 1 / 60_000)
+        agreed = find_affinity_servers(need, records)
         sampled = sample_candidates(records, parts, agreed)
         assert len(sampled) <= MAX_COMPARED + len(agreed)
         names = {record.server.server_id for record in sampled}
--- a/libs/serving/tests/test_path.py
+++ b/libs/serving/tests/test_request_handler.py
@@ -10,16 +10,16 @@
     CUSTOMER,
     ROUTE,
     SERVICE,
-    Scene,
+    RequestHarness,
     make_catalog,
-    play,
+    run_scenario,
 )
 from scripted_servers import close_connection, respond, stay_silent
 
 from fireflyhitch_model.ids import BackendServerId
 from fireflyhitch_serving.catalog import Quota
 from fireflyhitch_serving.errors import CallerDisconnected
-from fireflyhitch_serving.messages import CallerMessage
+from fireflyhitch_serving.messages import CallerRequest
 from fireflyhitch_serving.versions import VersionShare
 
 WAIT_SECONDS = 0.2
@@ -27,7 +27,7 @@
 
 class TestAnswers:
     def test_response_is_forwarded_unchanged(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond(201, b'booked'))
             response = await harness.ask('/book/1', 'POST', b'two at nine')
             assert (response.status, response.body, response.whole) == (
@@ -38,24 +38,24 @@
             assert response.headers['x-signed'] == '1'
             assert server.seen[0].body == b'two at nine'
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_unsigned_success_is_not_forwarded(self) -> None:
         # An unsigned 200 may come from a faulty server, so whether the request ran is
         # unknown: the caller gets 502.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond(signed=False))
             response = await harness.ask('/book/1', 'POST')
             assert response.status == 502
             assert response.headers['x-outcome'] == 'unknown'
             assert len(server.seen) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_response_to_another_request_is_skipped(self) -> None:
         # A server sends a second response to the previous request as the next one arrives
         # on the same connection. The caller must get the response to its own request.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             async def twice(request, writer):  # type: ignore[no-untyped-def]
                 await respond(body=b'stray', request_id='other')(request, writer)
                 await respond(body=b'own')(request, writer)
@@ -64,12 +64,12 @@
             response = await harness.ask()
             assert response.body == b'own'
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_data_after_response_closes_connection(self) -> None:
         # After unsolicited data, the next request uses a new connection and gets its own
         # response.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             async def extra(request, writer):  # type: ignore[no-untyped-def]
                 await respond()(request, writer)
                 await respond(body=b'extra', request_id='r2')(request, writer)
@@ -79,33 +79,33 @@
             response = await harness.ask(request_id='r2')
             assert response.body == b'done'
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_server_error_keeps_status_and_signature(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(500, b'broken'))
             response = await harness.ask('/book/1', 'POST')
             assert (response.status, response.body) == (500, b'broken')
             assert response.headers['x-signed'] == '1'
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestRetries:
     def test_idempotent_request_is_retried_on_another_server(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(500), slots=100)
             good = await harness.add('b', respond(), slots=4)
             response = await harness.ask()
             assert response.status == 200
             assert len(good.seen) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_non_idempotent_request_is_not_retried_after_lost_connection(self) -> None:
         # The server closes the connection without a response, so the booking may have
         # run. A retry could book twice, so the caller gets 502 with outcome unknown.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             first = await harness.add('a', close_connection(), slots=100)
             second = await harness.add('b', respond(), slots=4)
             response = await harness.ask('/book/1', 'POST')
@@ -113,49 +113,49 @@
             assert response.headers['x-outcome'] == 'unknown'
             assert (len(first.seen), len(second.seen)) == (1, 0)
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_non_idempotent_request_is_retried_if_not_run(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(503, not_run=True), slots=100)
             second = await harness.add('b', respond(), slots=4)
             response = await harness.ask('/book/1', 'POST')
             assert response.status == 200
             assert len(second.seen) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_not_run_by_any_server_is_refused_with_retry_time(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(503, not_run=True))
             response = await harness.ask('/book/1', 'POST')
             assert response.status == 503
             assert response.headers['x-outcome'] == 'not-run'
             assert float(response.headers['retry-after']) > 0
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_request_runs_on_no_more_servers_than_route_allows(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             servers = [await harness.add(name, respond(500)) for name in 'abcd']
             await harness.ask()
             runs = sum(len(server.seen) for server in servers)
             assert runs == ROUTE.attempts
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_exhausted_budget_stops_retries(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             harness.budget.bounds = replace(harness.budget.bounds, slack=0)
             servers = [await harness.add(name, respond(500)) for name in 'ab']
             response = await harness.ask()
             assert response.status == 500
             assert sum(len(server.seen) for server in servers) == 1
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_unreachable_server_costs_no_retry(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             harness.budget.bounds = replace(harness.budget.bounds, slack=0)
             unreachable = await harness.add('a', respond(), slots=100)
             unreachable.stop()
@@ -163,12 +163,12 @@
             response = await harness.ask('/book/1', 'POST')
             assert response.status == 200
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_hung_server_is_replaced_by_another(self) -> None:
         # A server that is regarded as healthy reads the request and sends nothing. The
         # caller of a repeatable request gets the response of another server.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             hung = await harness.add('a', stay_silent(), slots=100)
             await harness.add('b', respond(), slots=4)
             response = await harness.ask()
@@ -177,14 +177,14 @@
             await hung.seen[0].closed.wait()
 
         route = replace(ROUTE, target=0.1)
-        play(Scene(make_catalog(routes=(route,))), script)
+        run_scenario(RequestHarness(make_catalog(routes=(route,))), script)
 
 
 class TestWaitingRetries:
     """Guards against outcome ``not-run`` for a request that a server received."""
 
     def test_outcome_is_unknown_if_last_server_is_removed_while_waiting(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', close_connection())
             await harness.add('b', respond())
             busy = harness.book.all()[BackendServerId('b')]
@@ -195,18 +195,18 @@
             response = await task
             assert (response.status, response.headers['x-outcome']) == (502, 'unknown')
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestAdmission:
     def test_request_without_configuration_is_refused_with_retry_time(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             harness.catalog = None
             response = await harness.ask()
             assert response.status == 503
             assert 'retry-after' in response.headers
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     @pytest.mark.parametrize(
         ('path', 'key', 'status'),
@@ -215,24 +215,26 @@
     def test_unknown_route_or_key_is_denied(
         self, path: str, key: str, status: int
     ) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond())
             response = await harness.ask(path, key=key)
             assert response.status == status
             assert not server.seen
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_public_route_needs_no_key(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond())
             response = await harness.ask(key='')
             assert response.status == 200
 
-        play(Scene(make_catalog(routes=(replace(ROUTE, public=True),))), script)
+        run_scenario(
+            RequestHarness(make_catalog(routes=(replace(ROUTE, public=True),))), script
+        )
 
     def test_request_over_quota_is_refused_with_retry_time(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond())
             first = await harness.ask()
             second = await harness.ask(request_id='r2')
@@ -241,39 +243,39 @@
             assert len(server.seen) == 1
 
         quota = Quota(rate=0.1, burst=1, in_tokens=False, plain_tokens=0)
-        play(Scene(make_catalog(quota)), script)
+        run_scenario(RequestHarness(make_catalog(quota)), script)
 
     def test_request_that_did_not_run_is_refunded(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(503, not_run=True))
             await harness.ask()
             assert (await harness.ask(request_id='r2')).status == 503
 
         quota = Quota(rate=0.1, burst=1, in_tokens=False, plain_tokens=0)
-        play(Scene(make_catalog(quota)), script)
+        run_scenario(RequestHarness(make_catalog(quota)), script)
 
     def test_draining_server_gets_no_requests(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             leaving = await harness.add('a', respond(), ready=False)
             response = await harness.ask()
             assert response.status == 503
             assert not leaving.seen
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_retried_request_counts_once_in_customer_usage(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(500), slots=100)
             await harness.add('b', respond(), slots=4)
             await harness.ask()
             assert harness.usage.sum_window(2) == {CUSTOMER: 1}
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestVersions:
     def test_withdrawn_version_gets_no_requests(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             bad = await harness.add('a', respond(), version='v2', slots=100)
             await harness.add('b', respond(), slots=4)
             harness.versions.put(SERVICE, VersionShare('v2', 0))
@@ -281,10 +283,10 @@
                 assert (await harness.ask(request_id=f'r{number}')).status == 200
             assert not bad.seen
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
     def test_fully_rolled_out_version_gets_all_requests(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(), version='v2', slots=1)
             old = await harness.add('b', respond(), slots=100)
             harness.versions.put(SERVICE, VersionShare('v2', 1))
@@ -292,7 +294,7 @@
             assert not old.seen
             assert harness.recorded_outcomes == [('v2', False)]
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestChatRoute:
@@ -317,17 +319,17 @@
     def test_refusal_to_disconnected_caller_is_no_error(self) -> None:
         # The caller disconnects just as its request is refused. The daemon logs that; an
         # exception would be reported as an internal error.
-        async def script(harness: Scene) -> None:
-            message = CallerMessage(b'GET', b'/none/', [], b'', 0)
+        async def script(harness: RequestHarness) -> None:
+            message = CallerRequest(b'GET', b'/none/', [], b'', 0)
             message.headers.extend([(b'X-Id', b'r1'), (b'Host', b'shop.example')])
             await harness.front.serve(message, _DisconnectedReply())  # type: ignore[arg-type]
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestMetrics:
     def test_requests_before_first_metrics_request_are_counted(self) -> None:
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond())
             await harness.ask()
             await harness.ask(request_id='r2')
@@ -342,7 +344,7 @@
             }
             assert counts == {'200': '2.0', '503': '1.0'}
 
-        play(Scene(), script)
+        run_scenario(RequestHarness(), script)
 
 
 class TestShutdown:
@@ -350,9 +352,9 @@
         # The balancer sends a caller to a stopping daemon shortly before its process
         # exits. A long request would be cut off, so it is refused as not run; a short
         # one is still served.
-        async def script(harness: Scene) -> None:
+        async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond())
-            harness.last_moment = harness.clock.monotonic() + 1
+            harness.shutdown_deadline = harness.clock.monotonic() + 1
             response = await harness.ask('/book/1', 'POST')
             assert response.status == 503
             assert response.headers['x-outcome'] == 'not-run'
@@ -360,4 +362,4 @@
             assert (await harness.ask('/read/1')).status == 200
 
         routes = (replace(BOOK, timeout=5), replace(ROUTE, timeout=0.5))
-        play(Scene(make_catalog(routes=routes)), script)
+        run_scenario(RequestHarness(make_catalog(routes=routes)), script)
