--- a/libs/serving/fireflyhitch_serving/admission.py
+++ b/libs/serving/fireflyhitch_serving/admission.py
@@ -58,7 +58,7 @@
         self._check_shutdown(route, info)
         service = self._pick_service(route)
         self._deps.budget.record_request(service, self._clock.monotonic())
-        wait = _find_time_limit(route, info)
+        time_limit = _find_time_limit(route, info)
         exchange = Exchange(
             request,
             info,
@@ -66,7 +66,7 @@
             service,
             customer,
             reply,
-            request.arrived + wait,
+            request.arrived + time_limit,
             content,
         )
         exchange.events.last_id = info.last_event
--- a/libs/serving/fireflyhitch_serving/attempt_policy.py
+++ b/libs/serving/fireflyhitch_serving/attempt_policy.py
@@ -22,11 +22,11 @@
 SILENCE_TIMEOUT_FACTOR = 2.0
 SILENCE_TIMEOUT_MARGIN_SECONDS = 0.2
 MIN_SILENCE_TIMEOUT_SECONDS = 0.4
-# Minimum wait as a fraction of the latency target: it leaves time for another server, and
-# the work of a busy server that responds meanwhile is not wasted.
+# Minimum wait as a fraction of the latency target: it leaves time for another server,
+# and the work of a busy server that responds meanwhile is not wasted.
 MIN_TARGET_FRACTION = 0.5
-# Sends beyond a route's attempts, for servers that respond "not run"; each costs a round
-# trip.
+# Sends beyond a route's attempts, for servers that respond "not run"; each costs a
+# round trip.
 MAX_EXTRA_SENDS = 2
 
 
@@ -61,8 +61,8 @@
             for record in fresh
             if not (record.failing or record.health.is_ejected(now))
         ]
-        # Failure statistics and ejections may be wrong: without other servers, suspected
-        # ones are better than a refusal.
+        # Failure statistics and ejections may be wrong: without other servers,
+        # suspected ones are better than a refusal.
         return healthy or fresh
 
     def filter_by_rate_limit(
@@ -112,9 +112,9 @@
         parts = exchange.info.parts
         if len(parts) < 2:
             return []
-        among = {record.server.server_id for record in candidates}
+        candidate_ids = {record.server.server_id for record in candidates}
         return self._deps.servers.find_affinity_servers(
-            exchange.service, parts[-2].part_id, among
+            exchange.service, parts[-2].part_id, candidate_ids
         )
 
     def find_silence_timeout(
@@ -129,8 +129,10 @@
             return None
         if exchange.info.prompt_tokens is None:
             return max(route.target, MIN_SILENCE_TIMEOUT_SECONDS)
-        pace = self._deps.workloads.prefill_model(exchange.service)
-        expected = pace.predict(placement.queued_tokens + placement.fresh_tokens)
+        prefill_model = self._deps.workloads.prefill_model(exchange.service)
+        expected = prefill_model.predict(
+            placement.queued_tokens + placement.fresh_tokens
+        )
         return max(
             expected * SILENCE_TIMEOUT_FACTOR + SILENCE_TIMEOUT_MARGIN_SECONDS,
             route.target * MIN_TARGET_FRACTION,
--- a/libs/serving/fireflyhitch_serving/callers.py
+++ b/libs/serving/fireflyhitch_serving/callers.py
@@ -21,8 +21,8 @@
 )
 from fireflyhitch_serving.sockets import set_send_options
 
-# A caller may pipeline requests; with more than this many waiting, its connection is not
-# read any further.
+# A caller may pipeline requests; with more than this many waiting, its connection is
+# not read any further.
 MAX_PIPELINED = 8
 # A caller that acknowledges nothing for this long is regarded as disconnected.
 ACK_TIMEOUT_MS = 4000
--- a/libs/serving/fireflyhitch_serving/catalog.py
+++ b/libs/serving/fireflyhitch_serving/catalog.py
@@ -32,8 +32,8 @@
     """The handling of requests by host and path prefix.
 
     :param timeout: seconds until the caller gets a final response.
-    :param target: latency target in seconds to the complete response or a stream's first
-        event.
+    :param target: latency target in seconds to the complete response or a stream's
+        first event.
     :param gap_target: latency target in seconds between two events of a stream.
     :param attempts: number of servers that may run one request.
     :param priority: 0 is the most urgent.
@@ -113,7 +113,8 @@
     """Bounds on the servers that may be ordered, for each failure domain.
 
     :param start_seconds: from the order until a server accepts requests.
-    :param spot_price: price of a reclaimable server as a fraction of an on-demand one's.
+    :param spot_price: price of a reclaimable server as a fraction of an on-demand
+        one's.
     :param domain_prices: price of a server by failure domain.
     """
 
@@ -165,7 +166,7 @@
     _quotas: Mapping[CustomerId, Quota] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        """Sort the routes of each host by prefix length, longest first; index quotas."""
+        """Sort each host's routes by prefix length, longest first; index quotas."""
         object.__setattr__(self, '_by_host', _index_routes(self.routes))
         customers = (self.customers or {}).values()
         quotas = {customer.name: customer.quota for customer in customers}
--- a/libs/serving/fireflyhitch_serving/connections.py
+++ b/libs/serving/fireflyhitch_serving/connections.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 connections to backend servers and to the platform, without pipelining.
 
-``urllib3`` would need a thread for each pending response. Here all connections share one
-event loop, and ``httptools`` (llhttp) parses the responses.
+``urllib3`` would need a thread for each pending response. Here all connections share
+one event loop, and ``httptools`` (llhttp) parses the responses.
 """
 
 import asyncio
@@ -21,19 +21,20 @@
     set_send_options,
 )
 
-# A peer that acknowledges nothing for this long is regarded as disconnected. Link latency
-# is at most a few ms; a retransmission after a lost packet takes 0.2 to 0.8 s.
+# A peer that acknowledges nothing for this long is regarded as disconnected. Link
+# latency is at most a few ms; a retransmission after a lost packet takes 0.2 to 0.8 s.
 ACK_TIMEOUT_MS = 1500
-# TCP keep-alive detects a peer that vanished while a connection waits: the first probe is
-# sent after 1 s without data, then one each second until ACK_TIMEOUT_MS.
+# TCP keep-alive detects a peer that vanished while a connection waits: the first probe
+# is sent after 1 s without data, then one each second until ACK_TIMEOUT_MS.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
 # Reading from the server pauses while more than this waits for the caller.
 MAX_UNREAD_BYTES = 262144
 # Keep-alive timeout of a server that states none.
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-# A connection is reused for this fraction of the server's keep-alive timeout: the server
-# counts from its last byte, and whether a request sent while it closes has run is unknown.
+# A connection is reused for this fraction of the server's keep-alive timeout: the
+# server counts from its last byte, and whether a request sent while it closes has run
+# is unknown.
 KEEP_ALIVE_FRACTION = 0.6
 # Idle connections kept to one server, which accepts some hundred from all daemons.
 MAX_IDLE = 32
--- a/libs/serving/fireflyhitch_serving/dependencies.py
+++ b/libs/serving/fireflyhitch_serving/dependencies.py
@@ -23,7 +23,7 @@
 from fireflyhitch_serving.workloads import Workloads
 
 
-class CountAnswer(Protocol):
+class OutcomeRecorder(Protocol):
     """Records how a version responded, as evidence for its move."""
 
     def __call__(
@@ -72,7 +72,7 @@
 
     book: CrashTracker
     quarantine: Quarantine
-    ends: CrashDetector
+    detector: CrashDetector
 
 
 def make_crash_tracking(clock: Clock, servers: ServerRegistry) -> CrashTracking:
@@ -90,7 +90,8 @@
     :param wall: wall clock in seconds since 1970, corrected by the peers' clocks.
     :param catalog: the current configuration, if there is one yet.
     :param unreachable_domains: failure domains that are probably partitioned from here.
-    :param shutdown_deadline: monotonic time by which a stopping process must have finished.
+    :param shutdown_deadline: monotonic time by which a stopping process must have
+        finished.
     """
 
     clock: Clock
@@ -103,7 +104,7 @@
     usage: UsageTracker
     workloads: Workloads
     versions: VersionShares
-    record_outcome: CountAnswer
+    record_outcome: OutcomeRecorder
     fresh_parts: RecentPromptParts
     unreachable_domains: Callable[[], frozenset[FailureDomainId]]
     record: Callable[[RequestRecord], None]
--- a/libs/serving/fireflyhitch_serving/duty_ranking.py
+++ b/libs/serving/fireflyhitch_serving/duty_ranking.py
@@ -20,9 +20,9 @@
     domain, or of its link to the store, leaves others.
     """
     eligible = {
-        daemon: news.failure_domain
-        for daemon, news in peers.unsuspected_members().items()
-        if news.hears_store and not news.stopping
+        daemon: state.failure_domain
+        for daemon, state in peers.unsuspected_members().items()
+        if state.hears_store and not state.stopping
     }
     domains = {**eligible, peers.own: peers.own_domain}
     return _alternate_domains(peers.rank(duty, domains), domains)
@@ -39,16 +39,16 @@
     ) -> None:
         """Create the order from the state of peers and domain summaries.
 
-        :param has_discovered_peers: tells whether this daemon has had time to receive the others'
-            state.
+        :param has_discovered_peers: tells whether this daemon has had time to receive
+            the others' state.
         """
         self._peers = peers
         self._summaries = summaries
-        self._knows_peers = has_discovered_peers
+        self._has_discovered_peers = has_discovered_peers
 
     def find(self) -> int | None:
         """Return how many daemons claim first; ``None`` if this one does not claim."""
-        if not self._knows_peers():
+        if not self._has_discovered_peers():
             return None
         position = rank_eligible(self._peers, 'lead').index(self._peers.own)
         if position >= MAX_CLAIMANTS:
--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -45,12 +45,12 @@
         self._buffer = b''
 
     def _check(self, data: bytes) -> bytes:
-        passed: list[bytes] = []
+        accepted: list[bytes] = []
         for event in data.split(EVENT_END)[:-1]:
             event_id = _find_id(event)
             if event_id is None or self._accept_id(event_id):
-                passed.append(event + EVENT_END)
-        return b''.join(passed)
+                accepted.append(event + EVENT_END)
+        return b''.join(accepted)
 
     def _accept_id(self, event_id: int) -> bool:
         last = self.last_id
--- a/libs/serving/fireflyhitch_serving/lifecycle.py
+++ b/libs/serving/fireflyhitch_serving/lifecycle.py
@@ -28,9 +28,10 @@
 
     :param serviceable: returns why the daemon cannot serve yet, or ``None`` if it can.
     :param grace: seconds from the order to stop until the process is killed.
-    :param shutdown_deadline: monotonic time at which a stopping process exits, set when the
-        balancer has had time to remove the daemon. A balancer with too few other daemons
-        still sends callers, whose requests must complete before the process exits.
+    :param shutdown_deadline: monotonic time at which a stopping process exits, set when
+        the balancer has had time to remove the daemon. A balancer with too few other
+        daemons still sends callers, whose requests must complete before the process
+        exits.
     """
 
     front: ListenerState
--- a/libs/serving/fireflyhitch_serving/metrics_endpoint.py
+++ b/libs/serving/fireflyhitch_serving/metrics_endpoint.py
@@ -27,8 +27,8 @@
 class RequestRecord:
     """A finished request, as counted in the metrics.
 
-    :param first_event_seconds: from the request to a stream's first event or the complete
-        response; ``None`` without a response.
+    :param first_event_seconds: from the request to a stream's first event or the
+        complete response; ``None`` without a response.
     """
 
     customer: CustomerId
--- a/libs/serving/fireflyhitch_serving/placement.py
+++ b/libs/serving/fireflyhitch_serving/placement.py
@@ -17,8 +17,8 @@
 # Added to the time to first token by each running request: it lengthens a step by 0.09
 # to 0.12 ms, and reading a prompt takes several steps.
 SECONDS_PER_RUNNING_REQUEST = 0.002
-# Added by each request beyond an engine's batch: a slot is freed when one of some dozens
-# of requests, each of which takes some seconds, completes.
+# Added by each request beyond an engine's batch: a slot is freed when one of some
+# dozens of requests, each of which takes some seconds, completes.
 SECONDS_PER_QUEUED_REQUEST = 0.05
 # Traffic between failure domains costs money, so a local server is preferred by a time
 # that a caller hardly notices.
@@ -28,21 +28,22 @@
 # The first server by hash counts as if it had cached this fraction of a prompt's shared
 # parts, so that daemons agree on one server for parts that no server is known to have.
 PREFERRED_CACHE_FRACTION = 0.5
-# A server without the prompt's parts that is not preferred by hash is chosen only if the
-# wait at the preferred ones is longer by this fraction of the latency target.
+# A server without the prompt's parts that is not preferred by hash is chosen only if
+# the wait at the preferred ones is longer by this fraction of the latency target.
 NON_PREFERRED_TARGET_FRACTION = 0.4
 MAX_NON_PREFERRED_SECONDS = 0.5
-# Of more servers only a sample of this size is compared, another one for each prompt. The
-# least busy of some dozens is hardly busier than that of hundreds, and comparing all
-# takes longer.
+# Of more servers only a sample of this size is compared, another one for each prompt.
+# The least busy of some dozens is hardly busier than that of hundreds, and comparing
+# all takes longer.
 MAX_COMPARED = 64
 # A server's own report of waiting requests, also of a draining or returning server, is
 # used for this long.
 LOAD_REPORT_TTL_SECONDS = 0.5
-# Added in a partitioned failure domain: a request there waits for the connect timeout, or
-# in vain on a pooled connection.
+# Added in a partitioned failure domain: a request there waits for the connect timeout,
+# or in vain on a pooled connection.
 UNREACHABLE_DOMAIN_SECONDS = 0.3
-# Added for a cold server, which is slower than a warm one and may miss the latency target.
+# Added for a cold server, which is slower than a warm one and may miss the latency
+# target.
 COLD_SERVER_SECONDS = 0.15
 
 
--- a/libs/serving/fireflyhitch_serving/request_handler.py
+++ b/libs/serving/fireflyhitch_serving/request_handler.py
@@ -195,8 +195,8 @@
             )
         self._record_statistics(exchange, record, ending)
         self._record_crash(exchange, record, ending)
-        usual = self._deps.servers.find_median_failure_rate(record.server.service)
-        if record.health.record(ending, usual, now):
+        median_rate = self._deps.servers.find_median_failure_rate(record.server.service)
+        if record.health.record(ending, median_rate, now):
             logger.bind(
                 server=record.server.server_id,
                 failure_rate=round(record.health.rate, 2),
@@ -226,7 +226,7 @@
         """Check for a crash after a broken response; record a complete response."""
         crashes = self._deps.crashes
         if ending is Ending.BROKEN:
-            crashes.ends.record_broken_response(
+            crashes.detector.record_broken_response(
                 record, exchange.content, exchange.attempt_started
             )
         elif ending is Ending.GOOD:
@@ -305,12 +305,12 @@
         if exchange.first_event_at is None:
             return
         seconds = exchange.first_event_at - exchange.attempt_started
-        pace = self._deps.workloads.prefill_model(exchange.service)
+        prefill_model = self._deps.workloads.prefill_model(exchange.service)
         tokens = placement.queued_tokens + placement.fresh_tokens
         exchange.relative_latency = compute_relative_latency(
-            seconds, pace.predict(tokens)
+            seconds, prefill_model.predict(tokens)
         )
-        pace.add_sample(tokens, seconds)
+        prefill_model.add_sample(tokens, seconds)
 
     def _on_head(
         self, exchange: Exchange, placement: Placement, info: ResponseInfo
--- a/libs/serving/tests/test_client.py
+++ b/libs/serving/tests/test_client.py
@@ -68,9 +68,10 @@
 class TestTimedOutCalls:
     """Guards against orders of a former leader that reach the platform late.
 
-    A partitioned leader orders servers, the call times out, and its lease expires. A new
-    leader orders servers. When the partition heals, the kernel would deliver the former
-    leader's bytes, so the platform would receive orders of two leaders alternately.
+    A partitioned leader orders servers, the call times out, and its lease expires. A
+    new leader orders servers. When the partition heals, the kernel would deliver the
+    former leader's bytes, so the platform would receive orders of two leaders
+    alternately.
     """
 
     @staticmethod
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -11,8 +11,8 @@
 
 CRASHING = ContentId('crashing')
 HARMLESS = ContentId('harmless')
-# The platform's bounds, for small and large clusters, on the time until all daemons that
-# can communicate hold a crashing request.
+# The platform's bounds, for small and large clusters, on the time until all daemons
+# that can communicate hold a crashing request.
 BOUND_SECONDS = 3.0
 LARGE_BOUND_SECONDS = 4.0
 MAX_SMALL_CLUSTER = 20
--- a/libs/serving/tests/test_placement.py
+++ b/libs/serving/tests/test_placement.py
@@ -144,10 +144,9 @@
 class TestPromptPlacement:
     def test_more_first_tokens_are_in_time(self) -> None:
         # 120 prompts per second, three in ten of them long, saturate five engines.
-        # Choosing by request count queues short prompts behind long ones and reads shared
-        # parts on all engines; choosing by expected wait does neither.
-        # First tokens in time: 0.92 against 0.66; tokens read again: 189,000 against
-        # 311,000.
+        # Choosing by request count queues short prompts behind long ones and reads
+        # shared parts on all engines; choosing by expected wait does neither. First
+        # tokens in time: 0.92 against 0.66; tokens read again: 189,000 against 311,000.
         in_time, reread_tokens = simulate(choose_by_wait, 120)
         plain, plain_again = simulate(choose_by_requests, 120)
         assert in_time >= 0.9
--- a/libs/serving/tests/test_request_handler.py
+++ b/libs/serving/tests/test_request_handler.py
@@ -53,8 +53,9 @@
         run_scenario(RequestHarness(), script)
 
     def test_response_to_another_request_is_skipped(self) -> None:
-        # A server sends a second response to the previous request as the next one arrives
-        # on the same connection. The caller must get the response to its own request.
+        # A server sends a second response to the previous request as the next one
+        # arrives on the same connection. The caller must get the response to its own
+        # request.
         async def script(harness: RequestHarness) -> None:
             async def twice(request, writer):  # type: ignore[no-untyped-def]
                 await respond(body=b'stray', request_id='other')(request, writer)
@@ -67,8 +68,8 @@
         run_scenario(RequestHarness(), script)
 
     def test_data_after_response_closes_connection(self) -> None:
-        # After unsolicited data, the next request uses a new connection and gets its own
-        # response.
+        # After unsolicited data, the next request uses a new connection and gets its
+        # own response.
         async def script(harness: RequestHarness) -> None:
             async def extra(request, writer):  # type: ignore[no-untyped-def]
                 await respond()(request, writer)
@@ -304,7 +305,7 @@
         assert not BOOK.repeatable
 
 
-class _DisconnectedReply:
+class _ClosedReply:
     """A reply to a caller whose connection is closing."""
 
     begun = False
@@ -317,12 +318,12 @@
 
 class TestDisconnectedCallers:
     def test_refusal_to_disconnected_caller_is_no_error(self) -> None:
-        # The caller disconnects just as its request is refused. The daemon logs that; an
-        # exception would be reported as an internal error.
+        # The caller disconnects just as its request is refused. The daemon logs that;
+        # an exception would be reported as an internal error.
         async def script(harness: RequestHarness) -> None:
             message = CallerRequest(b'GET', b'/none/', [], b'', 0)
             message.headers.extend([(b'X-Id', b'r1'), (b'Host', b'shop.example')])
-            await harness.front.serve(message, _DisconnectedReply())  # type: ignore[arg-type]
+            await harness.front.serve(message, _ClosedReply())  # type: ignore[arg-type]
 
         run_scenario(RequestHarness(), script)
 
--- a/libs/serving/tests/test_streams.py
+++ b/libs/serving/tests/test_streams.py
@@ -25,8 +25,8 @@
 
     def test_interrupted_stream_resumes_after_last_complete_event(self) -> None:
         # A server crashes within event 3. The caller gets 1 and 2 from it and the rest
-        # from another server, which wrongly repeats event 2. Each event must be forwarded
-        # exactly once, and incomplete ones never.
+        # from another server, which wrongly repeats event 2. Each event must be
+        # forwarded exactly once, and incomplete ones never.
         async def script(harness: RequestHarness) -> None:
             await harness.add(
                 'a', stream(1, 2, whole=False, incomplete=b'id: 3\nda'), slots=100
