--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -7,7 +7,7 @@
 
 
 class EventOrderError(Exception):
-    """An event id is not the successor of the last one."""
+    """An event is missing from the stream."""
 
 
 @dataclass(slots=True)
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -71,7 +71,7 @@
         ],
     )
     def test_no_daemon_sends_to_drained_server(self, fault: Fault) -> None:
-        """Guards against requests to drained servers from daemons without the change."""
+        """Guards against requests to drained servers by daemons without the change."""
         for local, remote, seeds in SIZES:
             for seed in range(seeds):
                 assert not find_outdated(fault, local, remote, seed), (
