--- a/libs/serving/fireflyhitch_serving/dependencies.py
+++ b/libs/serving/fireflyhitch_serving/dependencies.py
@@ -1,4 +1,4 @@
-"""What the path of a request is made of."""
+"""The components that handling a request depends on."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -23,8 +23,8 @@
 from fireflyhitch_serving.workloads import Workloads
 
 
-class CountAnswer(Protocol):
-    """Takes in how a version answered, as evidence for its move."""
+class OutcomeRecorder(Protocol):
+    """Records how a version responded, as evidence for its move."""
 
     def __call__(
         self,
@@ -35,42 +35,48 @@
         failed: bool,
         seconds: float,
     ) -> None:
-        """Count an answer."""
+        """Record a response.
+
+        :param seconds: to the first event or the complete response.
+        """
 
 
 class RecentPromptParts:
-    """Prompt parts given to servers lately, to be told to peers."""
+    """Prompt parts recently sent to servers, to be reported to peers."""
 
     def __init__(self) -> None:
-        """Make an empty list."""
-        self._now: dict[BackendServerId, list[str]] = {}
-        self._before: dict[BackendServerId, list[str]] = {}
+        """Create an empty record."""
+        self._current: dict[BackendServerId, list[str]] = {}
+        self._previous: dict[BackendServerId, list[str]] = {}
 
     def add(self, server: BackendServerId, parts: Iterable[PromptPart]) -> None:
-        """Note the parts of a prompt that a server was given."""
-        self._now.setdefault(server, []).extend(part.part_id for part in parts)
+        """Record the parts of a prompt sent to a server."""
+        self._current.setdefault(server, []).extend(part.part_id for part in parts)
 
     def take(self) -> dict[BackendServerId, list[str]]:
-        """Return those of the last two turns, since a message may be lost."""
-        told = {server: list(parts) for server, parts in self._before.items()}
-        for server, parts in self._now.items():
-            told.setdefault(server, []).extend(parts)
-        self._before = self._now
-        self._now = {}
-        return told
+        """Return the parts added since the call before the last one.
+
+        Each part is returned twice, since a message may be lost.
+        """
+        recent = {server: list(parts) for server, parts in self._previous.items()}
+        for server, parts in self._current.items():
+            recent.setdefault(server, []).extend(parts)
+        self._previous = self._current
+        self._current = {}
+        return recent
 
 
 @immutable
 class CrashTracking:
-    """What guards servers from requests that end them."""
+    """Tracks server crashes and holds back the requests that cause them."""
 
     book: CrashTracker
     quarantine: Quarantine
-    ends: CrashDetector
+    detector: CrashDetector
 
 
 def make_crash_tracking(clock: Clock, servers: ServerRegistry) -> CrashTracking:
-    """Return parts that know of no request."""
+    """Create a tracking without records."""
     book = CrashTracker()
     return CrashTracking(
         book, Quarantine(book), CrashDetector(clock, servers.find, book)
@@ -79,11 +85,13 @@
 
 @immutable
 class RequestDependencies:
-    """What the path of a request uses.
+    """The components that the request handler uses.
 
-    :param catalog: the configuration in force, if there is one yet.
-    :param shutdown_deadline: monotonic seconds by which a stopping process must be done.
-    :param wall: seconds since 1970, corrected by what peers say.
+    :param wall: wall clock in seconds since 1970, corrected by the peers' clocks.
+    :param catalog: the current configuration, if there is one yet.
+    :param unreachable_domains: failure domains that are probably partitioned from here.
+    :param shutdown_deadline: monotonic time by which a stopping process must have
+        finished.
     """
 
     clock: Clock
@@ -96,7 +104,7 @@
     usage: UsageTracker
     workloads: Workloads
     versions: VersionShares
-    record_outcome: CountAnswer
+    record_outcome: OutcomeRecorder
     fresh_parts: RecentPromptParts
     unreachable_domains: Callable[[], frozenset[FailureDomainId]]
     record: Callable[[RequestRecord], None]
--- a/libs/serving/tests/scene.py
+++ b/libs/serving/tests/scene.py
@@ -1,4 +1,4 @@
-"""A daemon's path of requests between callers and scripted servers, on loopback."""
+"""Test harness: one daemon's request handler and scripted servers on loopback."""
 
 import asyncio
 import random
@@ -58,17 +58,17 @@
 from fireflyhitch_standins.scripted_server import Script, ScriptedServer
 
 SERVICE = DeploymentId('bookings')
-HERE = FailureDomainId('gent')
+LOCAL_DOMAIN = FailureDomainId('gent')
 KEY = 'key-1'
 CUSTOMER = CustomerId('bakery')
 UNLIMITED = Quota(rate=0, burst=0, in_tokens=False, plain_tokens=0)
 
 
 class PlainEdge:
-    """The smallest edge: ids, keys and events in headers of its own."""
+    """A minimal edge with headers of its own for ids, keys and events."""
 
     def parse_request(self, message: CallerRequest) -> RequestInfo:
-        """Read a request's facts."""
+        """Parse the information in a request."""
         headers = {name.lower(): value.decode() for name, value in message.headers}
         return RequestInfo(
             request_id=RequestId(headers[b'x-id']),
@@ -84,17 +84,17 @@
             hinted_tokens=None,
         )
 
-    def render_request(self, message: CallerRequest, sending: AttemptContext) -> bytes:
-        """Return the request as it goes to a server."""
+    def render_request(self, message: CallerRequest, context: AttemptContext) -> bytes:
+        """Return the request as it is sent to a server."""
         headers = drop_connection_headers(message.headers)
-        headers.append((b'X-Server', sending.server_id.encode()))
-        headers.append((b'X-Time-Left', b'%.3f' % sending.time_left))
-        if sending.last_event is not None:
-            headers.append((b'X-Last', b'%d' % sending.last_event))
+        headers.append((b'X-Server', context.server_id.encode()))
+        headers.append((b'X-Time-Left', b'%.3f' % context.time_left))
+        if context.last_event is not None:
+            headers.append((b'X-Last', b'%d' % context.last_event))
         return render_request(message.method, message.target, headers, message.body)
 
     def parse_response_head(self, head: ResponseHead) -> ResponseInfo:
-        """Read the facts in a server's answer."""
+        """Parse the information in the head of a server's response."""
         request_id = find_header(head.headers, b'x-id')
         return ResponseInfo(
             request_id=request_id.decode() if request_id else None,
@@ -108,7 +108,7 @@
     def render_refusal(
         self, refusal: Refusal, request_id: RequestId | None
     ) -> RenderedResponse:
-        """Return a refusal that says what is known."""
+        """Return a refusal with its outcome and retry time."""
         headers = [(b'X-Outcome', refusal.outcome.value.encode())]
         if refusal.retry_after is not None:
             seconds = refusal.retry_after.total_seconds()
@@ -139,14 +139,16 @@
 CHAT = replace(
     ROUTE, name='chat', prefix='/chat/', kind=RouteKind.STREAMING, resumable=True
 )
-ONCE = replace(CHAT, name='once', prefix='/once/', resumable=False, attempts=1)
+ONE_ATTEMPT_CHAT = replace(
+    CHAT, name='once', prefix='/once/', resumable=False, attempts=1
+)
 
 
 def make_catalog(quota: Quota = UNLIMITED, **changes: object) -> Catalog:
     """Return a configuration with a route of each kind."""
     fields: dict[str, object] = {
         'version': 1,
-        'routes': (ROUTE, BOOK, CHAT, ONCE),
+        'routes': (ROUTE, BOOK, CHAT, ONE_ATTEMPT_CHAT),
         'services': {SERVICE: Service(SERVICE, 100)},
         'limits': CallerLimits(),
         'customers': {KEY: Customer(CUSTOMER, quota)},
@@ -156,9 +158,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedResponse:
-    """What a caller got.
+    """A response as received by a caller.
 
-    :param whole: whether the answer ended as answers do.
+    :param whole: whether the response is complete.
     """
 
     status: int
@@ -168,7 +170,7 @@
 
 
 class RequestHarness:
-    """One daemon's path with its servers."""
+    """One daemon's request handler with its servers."""
 
     def __init__(self, catalog: Catalog | None = None) -> None:
         self.catalog: Catalog | None = catalog or make_catalog()
@@ -177,7 +179,7 @@
         self.budget = RetryBudget(RetryBounds(ratio=0.2, slack=20))
         self.usage = UsageTracker('here', 5)
         self.versions = VersionShares()
-        self.counted: list[tuple[str, bool]] = []
+        self.recorded_outcomes: list[tuple[str, bool]] = []
         self.servers: list[ScriptedServer] = []
         self.clock = SystemClock()
         self.metrics = MetricsEndpoint()
@@ -196,12 +198,12 @@
                 usage=self.usage,
                 workloads=Workloads(),
                 versions=self.versions,
-                record_outcome=self._count,
+                record_outcome=self._record_outcome,
                 fresh_parts=RecentPromptParts(),
                 unreachable_domains=frozenset,
                 record=self.metrics.add,
                 shutdown_deadline=lambda: self.shutdown_deadline,
-                own_domain=HERE,
+                own_domain=LOCAL_DOMAIN,
                 rng=random.Random(1),  # noqa: S311
                 crashes=self.crashes,
                 limits=self.limits,
@@ -229,19 +231,28 @@
         await asyncio.sleep(0)
 
     async def add(self, name: str, script: Script, **changes: object) -> ScriptedServer:
-        """Add a server; those with lower names are preferred by their slots."""
+        """Add a server.
+
+        :param changes: overrides of its entry; more slots make a server preferred.
+        """
         server = ScriptedServer(name, script)
         self.servers.append(server)
-        listed = ServerEntry(
-            BackendServerId(name), SERVICE, await server.start(), HERE, 'v1', 4, True
+        entry = ServerEntry(
+            BackendServerId(name),
+            SERVICE,
+            await server.start(),
+            LOCAL_DOMAIN,
+            'v1',
+            4,
+            True,
         )
-        self.book.put(replace(listed, **changes))  # type: ignore[arg-type]
+        self.book.put(replace(entry, **changes))  # type: ignore[arg-type]
         return server
 
     async def ask(
         self, path: str = '/read/1', method: str = 'GET', body: bytes = b'', **more: str
     ) -> ReceivedResponse:
-        """Send a request on a new connection and return what came back."""
+        """Send a request on a new connection and return the response."""
         headers = [
             (b'Host', b'shop.example'),
             (b'X-Id', more.pop('request_id', 'r1').encode()),
@@ -258,7 +269,7 @@
     def _limits(self) -> CallerLimits:
         return self.catalog.limits if self.catalog else CallerLimits()
 
-    def _count(
+    def _record_outcome(
         self,
         service: DeploymentId,
         version: str,
@@ -267,11 +278,11 @@
         failed: bool,
         seconds: float,
     ) -> None:
-        self.counted.append((version, failed))
+        self.recorded_outcomes.append((version, failed))
 
 
 async def exchange(address: Address, request: bytes) -> ReceivedResponse:
-    """Send bytes on a new connection and read an answer."""
+    """Send bytes on a new connection and read a response."""
     connection = await connect(address, 5)
     try:
         connection.send(request)
@@ -286,7 +297,7 @@
 
 
 async def _read_body(connection: ServerConnection) -> tuple[bytes, bool]:
-    """Return a body, and whether it ended as bodies do."""
+    """Return a body, and whether it is complete."""
     parts: list[bytes] = []
     try:
         while part := await connection.read_body():
@@ -299,11 +310,11 @@
 Play = Callable[[RequestHarness], Awaitable[None]]
 
 
-def run_scenario(scene: RequestHarness, script: Play) -> None:
-    """Play a script on a scene, on an event loop of its own."""
+def run_scenario(harness: RequestHarness, script: Play) -> None:
+    """Run a script with the harness, on an event loop of its own."""
 
     async def run() -> None:
-        async with asyncio.timeout(20), scene:
-            await script(scene)
+        async with asyncio.timeout(20), harness:
+            await script(harness)
 
     asyncio.run(run())
