--- a/libs/serving/fireflyhitch_serving/changes.py
+++ b/libs/serving/fireflyhitch_serving/changes.py
@@ -1,4 +1,4 @@
-"""Changes in the store as daemons pass them on: types and their datagrams."""
+"""Types and datagrams for store changes that daemons broadcast."""
 
 import zlib
 from typing import Any
@@ -7,16 +7,16 @@
 
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.records import immutable
-from fireflyhitch_serving.peer_news import read_rows, render_rows
+from fireflyhitch_serving.peer_news import decode_rows, encode_rows
 
 CHANGES = 'changes'
-# Values are JSON with few words in them: the fastest level takes off most of it.
+# Values are JSON with few distinct words; the fastest level removes most of the size.
 COMPRESSION_LEVEL = 1
 
 
 @immutable
 class Change:
-    """A key's new value; none if it is gone."""
+    """A key's new value; ``None`` if the key was removed."""
 
     key: str
     value: bytes | None
@@ -25,11 +25,11 @@
 
 @immutable
 class ChangeSpan:
-    """Changes below one prefix, as one who follows the store has learned them.
+    """Changes below one prefix, as received by a daemon that follows the store.
 
-    :param after: from which revision on these are all changes.
-    :param upto: the revision of the last one; the same as ``after`` for some changes
-        that need not be all.
+    :param after: the changes are complete from this revision on.
+    :param upto: the last revision covered; equal to ``after`` if the changes may be
+        incomplete.
     """
 
     prefix: str
@@ -40,27 +40,27 @@
 
 @immutable
 class ChangeMessage:
-    """Changes passed on in one datagram.
+    """Changes broadcast in one datagram.
 
-    :param sender: the process that passes them on.
+    :param sender: the process that broadcasts them.
     """
 
     sender: str
     span: ChangeSpan
 
 
-def render_changes(message: ChangeMessage) -> bytes:
+def encode_changes(message: ChangeMessage) -> bytes:
     """Return a datagram."""
     span = message.span
     rows: list[object] = [(message.sender, span.prefix, span.after, span.upto)]
     rows.extend((change.key, change.value, change.revision) for change in span.changes)
     packed = zlib.compress(cbor2.dumps(rows), COMPRESSION_LEVEL)
-    return render_rows(CHANGES, [packed])
+    return encode_rows(CHANGES, [packed])
 
 
 def read_changes(data: bytes) -> ChangeMessage | None:
-    """Read a datagram; nothing for one of another kind."""
-    packed = read_rows(CHANGES, data, _unpack)
+    """Decode a datagram; return ``None`` for one of another kind."""
+    packed = decode_rows(CHANGES, data, _unpack)
     if not packed:
         return None
     (sender, prefix, after, upto), *changes = packed[0]
@@ -72,19 +72,19 @@
     try:
         rows: list[Any] = cbor2.loads(zlib.decompress(packed))
     except zlib.error as error:
-        raise ValueError('changes are not readable') from error
+        raise ValueError('cannot decompress changes') from error
     return rows
 
 
-def part_span(span: ChangeSpan, most: int) -> list[ChangeSpan]:
-    """Part a span for datagrams of so many changes each.
+def split_span(span: ChangeSpan, max_changes: int) -> list[ChangeSpan]:
+    """Split a span into datagrams of at most ``max_changes`` changes each.
 
-    The parts of one that does not fit claim nothing: if one of them is lost, the others
-    must not pass for the whole.
+    The parts of a split span claim no completeness: if one is lost, the others must not
+    hide the gap.
     """
-    if len(span.changes) <= most:
+    if len(span.changes) <= max_changes:
         return [span]
     return [
-        ChangeSpan(span.prefix, span.changes[start : start + most])
-        for start in range(0, len(span.changes), most)
+        ChangeSpan(span.prefix, span.changes[start : start + max_changes])
+        for start in range(0, len(span.changes), max_changes)
     ]
--- a/libs/serving/fireflyhitch_serving/hubs.py
+++ b/libs/serving/fireflyhitch_serving/hubs.py
@@ -1,9 +1,10 @@
-"""Who joins a failure domain's news, where there are many daemons.
+"""Elects the hub that merges the state of a failure domain with many daemons.
 
-Daemons of one failure domain that all told each other would each send and read dozens
-of messages a second, and still be told of each other's work most of a second late. So
-each tells two of them, and the first of these tells all what they have together. The
-second has heard the same, and goes on in its place as soon as the first is silent.
+If all daemons of a failure domain sent their state to each other, each would send and
+read dozens of messages a second, and still see the others' work most of a second late.
+So each sends its state to two daemons, and the first of these, the hub, broadcasts the
+merged state. The second receives the same and takes over as soon as the first is
+unresponsive.
 """
 
 from collections.abc import Mapping
@@ -12,128 +13,139 @@
 from fireflyhitch_serving.peers import GroupMember, PeerBook
 from fireflyhitch_serving.summaries import DomainSummary
 
-# Those who are told: the hub, and who takes its place.
-TOLD = 2
-# With the hub and its successor gone, more are told, until one of them is a hub.
-MOST_TOLD = 8
-# Three messages of a hub in a row.
-SILENT_SECONDS = 0.75
-# A hub that has just started waits for the others' news; longer if there is another,
-# which would be followed by one that knows less.
-FIRST_SECONDS = 0.3
+# The hub and its successor.
+RECIPIENTS = 2
+# While the hub and its successor are unresponsive, more daemons receive the state,
+# until one of them is the hub.
+MAX_RECIPIENTS = 8
+# Three consecutive messages of a hub.
+UNRESPONSIVE_SECONDS = 0.75
+# A hub that has just started waits for the others' state; longer if there is another
+# hub, whose followers would otherwise switch to a hub with less state.
+START_DELAY_SECONDS = 0.3
 TAKE_OVER_SECONDS = 1.0
-# Between the next candidates, so that one of them is heard by the others.
-TURN_SECONDS = 0.25
-# What a hub told holds so long.
-KEPT_SECONDS = 1.5
+# Delay between successive candidates, so that the others hear from the first in time.
+CANDIDATE_DELAY_SECONDS = 0.25
+# A hub's summary is used for this long.
+MAX_SUMMARY_AGE_SECONDS = 1.5
 
 
 class Hubs:
-    """The hub of the own failure domain, as this daemon hears it."""
+    """Tracks the hub of this daemon's failure domain."""
 
     def __init__(self, peers: PeerBook, clock: Clock) -> None:
-        """Make a daemon that has heard no hub."""
+        """Create a tracker that has received no summary."""
         self._peers = peers
         self._clock = clock
         self._started = clock.monotonic()
         self._summary: DomainSummary | None = None
-        self._at = float('-inf')
-        self._wall_ahead = 0.0
-        self._heard: dict[str, float] = {}
+        self._received_at = float('-inf')
+        self._wall_clock_offset = 0.0
+        self._last_received: dict[str, float] = {}
 
-    def take(self, summary: DomainSummary) -> bool:
-        """Take in a hub's message; tell whether it is the newest of the one to follow.
+    def receive(self, summary: DomainSummary) -> bool:
+        """Store a hub's summary; return whether it is the newest of the hub to follow.
 
-        Of two hubs that do not hear of each other yet, the first by rank is followed.
+        If two hubs have not yet received each other's messages, the first by rank is
+        followed.
         """
         now = self._clock.monotonic()
-        self._heard[summary.relay] = now
-        known = self._summary
-        if known is not None and now - self._at < SILENT_SECONDS:
-            if not self._goes_before(summary, known):
+        self._last_received[summary.relay] = now
+        current_summary = self._summary
+        if (
+            current_summary is not None
+            and now - self._received_at < UNRESPONSIVE_SECONDS
+        ):
+            if not self._precedes(summary, current_summary):
                 return False
         self._summary = summary
-        self._at = now
-        self._wall_ahead = summary.wall - self._peers.read_own_wall()
+        self._received_at = now
+        self._wall_clock_offset = summary.wall - self._peers.read_local_wall_clock()
         return True
 
-    def _goes_before(self, summary: DomainSummary, known: DomainSummary) -> bool:
-        if summary.process == known.process:
-            return summary.sequence > known.sequence
-        ranked = self._rank()
-        return _find_place(ranked, summary.relay) <= _find_place(ranked, known.relay)
+    def _precedes(self, summary: DomainSummary, current_summary: DomainSummary) -> bool:
+        if summary.process == current_summary.process:
+            return summary.sequence > current_summary.sequence
+        ranked = self._rank_daemons()
+        return _find_position(ranked, summary.relay) <= _find_position(
+            ranked, current_summary.relay
+        )
 
     def current(self) -> DomainSummary | None:
-        """Return what the hub told last, if that is not too old."""
-        if self._clock.monotonic() - self._at > KEPT_SECONDS:
+        """Return the hub's last summary, unless it is too old."""
+        if self._clock.monotonic() - self._received_at > MAX_SUMMARY_AGE_SECONDS:
             return None
         return self._summary
 
     def find_members(self) -> dict[str, GroupMember]:
-        """Return the neighbours that the hub hears."""
+        """Return the same-domain daemons whose state the hub receives."""
         summary = self.current()
         if summary is None:
             return {}
         return {
-            name: GroupMember(summary.domain, told.hears_store, told.stopping)
-            for name, told in summary.members.items()
+            name: GroupMember(summary.domain, member.hears_store, member.stopping)
+            for name, member in summary.members.items()
             if name != self._peers.own
         }
 
-    def find_wall(self) -> float | None:
-        """Return the time of day that the hub and its neighbours agree on."""
+    def find_wall_clock(self) -> float | None:
+        """Return the wall clock that the hub and its members agree on."""
         if self.current() is None:
             return None
-        return self._peers.read_own_wall() + self._wall_ahead
+        return self._peers.read_local_wall_clock() + self._wall_clock_offset
 
-    def acts(self) -> bool:
-        """Tell whether this daemon is the hub."""
+    def is_hub(self) -> bool:
+        """Return whether this daemon is the hub."""
         now = self._clock.monotonic()
-        ranked = self._rank()
-        place = _find_place(ranked, self._peers.own)
+        ranked = self._rank_daemons()
+        position = _find_position(ranked, self._peers.own)
         running = now - self._started
-        if place >= MOST_TOLD or running < FIRST_SECONDS:
+        if position >= MAX_RECIPIENTS or running < START_DELAY_SECONDS:
             return False
-        before = set(ranked[:place])
-        if self._hears_one(before, now):
+        before = set(ranked[:position])
+        if self._has_responsive(before, now):
             return False
-        if self._hears_one(set(ranked) - before, now):
+        if self._has_responsive(set(ranked) - before, now):
             return running >= TAKE_OVER_SECONDS
-        # The next candidates wait a little longer each: the first of them is heard then.
-        silence = now - max((*self._heard.values(), self._started))
-        return not place or silence >= SILENT_SECONDS + TURN_SECONDS * place
+        # Each further candidate waits a little longer, so that it hears from the one
+        # before it.
+        silence = now - max((*self._last_received.values(), self._started))
+        return (
+            not position
+            or silence >= UNRESPONSIVE_SECONDS + CANDIDATE_DELAY_SECONDS * position
+        )
 
-    def find_told(self) -> list[str]:
-        """Return the daemons that are told this one's news."""
+    def find_recipients(self) -> list[str]:
+        """Return the daemons to which this one sends its state."""
         own = self._peers.own
-        ranked = [daemon for daemon in self._rank() if daemon != own]
-        silence = self._clock.monotonic() - max(self._at, self._started)
-        if self.acts():
-            return self._find_living(ranked)[:TOLD]
-        if silence < SILENT_SECONDS and self._summary is not None:
+        ranked = [daemon for daemon in self._rank_daemons() if daemon != own]
+        silence = self._clock.monotonic() - max(self._received_at, self._started)
+        if self.is_hub():
+            return self._filter_responsive(ranked)[:RECIPIENTS]
+        if silence < UNRESPONSIVE_SECONDS and self._summary is not None:
             hub = self._summary.relay
-            others = [found for found in self._find_living(ranked) if found != hub]
-            return [hub, *others[: TOLD - 1]]
-        doublings = int(silence // SILENT_SECONDS)
-        return ranked[: min(TOLD * 2**doublings, MOST_TOLD)]
+            others = [name for name in self._filter_responsive(ranked) if name != hub]
+            return [hub, *others[: RECIPIENTS - 1]]
+        doublings = int(silence // UNRESPONSIVE_SECONDS)
+        return ranked[: min(RECIPIENTS * 2**doublings, MAX_RECIPIENTS)]
 
-    def _find_living(self, ranked: list[str]) -> list[str]:
-        members = self._peers.heard_group()
+    def _filter_responsive(self, ranked: list[str]) -> list[str]:
+        members = self._peers.responsive_members()
         return [daemon for daemon in ranked if daemon in members]
 
-    def _hears_one(self, hubs: set[str], now: float) -> bool:
+    def _has_responsive(self, hubs: set[str], now: float) -> bool:
         own = self._peers.own
         return any(
-            now - at < SILENT_SECONDS
-            for hub, at in self._heard.items()
+            now - received_at < UNRESPONSIVE_SECONDS
+            for hub, received_at in self._last_received.items()
             if hub in hubs and hub != own
         )
 
-    def _rank(self) -> list[str]:
-        """Order the failure domain's daemons, those that are about to go last."""
-        members = self._peers.heard_group()
-        near = {self._peers.own, *self._peers.listed_near()}
-        ranked = self._peers.rank('relay', near)
+    def _rank_daemons(self) -> list[str]:
+        """Rank the failure domain's daemons; those that are stopping come last."""
+        members = self._peers.responsive_members()
+        local = {self._peers.own, *self._peers.listed_local()}
+        ranked = self._peers.rank('relay', local)
         return sorted(ranked, key=lambda daemon: _is_stopping(members, daemon))
 
 
@@ -142,5 +154,5 @@
     return member is not None and member.stopping
 
 
-def _find_place(ranked: list[str], daemon: str) -> int:
+def _find_position(ranked: list[str], daemon: str) -> int:
     return ranked.index(daemon) if daemon in ranked else len(ranked)
--- a/libs/serving/fireflyhitch_serving/key_beliefs.py
+++ b/libs/serving/fireflyhitch_serving/key_beliefs.py
@@ -1,8 +1,8 @@
-"""What is believed of the store's keys below a prefix.
+"""Tracks the revisions of the store's keys below a prefix.
 
-While the store is away the last belief holds. Keys that it lost meanwhile may be those
-of servers that live and could not renew: they are kept until shortly after its return,
-by when living servers have written them again.
+While the store is unreachable the last state stays valid. Keys it lost meanwhile may
+belong to live servers that could not renew their leases, so they are kept until shortly
+after its return, by when live servers have written them again.
 """
 
 from collections.abc import Callable
@@ -11,64 +11,68 @@
 from fireflyhitch_platform.keyvalue import Listing
 from fireflyhitch_serving.changes import Change, ChangeSpan
 
-# Removed keys remembered, so that an old read does not bring them back.
-MOST_GONE = 1000
+# Removed keys remembered, so that a stale read doesn't restore them.
+MAX_REMOVED = 1000
 
-# Told a key's new value, none when it is gone, and its revision; returns at once.
-TellChange = Callable[[str, bytes | None, Revision], None]
+# Called with a key's new value (``None`` if it was removed) and its revision; must
+# return at once.
+ChangeCallback = Callable[[str, bytes | None, Revision], None]
 
 
-class KeyBeliefs:
-    """The newest known revision of each key, and which keys are gone or missing."""
+class KeyRevisions:
+    """The newest revision of each key, and which keys were removed or are missing."""
 
-    def __init__(self, is_settled: Callable[[], bool], tell: TellChange) -> None:
-        """Make beliefs of nothing.
+    def __init__(
+        self, is_settled: Callable[[], bool], on_change: ChangeCallback
+    ) -> None:
+        """Create an empty table.
 
-        :param is_settled: whether what the store lacks now is gone for good.
+        :param is_settled: returns whether keys that the store lacks now are gone for
+            good.
         """
         self._is_settled = is_settled
-        self._tell = tell
-        self._known: dict[str, Revision] = {}
-        self._gone: dict[str, Revision] = {}
+        self._on_change = on_change
+        self._revisions: dict[str, Revision] = {}
+        self._removed: dict[str, Revision] = {}
         self._missing: dict[str, Revision] = {}
 
     @property
     def count(self) -> int:
-        """Return how many keys are believed to be there."""
-        return len(self._known)
+        """Return the number of keys, missing ones included."""
+        return len(self._revisions)
 
     @property
     def has_missing(self) -> bool:
-        """Tell whether keys are held that the store lacks."""
+        """Return whether keys are kept that the store lacks."""
         return bool(self._missing)
 
-    def is_news(self, key: str, revision: Revision) -> bool:
-        """Tell whether a value is newer than what is known.
+    def is_newer(self, key: str, revision: Revision) -> bool:
+        """Return whether a value is newer than the stored one.
 
-        A read that may be old shows what was removed since, and old values.
+        A stale read returns old values, and keys that have been removed since.
         """
-        return revision > max(self._known.get(key, -1), self._gone.get(key, -1))
+        return revision > max(self._revisions.get(key, -1), self._removed.get(key, -1))
 
     def find_changes(self, listing: Listing) -> list[Change]:
-        """Return what a list shows that is not known."""
+        """Return the changes in a listing that are new here."""
         found = [
             Change(item.key, item.value, item.revision)
             for item in listing.items
-            if self.is_news(item.key, item.revision)
+            if self.is_newer(item.key, item.revision)
         ]
         present = {item.key for item in listing.items}
-        gone = sorted(self._known.keys() - present)
+        gone = sorted(self._revisions.keys() - present)
         found.extend(Change(key, None, listing.revision) for key in gone)
         return found
 
     def find_span(self, prefix: str, listing: Listing, since: Revision) -> ChangeSpan:
-        """Return all that has changed since a revision, known here before or not."""
+        """Return all changes since a revision, new here or not."""
         changes = [
             Change(item.key, item.value, item.revision)
             for item in listing.items
             if item.revision > since
         ]
-        removed = {**self._gone, **self._missing}
+        removed = {**self._removed, **self._missing}
         changes.extend(
             Change(key, None, revision)
             for key, revision in removed.items()
@@ -76,10 +80,10 @@
         )
         return ChangeSpan(prefix, changes, since, listing.revision)
 
-    def find_newest_shown(self, listing: Listing) -> list[Revision]:
-        """Return the revisions of what a list shows that is not known.
+    def find_new_revisions(self, listing: Listing) -> list[Revision]:
+        """Return the revisions of the changes in a listing that are new here.
 
-        Keys that are held although the store lacks them are not among these.
+        Keys that are kept although the store lacks them are left out.
         """
         return [
             change.revision
@@ -87,34 +91,34 @@
             if change.value is not None or change.key not in self._missing
         ]
 
-    def take(self, change: Change) -> None:
-        """Take in a key's new value, or that the store lacks it."""
+    def apply(self, change: Change) -> None:
+        """Apply a key's new value, or its absence from the store."""
         if change.value is None:
-            self._lose(change.key, change.revision)
-        elif self.is_news(change.key, change.revision):
+            self._mark_absent(change.key, change.revision)
+        elif self.is_newer(change.key, change.revision):
             self._missing.pop(change.key, None)
-            self._known[change.key] = change.revision
-            self._tell(change.key, change.value, change.revision)
+            self._revisions[change.key] = change.revision
+            self._on_change(change.key, change.value, change.revision)
 
     def drop_missing(self) -> None:
-        """Forget the keys that did not come back, once that is known."""
+        """Remove the keys that did not come back, once the store has settled."""
         if not self._missing or not self._is_settled():
             return
         for key, revision in self._missing.items():
-            self._forget(key, revision)
+            self._remove(key, revision)
         self._missing = {}
 
-    def _lose(self, key: str, revision: Revision) -> None:
-        if key not in self._known or self._known[key] > revision:
+    def _mark_absent(self, key: str, revision: Revision) -> None:
+        if key not in self._revisions or self._revisions[key] > revision:
             return
         if self._is_settled():
-            self._forget(key, revision)
+            self._remove(key, revision)
         else:
             self._missing[key] = revision
 
-    def _forget(self, key: str, revision: Revision) -> None:
-        self._known.pop(key, None)
-        self._gone[key] = revision
-        if len(self._gone) > MOST_GONE:
-            del self._gone[next(iter(self._gone))]
-        self._tell(key, None, revision)
+    def _remove(self, key: str, revision: Revision) -> None:
+        self._revisions.pop(key, None)
+        self._removed[key] = revision
+        if len(self._removed) > MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
+        self._on_change(key, None, revision)
--- a/libs/serving/fireflyhitch_serving/own_part.py
+++ b/libs/serving/fireflyhitch_serving/own_part.py
@@ -1,7 +1,8 @@
-"""What a hub's sums hold of this daemon itself.
+"""Subtracts this daemon's own contribution from a hub's sums.
 
-A hub tells all of a failure domain the same sums. Each takes its own part off again, as
-it was in the news that the hub has joined, or it would count its own work twice.
+A hub sends the same sums to all daemons of a failure domain. Each subtracts its own
+state, as it was in the message that the hub merged; otherwise it would count its own
+work twice.
 """
 
 from collections import OrderedDict
@@ -15,87 +16,91 @@
 from fireflyhitch_serving.servers import InFlight
 from fireflyhitch_serving.summaries import DomainSummary
 
-# Some seconds of news; a hub joins the newest that it has heard.
-MOST_REMEMBERED = 40
+# Covers some seconds of messages; a hub merges the newest it has received.
+MAX_REMEMBERED = 40
 
 
-class OwnPart:
-    """Remembers what this daemon has told, to take it off again."""
+class OwnContribution:
+    """Remembers the states this daemon has sent, to subtract them from the hub's sums."""
 
     def __init__(self, own: str) -> None:
-        """Make a part of a daemon that has told nothing."""
+        """Create the record of a daemon that has sent no state."""
         self._own = own
-        self._told: OrderedDict[int, PeerNews] = OrderedDict()
+        self._sent: OrderedDict[int, PeerNews] = OrderedDict()
         self._hub = ''
-        # By customer: what was taken when the hub first heard of this daemon.
-        self._base: dict[CustomerId, float] | None = None
+        # Units taken by each customer when the hub first heard from this daemon.
+        self._baseline: dict[CustomerId, float] | None = None
         self._counted: dict[CustomerId, float] = {}
 
-    def note_told(self, news: PeerNews) -> None:
-        """Remember what is told now."""
-        self._told[news.sequence] = news
-        if len(self._told) > MOST_REMEMBERED:
-            self._told.popitem(last=False)
+    def remember(self, state: PeerNews) -> None:
+        """Remember a state that is about to be sent."""
+        self._sent[state.sequence] = state
+        if len(self._sent) > MAX_REMEMBERED:
+            self._sent.popitem(last=False)
 
-    def take_off(self, summary: DomainSummary) -> DomainSummary:
+    def subtract_from(self, summary: DomainSummary) -> DomainSummary:
         """Return a hub's sums of the other daemons alone."""
         own = self._find(summary)
-        self._count(summary, own)
+        self._update_counted(summary, own)
         return replace(
             summary,
-            work=_take_off_work(summary, own),
-            answers=_take_off_answers(summary, own),
-            customers=self._take_off_customers(summary, own),
+            work=_subtract_work(summary, own),
+            answers=_subtract_answers(summary, own),
+            customers=self._subtract_customers(summary, own),
         )
 
-    def _take_off_customers(
+    def _subtract_customers(
         self, summary: DomainSummary, own: PeerNews | None
     ) -> dict[CustomerId, CustomerNote]:
-        """Return what customers take and ask of the others.
+        """Return the units that customers take and demand at the other daemons.
 
-        Like what it is taken off, ``taken`` grows as long as one process is the hub.
+        Like the sum it is subtracted from, ``taken`` grows as long as the hub is the
+        same process.
         """
-        asked = {} if own is None else own.customers
+        own_customers = {} if own is None else own.customers
         return {
             customer: CustomerNote(
-                note.taken - self._counted.get(customer, 0),
-                max(note.demand - _read_demand(asked.get(customer)), 0),
-                note.left,
+                report.taken - self._counted.get(customer, 0),
+                max(report.demand - _read_demand(own_customers.get(customer)), 0),
+                report.left,
             )
-            for customer, note in summary.customers.items()
+            for customer, report in summary.customers.items()
         }
 
     def _find(self, summary: DomainSummary) -> PeerNews | None:
         member = summary.members.get(self._own)
-        return None if member is None else self._told.get(member.sequence)
+        return None if member is None else self._sent.get(member.sequence)
 
-    def _count(self, summary: DomainSummary, own: PeerNews | None) -> None:
-        """Note what the hub has counted of this daemon's units since it first did."""
+    def _update_counted(self, summary: DomainSummary, own: PeerNews | None) -> None:
+        """Record which of this daemon's units the hub has counted.
+
+        Counting begins with the hub's first message from this daemon.
+        """
         if summary.process != self._hub:
             self._hub = summary.process
-            self._base = None
+            self._baseline = None
             self._counted = {}
         if own is None:
             return
-        taken = {customer: note.taken for customer, note in own.customers.items()}
-        if self._base is None:
-            self._base = taken
+        taken = {customer: report.taken for customer, report in own.customers.items()}
+        if self._baseline is None:
+            self._baseline = taken
         for customer, units in taken.items():
-            self._counted[customer] = units - self._base.get(customer, 0)
+            self._counted[customer] = units - self._baseline.get(customer, 0)
 
 
-def _take_off_work(
+def _subtract_work(
     summary: DomainSummary, own: PeerNews | None
 ) -> Mapping[BackendServerId, InFlight]:
     if own is None:
         return summary.work
     return {
-        server: _subtract(work, own.work.get(server, InFlight()))
+        server: _subtract_in_flight(work, own.work.get(server, InFlight()))
         for server, work in summary.work.items()
     }
 
 
-def _take_off_answers(
+def _subtract_answers(
     summary: DomainSummary, own: PeerNews | None
 ) -> Mapping[BackendServerId, AnswerCounts]:
     if own is None:
@@ -106,12 +111,12 @@
     }
 
 
-def _subtract(work: InFlight, own: InFlight) -> InFlight:
+def _subtract_in_flight(work: InFlight, own: InFlight) -> InFlight:
     return InFlight(
         max(work.requests - own.requests, 0),
         max(work.prompt_tokens - own.prompt_tokens, 0),
     )
 
 
-def _read_demand(note: CustomerNote | None) -> float:
-    return 0 if note is None else note.demand
+def _read_demand(report: CustomerNote | None) -> float:
+    return 0 if report is None else report.demand
--- a/libs/serving/fireflyhitch_serving/peer_channel.py
+++ b/libs/serving/fireflyhitch_serving/peer_channel.py
@@ -1,9 +1,9 @@
-"""Sends a daemon's news to those that are told, and takes in theirs.
+"""Sends this daemon's state to peers, and receives theirs.
 
-Each message is a CBOR datagram with the sender's whole present state, so that one
-that is lost, late or repeated does no harm, and there is no connection that could go
-silent. A ``websockets`` link, as the product's own membership uses, would need
-keep-alives and an order of messages for what is true for a second only.
+Each message is a CBOR datagram with the sender's complete current state, so a lost,
+late or repeated one does no harm, and there is no connection that could go silent. A
+``websockets`` link, as the product's own membership uses, would need keep-alives and
+ordering for state that is valid for only a second.
 """
 
 import asyncio
@@ -16,142 +16,146 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_news import PeerNews, read_news, render_news
+from fireflyhitch_serving.peer_news import PeerNews, decode_state, encode_state
 from fireflyhitch_serving.peers import (
-    HUB_SECONDS,
-    MOST_DATAGRAM_BYTES,
-    MOST_FAR_PER_SECOND,
+    HUB_INTERVAL_SECONDS,
+    MAX_DATAGRAM_BYTES,
+    MAX_REMOTE_PER_SECOND,
     SEND_SECONDS,
     PeerBook,
 )
 from fireflyhitch_serving.stalls import StallWatch
 from fireflyhitch_serving.traffic import ControlTraffic
 
-# Where all tell each other, so that a daemon sends and gets a bounded number of messages.
-MOST_NEAR_PER_SECOND = 40.0
-# A leader needs every daemon's counts; it is told them this often.
-LEADER_SECONDS = 0.5
-# Messages go out at moments that differ by this part, so that they do not beat.
-SPREAD = 0.2
-# A turn that comes a little early is taken, or every other one would be.
-NEARLY = 0.7
+# Within a failure domain all daemons send to each other; this bounds the messages that
+# each sends and receives.
+MAX_LOCAL_PER_SECOND = 40.0
+# The leader needs every daemon's counts and receives them at this interval.
+LEADER_INTERVAL_SECONDS = 0.5
+# Varies the interval between messages by this fraction, so that senders don't
+# synchronize.
+JITTER = 0.2
+# Accepts a round that comes slightly early; otherwise every other round would be
+# skipped.
+EARLY_FRACTION = 0.7
 
 
 @immutable
 class NewsHandlers:
-    """Who makes this daemon's news, and takes in what comes.
+    """Callbacks that build this daemon's state and receive messages.
 
-    :param take: told news that are new.
-    :param take_other: takes a datagram of another kind, and tells whether it was.
-    :param find_leader: returns the name of the daemon that leads.
+    :param receive: called with each new state.
+    :param receive_other: called with a datagram; returns whether it was of another
+        kind.
+    :param find_leader: returns the name of the leading daemon.
     """
 
-    make_own: Callable[[], PeerNews]
-    take: Callable[[PeerNews], None]
-    take_other: Callable[[bytes], bool]
+    build_own: Callable[[], PeerNews]
+    receive: Callable[[PeerNews], None]
+    receive_other: Callable[[bytes], bool]
     find_leader: Callable[[], str | None]
 
 
 class PeerChannel(asyncio.DatagramProtocol):
-    """Sends this daemon's news to all and takes in theirs."""
+    """Sends this daemon's state to peers and receives theirs."""
 
     def __init__(
         self,
-        book: PeerBook,
+        peers: PeerBook,
         hubs: Hubs,
         handlers: NewsHandlers,
         stalls: StallWatch,
         draw: random.Random,
         traffic: ControlTraffic,
     ) -> None:
-        """Make a channel; ``run`` sends until cancelled."""
-        self._book = book
+        """Create a channel; ``run`` sends until cancelled."""
+        self._peers = peers
         self._hubs = hubs
         self._handlers = handlers
         self._stalls = stalls
         self._draw = draw
         self._traffic = traffic
         self._transport: asyncio.DatagramTransport | None = None
-        self._far_due = 0.0
+        self._remote_due = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         # The event loop's own class does not derive from the abstract one.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a message in."""
-        self._traffic.note_received(len(data))
+        """Receive a message."""
+        self._traffic.count_received(len(data))
         if self._stalls.is_behind():
             return
-        if self._handlers.take_other(data):
+        if self._handlers.receive_other(data):
             return
-        news = read_news(data)
-        if news is None:
+        state = decode_state(data)
+        if state is None:
             logger.bind(peer=addr[0]).warning('unreadable datagram')
             return
-        if self._book.take(news):
-            self._book.note_sender(news.daemon, Address(*addr))
-            self._handlers.take(news)
+        if self._peers.receive(state):
+            self._peers.add_sender(state.daemon, Address(*addr))
+            self._handlers.receive(state)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a peer that is not there; its silence tells."""
+        """Ignore an unreachable peer; it will be found unresponsive."""
 
     async def run(self) -> None:
-        """Send this daemon's news until cancelled."""
+        """Send this daemon's state until cancelled."""
         while True:
             self._stalls.tick()
-            if self._book.uses_summaries():
-                seconds = HUB_SECONDS
-                self.send(self._pick_told())
+            if self._peers.uses_summaries():
+                seconds = HUB_INTERVAL_SECONDS
+                self.send(self._pick_recipients())
             else:
-                near, far = self._book.part_by_domain()
-                seconds = max(SEND_SECONDS, len(near) / MOST_NEAR_PER_SECOND)
-                self.send([*near, *self._pick_far(far)])
-            await asyncio.sleep(seconds * self._draw.uniform(1 - SPREAD, 1 + SPREAD))
-
-    def _pick_told(self) -> list[Address]:
-        """Return the hub and its successor, and now and again the leader."""
-        told = self._hubs.find_told()
+                local, remote = self._peers.split_by_domain()
+                seconds = max(SEND_SECONDS, len(local) / MAX_LOCAL_PER_SECOND)
+                self.send([*local, *self._pick_remote(remote)])
+            await asyncio.sleep(seconds * self._draw.uniform(1 - JITTER, 1 + JITTER))
+
+    def _pick_recipients(self) -> list[Address]:
+        """Return the hub and its successor, and at intervals the leader."""
+        recipients = self._hubs.find_recipients()
         leader = self._handlers.find_leader()
-        now = self._book.monotonic()
-        if leader is not None and now >= self._far_due:
-            self._far_due = now + LEADER_SECONDS * NEARLY
-            if leader not in told and leader != self._book.own:
-                told.append(leader)
-        found = (self._book.find_address(daemon) for daemon in told)
+        now = self._peers.monotonic()
+        if leader is not None and now >= self._remote_due:
+            self._remote_due = now + LEADER_INTERVAL_SECONDS * EARLY_FRACTION
+            if leader not in recipients and leader != self._peers.own:
+                recipients.append(leader)
+        found = (self._peers.find_address(daemon) for daemon in recipients)
         return [address for address in found if address is not None]
 
-    def _pick_far(self, far: list[Address]) -> list[Address]:
-        """Return the far daemons that are told now."""
-        now = self._book.monotonic()
-        if now < self._far_due:
+    def _pick_remote(self, remote: list[Address]) -> list[Address]:
+        """Return the other-domain daemons to send to in this round."""
+        now = self._peers.monotonic()
+        if now < self._remote_due:
             return []
-        wait = max(SEND_SECONDS, len(far) / MOST_FAR_PER_SECOND)
-        self._far_due = now + wait * NEARLY
-        return far
+        wait = max(SEND_SECONDS, len(remote) / MAX_REMOTE_PER_SECOND)
+        self._remote_due = now + wait * EARLY_FRACTION
+        return remote
 
     def send_to(self, data: bytes, daemons: list[str]) -> None:
         """Send a datagram to daemons by name."""
         for daemon in daemons:
-            address = self._book.find_address(daemon)
+            address = self._peers.find_address(daemon)
             if address is not None:
                 self._send_once(data, address)
 
     def send(self, addresses: list[Address]) -> None:
-        """Send this daemon's news once."""
+        """Send this daemon's state once."""
         if not addresses or self._transport is None:
             return
-        news = self._handlers.make_own()
-        self._book.own_news = news
-        data = render_news(news)
-        if len(data) > MOST_DATAGRAM_BYTES:
-            logger.bind(size=len(data)).error('news too large for a datagram')
+        state = self._handlers.build_own()
+        self._peers.own_state = state
+        data = encode_state(state)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            logger.bind(size=len(data)).error('state too large for a datagram')
             return
         for address in addresses:
             self._send_once(data, address)
 
     def _send_once(self, data: bytes, address: Address) -> None:
         if self._transport is not None:
-            self._traffic.note_sent(len(data))
+            self._traffic.count_sent(len(data))
             self._transport.sendto(data, (address.host, address.port))
--- a/libs/serving/fireflyhitch_serving/peer_news.py
+++ b/libs/serving/fireflyhitch_serving/peer_news.py
@@ -1,4 +1,4 @@
-"""What a daemon tells its peers: its present state, in one datagram."""
+"""The state that a daemon sends to its peers in one datagram."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import field, fields
@@ -22,14 +22,14 @@
 from fireflyhitch_serving.server_evidence import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
-UNREADABLE = (cbor2.CBORDecodeError, KeyError, TypeError, ValueError, AttributeError)
+DECODE_ERRORS = (cbor2.CBORDecodeError, KeyError, TypeError, ValueError, AttributeError)
 Row = TypeVar('Row')
 
 
 class Member(NamedTuple):
-    """A daemon whose news a hub has joined.
+    """A daemon whose state a hub has merged.
 
-    :param sequence: of the news.
+    :param sequence: of that state.
     """
 
     sequence: int
@@ -39,25 +39,24 @@
 
 @immutable
 class PeerNews:
-    """A daemon's present state.
+    """A daemon's current state.
 
-    :param daemon: its name, which a later process at the same place has too.
-    :param process: names this process alone.
+    :param daemon: its name, which a later process on the same instance shares.
+    :param process: identifies this process alone.
     :param sequence: grows with each message of a process.
     :param wall: seconds since 1970 by its clock.
-    :param work: what it has in flight at each server.
-    :param answers: how servers have answered it lately.
-    :param customers: what customers take and ask of it.
+    :param work: its requests in flight, by server.
+    :param answers: how servers have answered it recently.
+    :param customers: units that customers take and demand at it.
     :param usage: requests that began, by window and customer.
-    :param fresh_parts: prompt parts that servers began to read since the last
-        messages.
+    :param fresh_parts: prompt parts that servers began to read since the last messages.
     :param evidence: answers by service, version and route of the moves in force.
-    :param crashes: what is new of requests under which servers ended.
-    :param limits: what servers have said lately of limits.
+    :param crashes: new records of requests during which servers crashed.
+    :param limits: limits that servers have recently reported.
     :param hears_store: whether the store answers it.
     :param store_settled: whether it has done so for some seconds.
-    :param stopping: whether it is about to go.
-    :param newest: revision of the newest change that it knows, by prefix of the keys.
+    :param stopping: whether it is about to stop.
+    :param newest: revision of the newest change received, by key prefix.
     """
 
     daemon: str
@@ -79,67 +78,72 @@
     stopping: bool = False
 
 
-def render_news(news: PeerNews) -> bytes:
+def encode_state(state: PeerNews) -> bytes:
     """Return a datagram."""
     return cbor2.dumps(
-        {field.name: getattr(news, field.name) for field in fields(news)},
-        default=encode_note,
+        {field.name: getattr(state, field.name) for field in fields(state)},
+        default=encode_value,
     )
 
 
-def encode_note(encoder: cbor2.CBOREncoder, note: object) -> None:
-    """Encode the values in messages that CBOR does not know; it knows tuples."""
-    if isinstance(note, CustomerNote):
-        encoder.encode((note.taken, note.demand, note.left))
+def encode_value(encoder: cbor2.CBOREncoder, value: object) -> None:
+    """Encode message values of types unknown to CBOR; it encodes tuples itself."""
+    if isinstance(value, CustomerNote):
+        encoder.encode((value.taken, value.demand, value.left))
 
 
-def read_news(data: bytes) -> PeerNews | None:
-    """Read a datagram; nothing for one that is none."""
+def decode_state(data: bytes) -> PeerNews | None:
+    """Decode a datagram; return ``None`` if it holds no state."""
     try:
-        return PeerNews(**decode_notes(cbor2.loads(data)))
-    except UNREADABLE:
+        return PeerNews(**decode_values(cbor2.loads(data)))
+    except DECODE_ERRORS:
         return None
 
 
-def decode_notes(read: dict[str, Any]) -> dict[str, Any]:
-    """Return a message's fields with the values that ``encode_note`` wrote."""
-    work = {key: InFlight(*counts) for key, counts in read['work'].items()}
-    customers = {key: CustomerNote(*units) for key, units in read['customers'].items()}
-    answers = {key: AnswerCounts(*told) for key, told in read['answers'].items()}
-    crashes = {key: _read_crash(*told) for key, told in read['crashes'].items()}
+def decode_values(message: dict[str, Any]) -> dict[str, Any]:
+    """Return a message's fields with the values that ``encode_value`` wrote."""
+    work = {key: InFlight(*counts) for key, counts in message['work'].items()}
+    customers = {
+        key: CustomerNote(*units) for key, units in message['customers'].items()
+    }
+    answers = {key: AnswerCounts(*row) for key, row in message['answers'].items()}
+    crashes = {key: _decode_crash(*row) for key, row in message['crashes'].items()}
     return {
-        **read,
+        **message,
         'work': work,
         'customers': customers,
         'answers': answers,
         'crashes': crashes,
-        'limits': {key: LimitNote(*told) for key, told in read['limits'].items()},
+        'limits': {key: LimitNote(*row) for key, row in message['limits'].items()},
     }
 
 
-def _read_crash(ends: list[list[Any]], answered: float | None) -> CrashNote:
-    rows = [(process, float(age), float(ran)) for process, age, ran in ends]
+def _decode_crash(crash_rows: list[list[Any]], answered: float | None) -> CrashNote:
+    rows = [(process, float(age), float(ran)) for process, age, ran in crash_rows]
     return CrashNote(rows, answered)
 
 
-def render_rows(kind: str, rows: Sequence[object]) -> bytes:
-    """Return a datagram of another kind: a map of one entry, its kind."""
-    return cbor2.dumps({kind: rows}, default=encode_note)
+def encode_rows(kind: str, rows: Sequence[object]) -> bytes:
+    """Return a datagram of another kind: a map whose only key is the kind."""
+    return cbor2.dumps({kind: rows}, default=encode_value)
 
 
-def read_rows(kind: str, data: bytes, read: Callable[[Any], Row]) -> list[Row] | None:
-    """Read a datagram of a kind, row by row; nothing for one of another.
+def decode_rows(
+    kind: str, data: bytes, message: Callable[[Any], Row]
+) -> list[Row] | None:
+    """Decode a datagram row by row; return ``None`` for one of another kind.
 
-    Its first bytes tell: most datagrams are news, and need not be decoded for that.
+    The kind is read from the first bytes, as most datagrams hold states and need not be
+    decoded for this.
     """
-    if not data.startswith(_find_head(kind)):
+    if not data.startswith(_encode_head(kind)):
         return None
     try:
-        return [read(row) for row in cbor2.loads(data)[kind]]
-    except UNREADABLE:
+        return [message(row) for row in cbor2.loads(data)[kind]]
+    except DECODE_ERRORS:
         return None
 
 
 @cache
-def _find_head(kind: str) -> bytes:
+def _encode_head(kind: str) -> bytes:
     return cbor2.dumps({kind: ()})[:-1]
--- a/libs/serving/fireflyhitch_serving/peers.py
+++ b/libs/serving/fireflyhitch_serving/peers.py
@@ -1,4 +1,4 @@
-"""What is known of the other daemons: who is listed, who is heard, and what they tell."""
+"""The registry of other daemons: which are listed and responsive, and their last state."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
@@ -13,38 +13,41 @@
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.peer_news import PeerNews
 
-# A peer's view of a server is this old at most; engines take 0.2 s for a long prompt.
+# Interval between messages, so the maximum age of a peer's state; engines take 0.2 s
+# for a long prompt.
 SEND_SECONDS = 0.1
-# With more daemons each tells less often, those of the own failure domain first. They
-# have some hundred bytes to 2 kB, and the slowest instances' links carry 600 kB a second.
-MOST_FAR_PER_SECOND = 40.0
-# A peer that is not heard for this long is not there, or is cut off.
-SILENT_SECONDS = 1.2
-# The same in turns of messages, for far daemons among many.
-SILENT_TURNS = 2.5
-# Five messages in a row; lossy links lose some in a hundred.
+# With more daemons each sends less often, to its own failure domain first. Messages
+# have some hundred bytes to 2 kB; the slowest instances' links carry 600 kB a second.
+MAX_REMOTE_PER_SECOND = 40.0
+# A peer is unresponsive after this long without a message: it has stopped or is cut
+# off.
+UNRESPONSIVE_SECONDS = 1.2
+# The same in message intervals, for other-domain daemons among many.
+UNRESPONSIVE_INTERVALS = 2.5
+# Five consecutive messages; lossy links drop a few percent.
 SUSPECT_SECONDS = 0.5
-SUSPECT_TURNS = 2.5
-# Where a hub joins the news of a failure domain, each daemon tells it so often.
-HUB_SECONDS = 0.25
-MOST_DATAGRAM_BYTES = 60_000
-# With more daemons than this, the state of other failure domains comes by their
-# summaries (``summaries``): each far daemon could be told only every half second or
+SUSPECT_INTERVALS = 2.5
+# Interval at which each daemon sends to the hub of its failure domain, if there is one.
+HUB_INTERVAL_SECONDS = 0.25
+MAX_DATAGRAM_BYTES = 60_000
+# With more daemons than this, the state of other failure domains comes as summaries
+# (``summaries``): each other-domain daemon could be sent to only every half second or
 # later, and 75 of them every 1.9 s.
-MOST_DIRECT = 20
-# In which a summary has come from any daemon to any other: a turn of its news, and one
-# each of its own hub and of the other's.
-SUMMARY_TURN_SECONDS = 0.7
-# An instance is as able as the best if its link carries at least this part.
-ABLE_PART = 0.5
+MAX_DIRECT_PEERS = 20
+# Time in which a summary reaches any daemon from any other: one interval of its own
+# messages, of its hub and of the other domain's hub.
+SUMMARY_PROPAGATION_SECONDS = 0.7
+# Instances whose links have at least this fraction of the fastest link's rate rank
+# equal.
+MIN_LINK_FRACTION = 0.5
 
 
 @immutable
 class GroupMember:
-    """Another daemon of the group, by its own news or by the hub's.
+    """Another daemon of the group, from its own state or the hub's.
 
-    :param hears_store: whether the store answers it, as far as it has asked.
-    :param stopping: whether it is about to go.
+    :param hears_store: whether the store answers it, by its last calls.
+    :param stopping: whether it is about to stop.
     """
 
     failure_domain: FailureDomainId
@@ -53,19 +56,19 @@
 
 
 @dataclass(slots=True)
-class _Heard:
-    news: PeerNews
-    at: float
-    wall_ahead: float
+class _Received:
+    state: PeerNews
+    received_at: float
+    wall_clock_offset: float
 
     def as_member(self) -> GroupMember:
-        """Return what duties depend on."""
-        news = self.news
-        return GroupMember(news.failure_domain, news.hears_store, news.stopping)
+        """Return the properties on which duties depend."""
+        state = self.state
+        return GroupMember(state.failure_domain, state.hears_store, state.stopping)
 
 
 class PeerBook:
-    """The last news of each daemon, and what follows from all of them."""
+    """The last state of each daemon, and values derived from all of them."""
 
     def __init__(
         self,
@@ -74,19 +77,19 @@
         clock: Clock,
         wall: Callable[[], float],
     ) -> None:
-        """Make a book that has heard nobody."""
+        """Create a registry without any state."""
         self._own = own
         self._domain = domain
         self._clock = clock
-        self._wall = wall
-        self._heard: dict[str, _Heard] = {}
+        self._wall_clock = wall
+        self._received: dict[str, _Received] = {}
         self._registered: dict[str, Address] = {}
         self._domains: dict[str, FailureDomainId] = {}
         self._links: dict[str, float] = {}
-        self.own_news: PeerNews | None = None
-        # By the hub, where there is one: its neighbours, and the time of day there.
+        self.own_state: PeerNews | None = None
+        # Supplied by the hub tracker: the hub's members, and the wall clock of the hub.
         self.hub_members: Callable[[], Mapping[str, GroupMember]] = dict
-        self.find_hub_wall: Callable[[], float | None] = _know_nothing
+        self.find_hub_wall_clock: Callable[[], float | None] = _find_no_hub_wall_clock
 
     @property
     def own(self) -> str:
@@ -104,13 +107,13 @@
         address: Address | None,
         domain: FailureDomainId | None = None,
     ) -> None:
-        """Take in that the store lists a daemon, or lists it no more.
+        """Register a daemon that the store lists, or remove one it no longer lists.
 
-        :param domain: its failure domain, as far as the list tells.
+        :param domain: its failure domain, if the listing includes it.
         """
         if address is None:
             self._registered.pop(daemon, None)
-            self._heard.pop(daemon, None)
+            self._received.pop(daemon, None)
             self._domains.pop(daemon, None)
             self._links.pop(daemon, None)
             return
@@ -119,19 +122,20 @@
             self._domains[daemon] = domain
 
     def note_link(self, daemon: str, megabits: float) -> None:
-        """Take in what a daemon's link carries, in a second."""
+        """Set the rate of a daemon's link, in megabits per second."""
         self._links[daemon] = megabits
 
     def rank(self, duty: str, daemons: Iterable[str]) -> list[str]:
-        """Order daemons for a duty towards the others: by hash, the able ones first.
+        """Rank daemons for a shared duty: by hash, those with fast links first.
 
-        A relay sends some hundred kB a second. On an instance whose link carries little
-        its callers' first tokens came later by as much as the link was full.
+        A relay sends some hundred kB a second. On an instance with a slow link, this
+        delayed its callers' first tokens in proportion to the link's utilization.
         """
         ranked = rank_by_hash(duty, daemons)
         best = max(self._links.get(daemon, 0) for daemon in ranked)
         return sorted(
-            ranked, key=lambda daemon: self._links.get(daemon, 0) < best * ABLE_PART
+            ranked,
+            key=lambda daemon: self._links.get(daemon, 0) < best * MIN_LINK_FRACTION,
         )
 
     def list_all(self) -> list[str]:
@@ -142,159 +146,169 @@
         """Return the daemons that the store lists."""
         return dict(self._registered)
 
-    def note_sender(self, daemon: str, address: Address) -> None:
-        """Answer a daemon that was heard before the store's list was read again."""
+    def add_sender(self, daemon: str, address: Address) -> None:
+        """Add a sender that the last listing of the store lacks, to answer it."""
         self._registered.setdefault(daemon, address)
 
-    def take(self, news: PeerNews) -> bool:
-        """Take in a message; tell whether it is news."""
-        known = self._heard.get(news.daemon)
-        if known is not None and known.news.process == news.process:
-            if news.sequence <= known.news.sequence:
+    def receive(self, state: PeerNews) -> bool:
+        """Store a state; return whether it is new."""
+        known = self._received.get(state.daemon)
+        if known is not None and known.state.process == state.process:
+            if state.sequence <= known.state.sequence:
                 return False
         now = self._clock.monotonic()
-        if known is None or now - known.at > self._silent_seconds():
-            logger.bind(peer=news.daemon, process=news.process).info('peer heard')
-        self._heard[news.daemon] = _Heard(news, now, news.wall - self._wall())
-        self._domains[news.daemon] = news.failure_domain
+        if known is None or now - known.received_at > self._unresponsive_seconds():
+            logger.bind(peer=state.daemon, process=state.process).info('peer heard')
+        self._received[state.daemon] = _Received(
+            state, now, state.wall - self._wall_clock()
+        )
+        self._domains[state.daemon] = state.failure_domain
         return True
 
     def uses_summaries(self) -> bool:
-        """Tell whether there are too many daemons for each to tell all others."""
-        return len(self._registered) > MOST_DIRECT
+        """Return whether there are too many daemons for each to send to all others."""
+        return len(self._registered) > MAX_DIRECT_PEERS
 
-    def is_far(self, daemon: str) -> bool:
-        """Tell whether a daemon is known to be in another failure domain."""
+    def is_remote(self, daemon: str) -> bool:
+        """Return whether a daemon is known to be in another failure domain."""
         return self._domains.get(daemon, self._domain) != self._domain
 
-    def group_far(self) -> dict[FailureDomainId, list[str]]:
+    def group_remote(self) -> dict[FailureDomainId, list[str]]:
         """Return the listed daemons of other failure domains."""
         groups: dict[FailureDomainId, list[str]] = {}
         for daemon in self._registered:
-            if self.is_far(daemon):
+            if self.is_remote(daemon):
                 groups.setdefault(self._domains[daemon], []).append(daemon)
         return groups
 
-    def heard_near(self) -> dict[str, PeerNews]:
-        """Return the news of those of the own failure domain that are heard now."""
+    def responsive_local_states(self) -> dict[str, PeerNews]:
+        """Return the states of the responsive daemons in this failure domain."""
         return {
-            daemon: news
-            for daemon, news in self.heard().items()
-            if news.failure_domain == self._domain
+            daemon: state
+            for daemon, state in self.responsive_states().items()
+            if state.failure_domain == self._domain
         }
 
-    def listed_near(self) -> list[str]:
-        """Return the listed daemons of the own failure domain."""
-        return [daemon for daemon in self._registered if not self.is_far(daemon)]
+    def listed_local(self) -> list[str]:
+        """Return the listed daemons of this failure domain."""
+        return [daemon for daemon in self._registered if not self.is_remote(daemon)]
 
-    def heard_group(self) -> dict[str, GroupMember]:
-        """Return those that share duties with this daemon and are heard now."""
-        return self._find_members(self._silent_seconds())
+    def responsive_members(self) -> dict[str, GroupMember]:
+        """Return the responsive daemons that share duties with this one."""
+        return self._find_members(self._unresponsive_seconds())
 
     def heard_lately(self) -> dict[str, GroupMember]:
-        """Return those of them that have not missed some messages in a row."""
-        turn = HUB_SECONDS if self.uses_summaries() else self.turn_seconds()
-        return self._find_members(max(SUSPECT_SECONDS, SUSPECT_TURNS * turn))
+        """Return those of them that have not missed several consecutive messages."""
+        interval = (
+            HUB_INTERVAL_SECONDS if self.uses_summaries() else self.turn_seconds()
+        )
+        return self._find_members(max(SUSPECT_SECONDS, SUSPECT_INTERVALS * interval))
 
     def _find_members(self, seconds: float) -> dict[str, GroupMember]:
         since = self._clock.monotonic() - seconds
         direct = {
-            daemon: heard.as_member()
-            for daemon, heard in self._heard.items()
-            if heard.at >= since
+            daemon: entry.as_member()
+            for daemon, entry in self._received.items()
+            if entry.received_at >= since
         }
         if not self.uses_summaries():
             return direct
-        near = {
+        local = {
             daemon: member
             for daemon, member in direct.items()
             if member.failure_domain == self._domain
         }
-        return {**self.hub_members(), **near}
+        return {**self.hub_members(), **local}
 
     def turn_seconds(self) -> float:
-        """Return how long it takes until each daemon's state is known to all others."""
+        """Return how long each daemon's state takes to reach all others."""
         if self.uses_summaries():
-            return SUMMARY_TURN_SECONDS
-        return max(SEND_SECONDS, len(self._registered) / MOST_FAR_PER_SECOND)
+            return SUMMARY_PROPAGATION_SECONDS
+        return max(SEND_SECONDS, len(self._registered) / MAX_REMOTE_PER_SECOND)
 
-    def _silent_seconds(self) -> float:
-        return max(SILENT_SECONDS, SILENT_TURNS * self.turn_seconds())
+    def _unresponsive_seconds(self) -> float:
+        return max(UNRESPONSIVE_SECONDS, UNRESPONSIVE_INTERVALS * self.turn_seconds())
 
     def monotonic(self) -> float:
-        """Return the book's clock."""
+        """Return the time of the registry's clock."""
         return self._clock.monotonic()
 
-    def part_by_domain(self) -> tuple[list[Address], list[Address]]:
-        """Return where to send to: in the own failure domain, and elsewhere.
+    def split_by_domain(self) -> tuple[list[Address], list[Address]]:
+        """Return the addresses to send to: in this failure domain, and in others.
 
-        A daemon of which nothing is known counts as near.
+        A daemon of unknown failure domain counts as local.
         """
-        near: list[Address] = []
-        far: list[Address] = []
+        local: list[Address] = []
+        remote: list[Address] = []
         for daemon, address in self._registered.items():
             if daemon != self._own:
-                (far if self.is_far(daemon) else near).append(address)
-        return near, far
+                (remote if self.is_remote(daemon) else local).append(address)
+        return local, remote
 
     def find_address(self, daemon: str) -> Address | None:
-        """Return where a daemon is."""
+        """Return a daemon's address."""
         return self._registered.get(daemon)
 
-    def heard(self) -> dict[str, PeerNews]:
-        """Return the news of those that are heard now."""
-        return {daemon: heard.news for daemon, heard in self._heard_now().items()}
+    def responsive_states(self) -> dict[str, PeerNews]:
+        """Return the states of the responsive daemons."""
+        return {
+            daemon: entry.state for daemon, entry in self._find_responsive().items()
+        }
 
-    def _heard_now(self) -> dict[str, _Heard]:
+    def _find_responsive(self) -> dict[str, _Received]:
         now = self._clock.monotonic()
-        silent = self._silent_seconds()
+        max_age = self._unresponsive_seconds()
         return {
-            daemon: heard
-            for daemon, heard in self._heard.items()
-            if now - heard.at <= silent
+            daemon: entry
+            for daemon, entry in self._received.items()
+            if now - entry.received_at <= max_age
         }
 
     def find_silent_domains(self) -> frozenset[FailureDomainId]:
-        """Return the failure domains that all listed daemons have gone silent in.
+        """Return the failure domains in which all listed daemons are unresponsive.
 
         A failure domain that is cut off shows here half a second after the cut, by
-        messages that come anyway; requests to its servers would each wait for a time
-        limit first. It is a guess, as where a domain's only daemon has ended, so its
-        servers are put behind the others but not left out. A daemon that hears
-        nobody is itself cut off, and guesses nothing.
+        messages that are sent anyway; requests to its servers would each have to time
+        out first. It is only a suspicion, as the domain's only daemon may have stopped,
+        so its servers rank behind the others but are not excluded. A daemon that
+        receives no messages is itself cut off, and suspects nothing.
         """
         now = self._clock.monotonic()
         newest: dict[FailureDomainId, float] = {}
-        for daemon, heard in self._heard.items():
+        for daemon, entry in self._received.items():
             if daemon in self._registered:
-                domain = heard.news.failure_domain
-                newest[domain] = max(newest.get(domain, 0), heard.at)
-        silent = frozenset(
+                domain = entry.state.failure_domain
+                newest[domain] = max(newest.get(domain, 0), entry.received_at)
+        unresponsive = frozenset(
             domain
-            for domain, at in newest.items()
-            if domain != self._domain and now - at > SUSPECT_SECONDS
+            for domain, received_at in newest.items()
+            if domain != self._domain and now - received_at > SUSPECT_SECONDS
         )
-        return silent if len(silent) < len(newest) else frozenset()
+        return unresponsive if len(unresponsive) < len(newest) else frozenset()
 
     def count_daemons(self) -> int:
-        """Return how many daemons there are, this one included, heard or not."""
-        return len(self._registered.keys() | self.heard().keys() | {self._own})
+        """Return the number of daemons, this one and unresponsive ones included."""
+        return len(
+            self._registered.keys() | self.responsive_states().keys() | {self._own}
+        )
 
-    def read_own_wall(self) -> float:
-        """Return the time of day by this instance alone."""
-        return self._wall()
+    def read_local_wall_clock(self) -> float:
+        """Return the wall clock of this instance alone."""
+        return self._wall_clock()
 
     def wall(self) -> float:
-        """Return the time of day that most daemons agree on.
+        """Return the wall clock that most daemons agree on.
 
-        A clock that was set wrong by itself is outvoted by the peers'.
+        A clock that is wrong on one instance is outvoted by the peers'.
         """
-        told = self.find_hub_wall()
-        if told is not None:
-            return told
-        ahead = [heard.wall_ahead for heard in self._heard_now().values()]
-        return self._wall() + median([0.0, *ahead])
+        hub_wall_clock = self.find_hub_wall_clock()
+        if hub_wall_clock is not None:
+            return hub_wall_clock
+        offsets = [
+            entry.wall_clock_offset for entry in self._find_responsive().values()
+        ]
+        return self._wall_clock() + median([0.0, *offsets])
 
 
-def _know_nothing() -> None:
-    """Return the time of a hub that there is none of."""
+def _find_no_hub_wall_clock() -> None:
+    """Return no wall clock, as there is no hub."""
--- a/libs/serving/fireflyhitch_serving/progress.py
+++ b/libs/serving/fireflyhitch_serving/progress.py
@@ -1,81 +1,82 @@
-"""How far a daemon's view of the store's keys is complete, and whether peers know more.
+"""Tracks how far a view of the store's keys is complete, and whether peers have newer changes.
 
-Changes that daemons pass on to each other may be lost, with all copies and whoever sent
-them. So each tells in its news which change is the newest that it knows: a daemon that
-has not heard of it a moment later has missed something, whatever that was.
+Broadcast changes may be lost, with all copies and their sender. So each daemon's state
+contains the newest change it has received; a daemon that has not received that change a
+moment later has missed some change.
 """
 
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.ids import ABSENT, Revision
 
-# What peers know is known here by then, unless it was lost: those who watch pause for
-# a quarter of a second between two answers, and news go out each 0.1 to 0.4 s.
+# Changes reported by peers have arrived by then, unless lost: watchers pause for a
+# quarter of a second between two results, and states are sent every 0.1 to 0.4 s.
 ARRIVAL_SECONDS = 0.4
 
 
 class ViewProgress:
-    """What is known of the changes below one prefix."""
+    """Which changes below one prefix have been received."""
 
     def __init__(self, clock: Clock) -> None:
-        """Make the progress of a view that knows nothing."""
+        """Create the progress of an empty view."""
         self._clock = clock
         self._complete = ABSENT
         self._shared = ABSENT
         self._newest = ABSENT
-        self._told = ABSENT
-        self._told_at = 0.0
+        self._reported = ABSENT
+        self._reported_at = 0.0
 
     @property
     def newest(self) -> Revision:
-        """Return the revision of the newest change that is known."""
+        """Return the revision of the newest change received."""
         return self._newest
 
     @property
     def complete(self) -> Revision:
-        """Return the revision up to which all changes are known."""
+        """Return the revision up to which all changes have been received."""
         return self._complete
 
     @property
     def shared(self) -> Revision:
-        """Return the revision up to which peers know all changes, as far as is known.
+        """Return the revision up to which peers are known to have received all changes.
 
-        What this daemon has read by itself, without passing it on, they may not know.
+        They may lack changes that this daemon has read and not broadcast.
         """
         return self._shared
 
-    def note_change(self, revision: Revision) -> None:
-        """Take in that there is a change; others before it may not be known."""
+    def record_change(self, revision: Revision) -> None:
+        """Record a single change; earlier ones may be missing."""
         self._newest = max(self._newest, revision)
 
-    def note_whole(self, revision: Revision) -> None:
-        """Take in that all keys were read as they stood at a revision."""
+    def record_listing(self, revision: Revision) -> None:
+        """Record that all keys were read as of a revision."""
         self._complete = max(self._complete, revision)
         self._shared = self._shared or revision
-        self._told = ABSENT
+        self._reported = ABSENT
 
-    def note_passed_on(self, upto: Revision) -> None:
-        """Take in that peers were told all changes up to a revision."""
+    def record_broadcast(self, upto: Revision) -> None:
+        """Record that all changes up to a revision were broadcast."""
         self._shared = max(self._shared, upto)
 
-    def note_span(self, after: Revision, upto: Revision) -> None:
-        """Take in that all changes after a revision are known, up to the last one.
+    def record_span(self, after: Revision, upto: Revision) -> None:
+        """Record that all changes after a revision were received, up to the last one.
 
-        One that begins later than what is known here leaves a gap, and tells nothing.
+        A span that begins after the last complete revision leaves a gap, and is
+        ignored.
         """
         if after <= self._complete < upto:
             self._complete = upto
         if after <= self._shared < upto:
             self._shared = upto
 
-    def is_behind(self, told: Revision) -> bool:
-        """Tell whether a change was missed.
+    def is_behind(self, reported: Revision) -> bool:
+        """Return whether a change was missed.
 
-        :param told: the newest change that any peer knows now.
+        :param reported: the newest change that any peer has received.
         """
-        if told <= self._complete:
+        if reported <= self._complete:
             return False
         now = self._clock.monotonic()
-        if self._told <= self._complete:
-            self._told = told
-            self._told_at = now
-        return now - self._told_at >= ARRIVAL_SECONDS
+        if self._reported <= self._complete:
+            self._reported = reported
+            self._reported_at = now
+        return now - self._reported_at >= ARRIVAL_SECONDS
--- a/libs/serving/fireflyhitch_serving/registrations.py
+++ b/libs/serving/fireflyhitch_serving/registrations.py
@@ -1,8 +1,8 @@
-"""What a daemon's registration in the store tells the others, and who keeps it there.
+"""Registers this daemon in the store, and tracks and cleans up registrations.
 
-Registrations bear no lease: renewing them would be most of the calls that daemons make.
-One stands until the leader has not heard its daemon for some seconds, and a process
-that starts again at the same place finds its own.
+Registrations have no lease: renewing leases would be most of the calls that daemons
+make. A registration remains until the leader has received nothing from its daemon for
+some seconds, and a process restarted on the same instance finds its own.
 """
 
 import asyncio
@@ -21,44 +21,44 @@
 from fireflyhitch_serving.store_health import StoreHealth
 
 DAEMONS_PREFIX = f'{OWN_PREFIX}daemons/'
-LOOK_SECONDS = 0.2
+CHECK_SECONDS = 0.2
 RETRY_SECONDS = 1.0
-# News of those that were listed before this daemon was have come by then.
-MEET_SECONDS = 0.4
-# Old reads may not show the own registration for seconds; by then there is no use in
-# waiting for it.
-LONGEST_MEET_SECONDS = 3.0
-# A daemon that has ended, or is cut off, counts until then when limits are shared.
+# The states of daemons listed before this one have arrived by then.
+DISCOVERY_SECONDS = 0.4
+# Stale reads may omit this daemon's registration for seconds; after that, waiting for
+# it is useless.
+MAX_DISCOVERY_SECONDS = 3.0
+# A stopped or cut-off daemon counts for this long when limits are shared.
 GONE_SECONDS = 5.0
-# The same where most are silent: this daemon may be the one that is cut off, or they
-# have ended for good.
-MOST_GONE_SECONDS = 12.0
+# The same if most daemons are unresponsive: this daemon may be the one that is cut off,
+# or they have stopped for good.
+MAJORITY_GONE_SECONDS = 12.0
 # Keys that one write may delete.
-MOST_DELETED = 30
+MAX_DELETES = 30
 
 
 @immutable
 class Registration:
-    """A daemon as the store lists it.
+    """A daemon's entry in the store.
 
-    :param address: where it takes the others' messages.
-    :param link_mbps: what its instance's link carries; 0 if that is not known.
+    :param address: where it receives peers' messages.
+    :param link_mbps: the rate of its instance's link; 0 if unknown.
     """
 
     address: Address
     failure_domain: FailureDomainId
     link_mbps: float = 0
 
-    def render(self) -> bytes:
-        """Return the registration as it stands in the store."""
+    def encode(self) -> bytes:
+        """Return the registration as stored."""
         words = (str(self.address), self.failure_domain, f'{self.link_mbps:g}')
         return ' '.join(words).encode()
 
 
-def read_registration(value: bytes) -> Registration:
-    """Read a registration; one of another version may not tell the link.
+def decode_registration(value: bytes) -> Registration:
+    """Decode a registration; that of another version may lack the link rate.
 
-    :raises ValueError: if it is none.
+    :raises ValueError: if it is invalid.
     """
     address, domain, *more = value.decode().split(' ')
     link_mbps = float(more[0]) if more else 0
@@ -66,7 +66,7 @@
 
 
 class RegistrationKeeper:
-    """Keeps this daemon listed, and takes in who else is."""
+    """Maintains this daemon's registration, and tracks those of other daemons."""
 
     def __init__(
         self,
@@ -77,64 +77,64 @@
         health: StoreHealth,
         clock: Clock,
     ) -> None:
-        """Make a keeper of a registration that may not be there yet."""
+        """Create a manager of a registration that may not be stored yet."""
         self._store = store
         self._peers = peers
         self._daemon = daemon
-        self._value = registration.render()
+        self._value = registration.encode()
         self._health = health
         self._clock = clock
         self._started = clock.monotonic()
         self._listed_since: float | None = None
-        self._is_read = False
-        self._standing: KeyStanding = KeyStanding()
+        self._is_loaded = False
+        self._stored: StoredValue = StoredValue()
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether what was read of the store shows this daemon."""
+        """Return whether the listing contains this daemon."""
         return self._listed_since is not None
 
     def knows_peers(self) -> bool:
-        """Tell whether this daemon has had time to hear the others."""
+        """Return whether this daemon has had time to receive the others' states."""
         now = self._clock.monotonic()
-        if now - self._started >= LONGEST_MEET_SECONDS:
+        if now - self._started >= MAX_DISCOVERY_SECONDS:
             return True
         since = self._listed_since
-        return since is not None and now - since >= MEET_SECONDS
+        return since is not None and now - since >= DISCOVERY_SECONDS
 
     def note_listed(self) -> None:
-        """Note that all registrations were read."""
-        self._is_read = True
+        """Record that all registrations were read."""
+        self._is_loaded = True
 
     def take(self, daemon: str, value: bytes | None, revision: Revision) -> None:
-        """Take in a daemon's registration, or that it is gone."""
+        """Apply a daemon's registration, or its removal."""
         if daemon == self._daemon:
-            self._take_own(value, revision)
+            self._apply_own(value, revision)
         if value is None:
             self._peers.register(daemon, None)
             logger.bind(peer=daemon).info('daemon no longer listed')
             return
         try:
-            told = read_registration(value)
+            registration = decode_registration(value)
         except ValueError as error:
             logger.bind(peer=daemon, error=str(error)).warning(
                 'registration not readable'
             )
             return
-        self._peers.register(daemon, told.address, told.failure_domain)
-        self._peers.note_link(daemon, told.link_mbps)
+        self._peers.register(daemon, registration.address, registration.failure_domain)
+        self._peers.note_link(daemon, registration.link_mbps)
         logger.bind(peer=daemon).info('daemon listed')
 
-    def _take_own(self, value: bytes | None, revision: Revision) -> None:
-        self._standing = KeyStanding(value, ABSENT if value is None else revision)
+    def _apply_own(self, value: bytes | None, revision: Revision) -> None:
+        self._stored = StoredValue(value, ABSENT if value is None else revision)
         if value == self._value and self._listed_since is None:
             self._listed_since = self._clock.monotonic()
 
     async def run(self) -> None:
-        """Register whenever the registration does not stand, until cancelled."""
+        """Write the registration whenever the stored value differs, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if not self._is_read or self._standing.value == self._value:
+            await asyncio.sleep(CHECK_SECONDS)
+            if not self._is_loaded or self._stored.value == self._value:
                 continue
             try:
                 await self._register()
@@ -144,29 +144,29 @@
 
     async def _register(self) -> None:
         key = f'{DAEMONS_PREFIX}{self._daemon}'
-        put = Put(key, self._value, self._standing.revision)
+        put = Put(key, self._value, self._stored.revision)
         result = await self._health.hear(self._store.put([put]))
         if isinstance(result, Conflict):
             current = result.current
-            self._standing = KeyStanding(
+            self._stored = StoredValue(
                 current.value if current else None,
                 current.revision if current else ABSENT,
             )
             return
-        self._standing = KeyStanding(self._value, result.revision)
+        self._stored = StoredValue(self._value, result.revision)
         logger.bind(revision=result.revision).info('registered')
 
 
 @immutable
-class KeyStanding:
-    """What stands under a key, as far as is known; nothing at revision 0."""
+class StoredValue:
+    """The last known value of a key; ``None`` at revision 0 if there is none."""
 
     value: bytes | None = None
     revision: Revision = ABSENT
 
 
 class RegistrationSweeper:
-    """Deletes registrations of daemons that are not heard, while this one leads."""
+    """Deletes registrations of unresponsive daemons while this daemon leads."""
 
     def __init__(
         self,
@@ -176,7 +176,7 @@
         health: StoreHealth,
         clock: Clock,
     ) -> None:
-        """Make a sweeper that has heard nobody."""
+        """Create a sweeper that has heard from no daemon."""
         self._store = store
         self._peers = peers
         self._lease = lease
@@ -185,9 +185,9 @@
         self._last_heard: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check for unresponsive daemons until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_SECONDS)
             if self._lease.lead() is None:
                 self._last_heard.clear()
                 continue
@@ -201,32 +201,35 @@
                 await asyncio.sleep(RETRY_SECONDS)
 
     def _find_gone(self) -> list[str]:
-        """Return who was not heard for long.
+        """Return the daemons that have been unresponsive for long.
 
-        A leader that hears less than half of all may be cut off itself: the others
-        must not lose their parts of customers' limits to its side at once.
+        A leader that hears from less than half of all daemons may itself be cut off;
+        the others must not lose their shares of customers' limits to its side at once.
         """
         now = self._clock.monotonic()
         listed = self._peers.listed()
-        heard = self._peers.heard()
+        responsive = self._peers.responsive_states()
         known = self._last_heard
         self._last_heard = {
-            daemon: now if daemon in heard else known.get(daemon, now)
+            daemon: now if daemon in responsive else known.get(daemon, now)
             for daemon in listed
             if daemon != self._peers.own
         }
-        gone = self._find_silent(now - GONE_SECONDS)
+        gone = self._find_unresponsive(now - GONE_SECONDS)
         if 2 * len(gone) < len(listed):
             return gone
-        return self._find_silent(now - MOST_GONE_SECONDS)
+        return self._find_unresponsive(now - MAJORITY_GONE_SECONDS)
 
-    def _find_silent(self, since: float) -> list[str]:
-        return [daemon for daemon, at in self._last_heard.items() if at <= since]
+    def _find_unresponsive(self, since: float) -> list[str]:
+        return [
+            daemon for daemon, heard_at in self._last_heard.items() if heard_at <= since
+        ]
 
     async def _delete(self, gone: list[str]) -> None:
-        keys = [f'{DAEMONS_PREFIX}{daemon}' for daemon in gone[:MOST_DELETED]]
+        keys = [f'{DAEMONS_PREFIX}{daemon}' for daemon in gone[:MAX_DELETES]]
         await self._health.hear(self._store.put([], deletes=keys))
-        for daemon in gone[:MOST_DELETED]:
-            # Whoever is not gone is back when it sees so; this counts anew till then.
+        for daemon in gone[:MAX_DELETES]:
+            # A live daemon registers again when it sees this; until then its time
+            # starts over.
             self._last_heard.pop(daemon)
-        logger.bind(peers=gone[:MOST_DELETED]).info('registrations deleted')
+        logger.bind(peers=gone[:MAX_DELETES]).info('registrations deleted')
--- a/libs/serving/fireflyhitch_serving/relays.py
+++ b/libs/serving/fireflyhitch_serving/relays.py
@@ -1,8 +1,8 @@
-"""Changes in the store, passed on by the few daemons that watch it.
+"""Broadcasts store changes from the few daemons that watch the store.
 
 A watch that returns wakes a daemon and costs a call for each change. So some daemons of
-each group watch, and pass changes on at once. Daemons are a group while each tells all
-others of itself; where there are more, those of each failure domain are one.
+each group watch, and broadcast changes at once. All daemons are one group while each
+sends its state to all others; if there are more, each failure domain is a group.
 """
 
 import asyncio
@@ -16,34 +16,35 @@
 from fireflyhitch_serving.changes import (
     ChangeMessage,
     ChangeSpan,
-    part_span,
-    render_changes,
+    encode_changes,
+    split_span,
 )
-from fireflyhitch_serving.peers import MOST_DATAGRAM_BYTES, PeerBook
+from fireflyhitch_serving.peers import MAX_DATAGRAM_BYTES, PeerBook
 
 WATCHERS = 3
-# Others try in place of those that the store has turned away, more of them the more
-# there are: one after the other would find a store that serves some too late.
-MOST_WATCHERS = 8
-# Who watches is asked many times a second, and changes with the peers' news.
-FOUND_SECONDS = 0.1
-# Servers come and go by the dozen, and each change that is asked for by itself costs a
-# call. What is passed on this much later is known well within a drain time of 2 to 3 s.
-FIRST_PAUSE_SECONDS = 0.25
-OTHERS_PAUSE_SECONDS = 1.0
-# Each change goes out again after this, since a datagram may be lost.
-AGAIN_SECONDS = 0.06
-# Large ones go out once: who lacks one reads it.
-MOST_REPEATED_BYTES = 8_000
-# Datagrams of this many changes stay well below the largest.
-MOST_CHANGES = 50
-# What a daemon may have missed before it noticed that it does not hear the store: a
-# silent connection is found after 1.5 s.
+# For each daemon that the store has turned away one more watches: replacing them one
+# after the other would be too slow if the store answers only some.
+MAX_WATCHERS = 8
+# The watchers are queried many times a second and change with the peers' states, so
+# their ranking is cached for this long.
+RANKING_SECONDS = 0.1
+# Servers come and go by the dozen, and fetching each change separately costs a call. A
+# change broadcast this much later still arrives well within a drain time of 2 to 3 s.
+PRIMARY_PAUSE_SECONDS = 0.25
+BACKUP_PAUSE_SECONDS = 1.0
+# Each change is sent again after this, since a datagram may be lost.
+RESEND_SECONDS = 0.06
+# Larger ones are sent once: a daemon that misses one reads the store.
+MAX_RESENT_BYTES = 8_000
+# Datagrams of this many changes stay well below the maximum size.
+MAX_CHANGES = 50
+# Changes that a daemon may have missed before it found the store unreachable: a silent
+# connection is detected after 1.5 s.
 RECENT_SECONDS = 3.0
 
 
 class ChangeRelay:
-    """Passes changes on to daemons that do not watch, or cannot."""
+    """Broadcasts changes to daemons that do not watch, or cannot."""
 
     def __init__(
         self,
@@ -54,12 +55,13 @@
         send: Callable[[bytes, list[str]], None],
         knows_peers: Callable[[], bool],
     ) -> None:
-        """Make a relay with nothing to pass on.
+        """Create a relay with nothing to broadcast.
 
         :param own: this daemon's name.
-        :param process: names this process alone.
-        :param send: a datagram to daemons by name.
-        :param knows_peers: whether this daemon has had time to hear the others.
+        :param process: identifies this process alone.
+        :param send: sends a datagram to daemons by name.
+        :param knows_peers: returns whether this daemon has had time to receive the
+            others' states.
         """
         self._peers = peers
         self._own = own
@@ -68,122 +70,126 @@
         self._send = send
         self._knows_peers = knows_peers
         self._watchers: list[str] = []
-        self._found_until = float('-inf')
+        self._ranked_until = float('-inf')
         self._recent: deque[tuple[float, ChangeSpan]] = deque()
         self._without_store: set[str] = set()
-        self._helped: set[str] = set()
+        self._assisted: set[str] = set()
 
     def watches(self) -> bool:
-        """Tell whether this daemon is one of those that watch.
+        """Return whether this daemon is one of the watchers.
 
-        Only daemons that hear the store count, so a watcher that is cut off from it
-        is replaced as soon as its peers hear so.
+        Only daemons that can reach the store count, so a watcher that is cut off from
+        it is replaced as soon as its peers receive that.
         """
         return self._knows_peers() and self._own in self._find_watchers()
 
     def find_pause(self) -> float:
-        """Return the seconds between one answer of the watch and the next call.
+        """Return the seconds between one result of the watch and the next call.
 
-        The others only help out when the first is stuck or just gone.
+        The others are backups for a first watcher that is stuck or has just stopped.
         """
         if self._find_watchers()[0] == self._own:
-            return FIRST_PAUSE_SECONDS
-        return OTHERS_PAUSE_SECONDS if self._passes_on() else FIRST_PAUSE_SECONDS
+            return PRIMARY_PAUSE_SECONDS
+        return BACKUP_PAUSE_SECONDS if self._has_followers() else PRIMARY_PAUSE_SECONDS
 
-    def _passes_on(self) -> bool:
-        """Tell whether there are more daemons in the group than watch."""
-        return len(self._peers.heard_group()) >= WATCHERS
+    def _has_followers(self) -> bool:
+        """Return whether the group has more daemons than watch."""
+        return len(self._peers.responsive_members()) >= WATCHERS
 
     def _find_watchers(self) -> list[str]:
         now = self._clock.monotonic()
-        if now >= self._found_until:
+        if now >= self._ranked_until:
             self._watchers = self._rank_watchers()
-            self._found_until = now + FOUND_SECONDS
+            self._ranked_until = now + RANKING_SECONDS
         return self._watchers
 
     def _rank_watchers(self) -> list[str]:
-        group = self._peers.heard_group().values()
-        turned_away = sum(not news.hears_store for news in group)
-        most = min(WATCHERS + turned_away, MOST_WATCHERS)
-        return rank_able(self._peers, 'watch')[:most]
+        group = self._peers.responsive_members().values()
+        without_store = sum(not state.hears_store for state in group)
+        max_watchers = min(WATCHERS + without_store, MAX_WATCHERS)
+        return rank_able(self._peers, 'watch')[:max_watchers]
 
-    def pass_on(self, span: ChangeSpan) -> None:
+    def broadcast(self, span: ChangeSpan) -> None:
         """Send changes to the daemons that do not watch."""
         now = self._clock.monotonic()
         self._recent.append((now, span))
         self._drop_old(now)
-        near = list(self._peers.heard_group()) if self._passes_on() else []
-        # Those who wait for the store's word in vain get it from the others.
-        lacking = [
-            daemon for daemon in self._find_without_store() if daemon not in near
+        members = (
+            list(self._peers.responsive_members()) if self._has_followers() else []
+        )
+        # Daemons whose watches the store does not answer get changes from the others.
+        without_store = [
+            daemon for daemon in self._find_without_store() if daemon not in members
         ]
-        lacking.extend(self._helped)
+        without_store.extend(self._assisted)
         logger.bind(
             prefix=span.prefix,
             changes=len(span.changes),
             after=span.after,
             upto=span.upto,
-            near=len(near),
-            lacking=len(lacking),
+            near=len(members),
+            lacking=len(without_store),
         ).info('changes passed on')
-        self._send_parts(span, [*near, *lacking])
+        self._send_span(span, [*members, *without_store])
 
     def forward(self, message: ChangeMessage) -> None:
-        """Pass on to the own group what a daemon outside of it has told.
+        """Forward changes from a daemon outside the group to this group.
 
-        It tells one daemon of a failure domain in which none hears the store.
+        Such a daemon sends to one daemon of a failure domain in which none can reach
+        the store.
         """
         sender = message.sender.rpartition('/')[0]
-        if self._peers.uses_summaries() and self._peers.is_far(sender):
-            self._send_parts(message.span, list(self._peers.heard_group()))
+        if self._peers.uses_summaries() and self._peers.is_remote(sender):
+            self._send_span(message.span, list(self._peers.responsive_members()))
 
     def help(self, relays: Collection[str]) -> None:
-        """Tell daemons of other groups what theirs does not hear from the store.
+        """Send changes to groups in which no daemon can reach the store.
 
-        :param relays: one of each such group, which passes it on there.
+        :param relays: one daemon of each such group, which forwards the changes there.
         """
         if self._find_watchers()[0] != self._own:
-            self._helped = set()
+            self._assisted = set()
             return
-        begun = [daemon for daemon in relays if daemon not in self._helped]
-        self._helped = set(relays)
+        added = [daemon for daemon in relays if daemon not in self._assisted]
+        self._assisted = set(relays)
         self._drop_old(self._clock.monotonic())
-        for _, span in self._recent if begun else ():
-            self._send_parts(span, begun)
+        for _, span in self._recent if added else ():
+            self._send_span(span, added)
 
     def note_group(self) -> None:
-        """Take in who of the group has lost the store, and who hears it again."""
-        without = set(self._find_without_store())
-        lost = sorted(without - self._without_store)
-        self._without_store = without
+        """Update which daemons of the group have lost the store, or reach it again."""
+        without_store = set(self._find_without_store())
+        lost = sorted(without_store - self._without_store)
+        self._without_store = without_store
         self._drop_old(self._clock.monotonic())
         for _, span in self._recent if lost else ():
-            # What they may just have missed.
-            self._send_parts(span, lost)
+            # They may have just missed these.
+            self._send_span(span, lost)
 
     def _find_without_store(self) -> list[str]:
-        """Return the daemons that do not hear the store, if this one helps them.
+        """Return the daemons that cannot reach the store, if this one serves them.
 
-        The first watcher of each failure domain does: others have nothing to tell.
+        The first watcher of each failure domain does; the other watchers send them
+        nothing.
         """
         if self._find_watchers()[0] != self._own:
             return []
-        group = self._peers.heard_group()
+        group = self._peers.responsive_members()
         return [daemon for daemon, member in group.items() if not member.hears_store]
 
-    def _send_parts(self, span: ChangeSpan, to: list[str]) -> None:
+    def _send_span(self, span: ChangeSpan, to: list[str]) -> None:
         """Send each datagram, small ones twice."""
         loop = asyncio.get_running_loop()
-        for part in part_span(span, MOST_CHANGES):
-            data = render_changes(ChangeMessage(self._process, part))
-            if len(data) > MOST_DATAGRAM_BYTES:
+        for part in split_span(span, MAX_CHANGES):
+            data = encode_changes(ChangeMessage(self._process, part))
+            if len(data) > MAX_DATAGRAM_BYTES:
                 logger.bind(size=len(data), prefix=part.prefix, upto=part.upto).info(
-                    'changes too large to pass on'
+                    'changes too large for a datagram'
                 )
                 continue
             self._send(data, to)
-            if len(data) <= MOST_REPEATED_BYTES:
-                loop.call_later(AGAIN_SECONDS, self._send, data, to)
+            if len(data) <= MAX_RESENT_BYTES:
+                loop.call_later(RESEND_SECONDS, self._send, data, to)
 
     def _drop_old(self, now: float) -> None:
         while self._recent and now - self._recent[0][0] > RECENT_SECONDS:
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -1,8 +1,8 @@
-"""What this daemon tells the others of itself, and what it takes in from them.
+"""Builds the state that this daemon sends to peers, and applies the states it receives.
 
-With few daemons each tells all others its whole state. With many, each tells the hub of
-its failure domain, which tells the state of all of that domain and of the others; only
-counts go to the leader as well.
+With few daemons each sends its complete state to all others. With many, each sends it
+to the hub of its failure domain, which broadcasts the merged state of that domain and
+of the others; the leader also receives each daemon's state, for its counts.
 """
 
 import time
@@ -22,7 +22,7 @@
 from fireflyhitch_serving.budgets import RepeatBudget
 from fireflyhitch_serving.hubs import Hubs
 from fireflyhitch_serving.moves import MoveBook
-from fireflyhitch_serving.own_part import OwnPart
+from fireflyhitch_serving.own_part import OwnContribution
 from fireflyhitch_serving.parts import FreshParts
 from fireflyhitch_serving.peer_news import PeerNews
 from fireflyhitch_serving.peers import PeerBook
@@ -33,19 +33,19 @@
 from fireflyhitch_serving.summaries import (
     DomainSummary,
     SummaryBook,
-    read_summaries,
+    decode_summaries,
 )
 from fireflyhitch_serving.usage import UsageBook
 
-HELPING_DOMAINS = 2
+ASSISTING_DOMAINS = 2
 
 
 @immutable
 class SharedParts:
-    """What daemons tell each other of.
+    """The components whose state daemons share.
 
-    :param stopping: whether this daemon is about to go.
-    :param newest: revision of the newest change that it knows, by prefix of the keys.
+    :param stopping: returns whether this daemon is about to stop.
+    :param newest: returns the revision of the newest change received, by key prefix.
     """
 
     clock: Clock
@@ -66,35 +66,35 @@
 
 
 class SharedState:
-    """Makes this daemon's news, and joins those of the others."""
+    """Builds this daemon's state, and merges the states of others."""
 
     def __init__(self, daemon: str, process: str, parts: SharedParts) -> None:
-        """Make a state that was told to nobody."""
+        """Create the state of a daemon that has sent and received nothing."""
         self._daemon = daemon
         self._process = process
         self._parts = parts
         self._sequence = 0
-        self._own_part = OwnPart(daemon)
-        self._hears_directly = True
-        # By teller: the servers that it had work at when it was last heard.
-        self._worked: dict[str, frozenset[BackendServerId]] = {}
-        self._tolerated = QuotaSlack()
+        self._own_contribution = OwnContribution(daemon)
+        self._uses_direct_state = True
+        # By source: the servers at which it had requests in its last state.
+        self._busy_servers: dict[str, frozenset[BackendServerId]] = {}
+        self._tolerance = QuotaSlack()
         parts.peers.hub_members = parts.hubs.find_members
-        parts.peers.find_hub_wall = self._find_hub_wall
-        parts.health.others_settled = self.is_store_settled_elsewhere
+        parts.peers.find_hub_wall_clock = self._find_hub_wall_clock
+        parts.health.is_settled_for_peers = self.is_store_settled_elsewhere
 
-    def tolerate(self, tolerated: QuotaSlack) -> None:
-        """Take in what the platform tolerates above customers' limits."""
-        self._tolerated = tolerated
+    def tolerate(self, tolerance: QuotaSlack) -> None:
+        """Set how far the platform tolerates that customers exceed their limits."""
+        self._tolerance = tolerance
         self._apply_slack()
 
     def make_news(self) -> PeerNews:
-        """Return this daemon's present state."""
+        """Return this daemon's current state."""
         parts = self._parts
-        self._note_daemons()
+        self._update_daemon_count()
         now = parts.clock.monotonic()
         self._sequence += 1
-        news = PeerNews(
+        state = PeerNews(
             daemon=self._daemon,
             process=self._process,
             failure_domain=parts.peers.own_domain,
@@ -110,36 +110,36 @@
             fresh_parts=parts.fresh_parts.take(),
             evidence=parts.moves.evidence(),
             hears_store=parts.health.answers,
-            store_settled=parts.health.vouches(),
+            store_settled=parts.health.is_stable(),
             stopping=parts.stopping(),
             newest=parts.newest(),
-            answers=self._read_answers(),
+            answers=self._collect_answers(),
             crashes=parts.crashes.tell(now, heard=False),
             limits=parts.limits.tell(now, heard=False),
         )
-        self._own_part.note_told(news)
-        return news
+        self._own_contribution.remember(state)
+        return state
 
-    def take_news(self, news: PeerNews) -> None:
-        """Take in a daemon's state."""
+    def take_news(self, state: PeerNews) -> None:
+        """Apply another daemon's state."""
         parts = self._parts
-        parts.usage.take_in(news.process, news.usage)
-        parts.moves.take_evidence(news.process, news.evidence)
+        parts.usage.take_in(state.process, state.usage)
+        parts.moves.take_evidence(state.process, state.evidence)
         now = parts.clock.monotonic()
-        parts.crashes.take(news.crashes, now)
-        parts.limits.take(news.limits, now)
-        near = news.failure_domain == parts.peers.own_domain
-        if parts.peers.uses_summaries() and not (near and self._hears_directly):
-            # It is in a summary, and must not count twice.
+        parts.crashes.take(state.crashes, now)
+        parts.limits.take(state.limits, now)
+        near = state.failure_domain == parts.peers.own_domain
+        if parts.peers.uses_summaries() and not (near and self._uses_direct_state):
+            # A summary contains it, and it must not count twice.
             return
-        self._take_work(news.daemon, news.work, news.fresh_parts)
-        self._take_answers(news.daemon, news.answers)
-        for customer, note in news.customers.items():
-            parts.quotas.take_note(news.process, customer, note, now, near=near)
+        self._apply_work(state.daemon, state.work, state.fresh_parts)
+        self._apply_answers(state.daemon, state.answers)
+        for customer, report in state.customers.items():
+            parts.quotas.take_note(state.process, customer, report, now, near=near)
 
     def take_summaries(self, data: bytes) -> bool:
-        """Take in a datagram with summaries; tell whether it was one."""
-        summaries = read_summaries(data)
+        """Apply a datagram of summaries; return ``False`` for one of another kind."""
+        summaries = decode_summaries(data)
         if summaries is None:
             return False
         for summary in summaries:
@@ -147,9 +147,9 @@
             self._parts.crashes.take(summary.crashes, now)
             self._parts.limits.take(summary.limits, now)
             if summary.domain == self._parts.peers.own_domain:
-                self._take_near_summary(summary)
-            elif self._parts.summaries.take(summary):
-                self._take_summary(summary)
+                self._apply_local_summary(summary)
+            elif self._parts.summaries.receive(summary):
+                self._apply_summary(summary)
         return True
 
     def find_silent_domains(self) -> frozenset[FailureDomainId]:
@@ -159,156 +159,164 @@
         return self._parts.peers.find_silent_domains()
 
     def hears_all(self) -> bool:
-        """Tell whether every daemon there is has been heard itself just now."""
+        """Return whether all other daemons are responsive, by their own messages."""
         peers = self._parts.peers
-        return len(peers.heard()) >= peers.count_daemons() - 1
+        return len(peers.responsive_states()) >= peers.count_daemons() - 1
 
     def is_store_settled_elsewhere(self) -> bool:
-        """Tell whether another daemon has heard the store without a break."""
-        near = self._parts.peers.heard().values()
-        return any(news.store_settled for news in near) or any(
+        """Return whether another daemon has reached the store without interruption."""
+        states = self._parts.peers.responsive_states().values()
+        return any(state.store_settled for state in states) or any(
             summary.store_settled for summary in self._live_summaries()
         )
 
     def _live_summaries(self) -> list[DomainSummary]:
-        """Return what is told of other failure domains, and by the own one's hub."""
+        """Return the summaries of other failure domains, and that of this domain's hub."""
         live = list(self._parts.summaries.live().values())
-        near = self._parts.hubs.current()
-        return live if near is None else [near, *live]
+        hub_summary = self._parts.hubs.current()
+        return live if hub_summary is None else [hub_summary, *live]
 
     def find_relays_without_store(self) -> list[str]:
-        """Return the relays of failure domains that this one helps with the store.
+        """Return the relays of failure domains that this one sends store changes to.
 
-        Nobody hears it there. Two others help, so that no message lost is missed.
+        No daemon there can reach the store. Two domains send to each, so that a lost
+        message is not missed.
         """
         own = self._parts.peers.own_domain
         live = self._parts.summaries.live()
-        able = [own, *(name for name, found in live.items() if found.store_settled)]
+        candidates = [
+            own,
+            *(domain for domain, summary in live.items() if summary.store_settled),
+        ]
         return [
             summary.relay
             for domain, summary in live.items()
             if not summary.store_settled
-            and own in rank_by_hash(domain, able)[:HELPING_DOMAINS]
+            and own in rank_by_hash(domain, candidates)[:ASSISTING_DOMAINS]
         ]
 
     def find_newest(self, prefix: str) -> Revision:
-        """Return the newest change below a prefix that any other daemon knows."""
-        near = [news.newest for news in self._parts.peers.heard().values()]
-        far = [summary.newest for summary in self._live_summaries()]
-        told = (newest.get(prefix, ABSENT) for newest in (*near, *far))
-        return max(told, default=ABSENT)
+        """Return the newest change below a prefix that any other daemon has received."""
+        from_states = [
+            state.newest for state in self._parts.peers.responsive_states().values()
+        ]
+        from_summaries = [summary.newest for summary in self._live_summaries()]
+        reported = (
+            newest.get(prefix, ABSENT) for newest in (*from_states, *from_summaries)
+        )
+        return max(reported, default=ABSENT)
 
     def sum_demand(self) -> float:
-        """Return units a second that customers ask of all daemons."""
+        """Return the units per second that customers demand at all daemons."""
         return self._parts.quotas.sum_demand(self._parts.clock.monotonic())
 
-    def _find_hub_wall(self) -> float | None:
-        return None if self._hears_directly else self._parts.hubs.find_wall()
+    def _find_hub_wall_clock(self) -> float | None:
+        return None if self._uses_direct_state else self._parts.hubs.find_wall_clock()
 
-    def _take_near_summary(self, summary: DomainSummary) -> None:
-        """Take in what the hub has joined, but for this daemon's own part."""
+    def _apply_local_summary(self, summary: DomainSummary) -> None:
+        """Apply the hub's summary, without this daemon's own contribution."""
         parts = self._parts
-        parts.summaries.note_relayed()
+        parts.summaries.record_relay_message()
         known = parts.hubs.current()
-        if not parts.hubs.take(summary) or self._hears_directly:
+        if not parts.hubs.receive(summary) or self._uses_direct_state:
             return
         if known is not None and known.process != summary.process:
             parts.quotas.forget_process(known.source)
-        self._take_summary(self._own_part.take_off(summary))
+        self._apply_summary(self._own_contribution.subtract_from(summary))
 
-    def _take_summary(self, summary: DomainSummary) -> None:
-        """Take in what the daemons of a domain have, but for this one."""
+    def _apply_summary(self, summary: DomainSummary) -> None:
+        """Apply the state of a domain's daemons, this one excluded."""
         parts = self._parts
-        self._take_work(summary.domain, summary.work, summary.fresh_parts)
-        self._take_answers(summary.domain, summary.answers)
+        self._apply_work(summary.domain, summary.work, summary.fresh_parts)
+        self._apply_answers(summary.domain, summary.answers)
         now = parts.clock.monotonic()
-        for customer, note in summary.customers.items():
-            parts.quotas.take_note(summary.source, customer, note, now)
+        for customer, report in summary.customers.items():
+            parts.quotas.take_note(summary.source, customer, report, now)
         for process, evidence in summary.evidence.items():
             if process != self._process:
                 parts.moves.take_evidence(process, evidence)
 
-    def _note_way(self) -> None:
-        """Note whether the neighbours' work is known from themselves or from the hub.
+    def _update_state_source(self) -> None:
+        """Update whether same-domain state comes from its daemons or from the hub.
 
-        The hub and its successor hear all of them, and the leader does too.
+        The hub and its successor receive all daemons' states, and so does the leader.
         """
-        direct = not self._parts.peers.uses_summaries() or self._hears_neighbours()
-        if direct != self._hears_directly:
-            self._hears_directly = direct
+        direct = not self._parts.peers.uses_summaries() or self._receives_all_members()
+        if direct != self._uses_direct_state:
+            self._uses_direct_state = direct
             for record in self._parts.servers.all().values():
-                # What came the other way would count twice until it is too old.
+                # State from the previous source would count twice until it expires.
                 record.peers.clear()
                 record.evidence.peers.clear()
 
-    def _hears_neighbours(self) -> bool:
-        """Tell whether all that a hub would tell is heard from the daemons themselves."""
+    def _receives_all_members(self) -> bool:
+        """Return whether each member of the hub's summary also sends to this daemon."""
         hubs = self._parts.hubs
-        told = hubs.find_members()
-        if not told or hubs.acts():
+        members = hubs.find_members()
+        if not members or hubs.is_hub():
             return True
-        return told.keys() <= self._parts.peers.heard_near().keys()
+        return members.keys() <= self._parts.peers.responsive_local_states().keys()
 
-    def _take_work(
+    def _apply_work(
         self,
-        teller: str,
+        source: str,
         work: Mapping[BackendServerId, InFlight],
         fresh_parts: Mapping[BackendServerId, list[str]],
     ) -> None:
         now = self._parts.clock.monotonic()
         servers = self._parts.servers
-        ended = self._worked.get(teller, frozenset()) - work.keys()
-        self._worked[teller] = frozenset(work)
+        ended = self._busy_servers.get(source, frozenset()) - work.keys()
+        self._busy_servers[source] = frozenset(work)
         for server_id in (*ended, *work):
             record = servers.find(server_id)
             if record is not None:
-                record.note_peer(teller, work.get(server_id, InFlight()), now)
-        for where, parts in fresh_parts.items():
-            reader = servers.find(where)
+                record.note_peer(source, work.get(server_id, InFlight()), now)
+        for reader_id, parts in fresh_parts.items():
+            reader = servers.find(reader_id)
             if reader is not None:
                 reader.note_part_ids(parts, now)
 
-    def _read_answers(self) -> dict[BackendServerId, AnswerCounts]:
+    def _collect_answers(self) -> dict[BackendServerId, AnswerCounts]:
         now = self._parts.clock.monotonic()
-        seen = {
+        local_answers = {
             server_id: record.evidence.read_own(now)
             for server_id, record in self._parts.servers.all().items()
             if record.evidence.has_own
         }
         return {
             server_id: counts
-            for server_id, counts in seen.items()
+            for server_id, counts in local_answers.items()
             if counts.answers >= LEAST_TOLD
         }
 
-    def _take_answers(self, teller: str, answers: Answers) -> None:
+    def _apply_answers(self, source: str, answers: Answers) -> None:
         now = self._parts.clock.monotonic()
         for server_id, counts in answers.items():
             record = self._parts.servers.find(server_id)
             if record is not None:
-                record.evidence.note_peer(teller, counts, now)
+                record.evidence.note_peer(source, counts, now)
 
-    def _note_daemons(self) -> None:
-        self._note_way()
+    def _update_daemon_count(self) -> None:
+        self._update_state_source()
         peers = self._parts.peers
         daemons = peers.count_daemons()
         self._parts.budget.daemons = daemons
         self._parts.quotas.share_with(
-            daemons, self._count_heard(), peers.turn_seconds()
+            daemons, self._count_responsive(), peers.turn_seconds()
         )
         self._apply_slack()
 
     def _apply_slack(self) -> None:
         used = find_slack_part(self._parts.peers.turn_seconds())
         self._parts.quotas.slack = QuotaSlack(
-            self._tolerated.units * used,
+            self._tolerance.units * used,
             # The other half covers bursts that begin in one window and end in the next.
-            self._tolerated.part * used / 2,
-            self._tolerated.window,
+            self._tolerance.part * used / 2,
+            self._tolerance.window,
         )
 
-    def _count_heard(self) -> int:
-        heard = {self._daemon, *self._parts.peers.heard()}
+    def _count_responsive(self) -> int:
+        responsive = {self._daemon, *self._parts.peers.responsive_states()}
         for summary in self._live_summaries():
-            heard.update(summary.members)
-        return len(heard)
+            responsive.update(summary.members)
+        return len(responsive)
--- a/libs/serving/fireflyhitch_serving/store.py
+++ b/libs/serving/fireflyhitch_serving/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store as the path's loops use it: without blocking.
+"""An asynchronous interface to the platform's key-value store.
 
 The values and results are those of the product's ``KeyValueStore``.
 """
@@ -13,7 +13,7 @@
 
 @immutable
 class Put:
-    """A value to write if its key was last written at a revision (0: is not)."""
+    """A value to write if its key was last written at ``expected`` (0: does not exist)."""
 
     key: str
     value: bytes
@@ -23,7 +23,7 @@
 
 @immutable
 class WatchResult:
-    """Changes, in order, and the revision to go on from."""
+    """Changes in order, and the revision to continue from."""
 
     events: tuple[WatchEvent, ...]
     revision: Revision
@@ -39,26 +39,26 @@
     async def list(self, prefix: str, *, stale: bool = False) -> Listing:
         """Read all values below a prefix; each page at its own revision.
 
-        :param stale: whether it may be some seconds old, which costs less.
+        :param stale: allows a snapshot some seconds old, which costs less.
         :returns: with the first page's revision, from which to watch.
         """
 
     async def watch(self, prefix: str, after: Revision, seconds: float) -> WatchResult:
         """Wait for changes after a revision.
 
-        :raises WatchCompacted: if that revision is no longer held.
+        :raises WatchCompacted: if that revision has been compacted.
         """
 
     async def put(
         self, puts: Iterable[Put], deletes: Iterable[str] = ()
     ) -> WriteResult:
-        """Write all or nothing, and then delete keys, which need not be there."""
+        """Write all or nothing, and then delete keys, which need not exist."""
 
     async def grant_lease(self, seconds: float) -> LeaseId:
-        """Make a lease."""
+        """Create a lease."""
 
     async def keep_lease(self, lease: LeaseId) -> bool:
-        """Renew a lease; tell whether it was there to renew."""
+        """Renew a lease; return whether it still existed."""
 
     async def end_lease(self, lease: LeaseId) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
--- a/libs/serving/fireflyhitch_serving/store_health.py
+++ b/libs/serving/fireflyhitch_serving/store_health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this daemon, and what a break means for what it lacks."""
+"""Tracks whether the store answers, and whether keys it lacks are gone for good."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -8,11 +8,12 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
 
-# Living servers are back in the list within 2 s of the store's return.
-RETURN_SECONDS = 2.3
-# Shorter breaks lose no lease: the shortest are three heartbeats, some 3 s.
-LEAST_BREAK_SECONDS = 0.6
-# An answer tells of the store for so long; those who follow it ask more often.
+# Live servers are listed again within 2 s of the store's return.
+SETTLE_SECONDS = 2.3
+# Shorter outages expire no lease: the shortest lasts three heartbeats, some 3 s.
+MIN_OUTAGE_SECONDS = 0.6
+# An answer proves the store reachable for this long; daemons that follow it call more
+# often.
 RECENT_SECONDS = 2.0
 
 Answer = TypeVar('Answer')
@@ -21,35 +22,34 @@
 class StoreHealth:
     """Whether the store answers this daemon, by all of its calls.
 
-    A watch that waits may tell what was lost in an outage before anything else shows
-    that there was one; the probes of those who watch show it sooner. Most daemons ask
-    the store for nothing while others tell them all, and know nothing of it by
-    themselves.
+    An open watch may return what was lost in an outage before any other call shows that
+    there was one; the probes of the watchers show it sooner. Most daemons do not call
+    the store while peers send them all changes, so they depend on the peers' reports.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Make a store that answers."""
+        """Create the health of a store that answers."""
         self._clock = clock
         self._failing_since: float | None = None
         self._returned_at = float('-inf')
         self._first_answer_at: float | None = None
         self._answered_at = float('-inf')
         self._on_return: list[Callable[[], None]] = []
-        # Whether some peer that is heard now vouches that the store was not away.
-        self.others_settled: Callable[[], bool] = bool
+        # Returns whether a responsive peer reports that the store was not interrupted.
+        self.is_settled_for_peers: Callable[[], bool] = bool
 
-    def tell_return(self, tell: Callable[[], None]) -> None:
-        """Have someone told each time that the store is back after an outage."""
-        self._on_return.append(tell)
+    def add_return_callback(self, callback: Callable[[], None]) -> None:
+        """Add a callback for each return of the store after an outage."""
+        self._on_return.append(callback)
 
     def note_failure(self, error: PlatformError) -> None:
-        """Note a call without an answer, or one that was refused."""
+        """Record a call that was refused or got no answer."""
         if self._failing_since is None:
             self._failing_since = self._clock.monotonic()
             logger.bind(error=str(error), step=error.step.value).warning('store lost')
 
-    def note_answer(self) -> None:
-        """Note a call that was answered."""
+    def record_success(self) -> None:
+        """Record a call that was answered."""
         since = self._failing_since
         self._failing_since = None
         now = self._clock.monotonic()
@@ -59,50 +59,50 @@
         if since is None:
             return
         logger.bind(seconds=round(now - since, 2)).info('store regained')
-        if now - since >= LEAST_BREAK_SECONDS:
+        if now - since >= MIN_OUTAGE_SECONDS:
             self._returned_at = now
-            for tell in self._on_return:
-                tell()
+            for callback in self._on_return:
+                callback()
 
     async def hear(self, call: Awaitable[Answer]) -> Answer:
-        """Make a call, and note that the store has answered."""
+        """Await a store call, and record that it was answered."""
         answer = await call
-        self.note_answer()
+        self.record_success()
         return answer
 
     @property
     def answers(self) -> bool:
-        """Tell whether the store's last answer was one."""
+        """Return whether the store answered the last call."""
         return self._failing_since is None
 
     def is_settled(self) -> bool:
-        """Tell whether what the store lacks now is gone for good.
+        """Return whether keys that the store lacks now are gone for good.
 
-        A break that this daemon had alone, by a cut or as the store turned it away, let
-        no entry of a living server lapse: peers that heard the store all the while
-        tell it. Holding such entries all the same gives a server that left without
-        notice requests for longer than is allowed.
+        An outage for this daemon alone, by a cut or because the store turned it away,
+        expired no entry of a live server: peers that reached the store all the time
+        report this. If such entries were kept nevertheless, a server that left without
+        notice would get requests for longer than is allowed.
 
-        While it does not hear the store, or asks it for nothing, its peers' word alone
-        counts.
+        While this daemon cannot reach the store or does not call it, only the peers'
+        reports count.
         """
-        if self._hears_now() and self._has_lasted(self._returned_at):
+        if self._is_reachable() and self._has_settled_since(self._returned_at):
             return True
-        return self.others_settled()
+        return self.is_settled_for_peers()
 
-    def vouches(self) -> bool:
-        """Tell whether this daemon has heard the store without a break for a while.
+    def is_stable(self) -> bool:
+        """Return whether this daemon has reached the store without recent interruption.
 
-        A process that has just started cannot tell whether there was one before it.
+        A process that has just started cannot know of an interruption before its start.
         """
-        if not self._hears_now() or self._first_answer_at is None:
+        if not self._is_reachable() or self._first_answer_at is None:
             return False
-        return self._has_lasted(max(self._returned_at, self._first_answer_at))
+        return self._has_settled_since(max(self._returned_at, self._first_answer_at))
 
-    def _hears_now(self) -> bool:
+    def _is_reachable(self) -> bool:
         if self._failing_since is not None:
             return False
         return self._clock.monotonic() - self._answered_at <= RECENT_SECONDS
 
-    def _has_lasted(self, since: float) -> bool:
-        return self._clock.monotonic() - since >= RETURN_SECONDS
+    def _has_settled_since(self, since: float) -> bool:
+        return self._clock.monotonic() - since >= SETTLE_SECONDS
--- a/libs/serving/fireflyhitch_serving/store_probe.py
+++ b/libs/serving/fireflyhitch_serving/store_probe.py
@@ -1,8 +1,8 @@
-"""Cheap reads by which those who follow the store see that it still answers them.
+"""Probes by which daemons that follow the store check that it still answers.
 
-A waiting watch says nothing both while nothing changes and once its answer was lost. So
-the watched keys are read again in turn, by reads that may be old. While the store is
-away these reads are the only calls, and tell when it is back.
+An open watch is silent both while nothing changes and after its answer was lost. So the
+watched prefixes are read again in turn, by stale reads, which are cheap. During an
+outage these reads are the only calls, and detect the store's return.
 """
 
 import asyncio
@@ -15,18 +15,18 @@
 from fireflyhitch_serving.beliefs import StoreView
 from fireflyhitch_serving.store_health import StoreHealth
 
-# A watcher that has lost the store is replaced within the shortest drain time: this and
-# the time limit, and some tenths for its news and the other's first list.
+# A watcher that has lost the store is replaced within the shortest drain time: this
+# interval and the timeout, and some tenths for its state and the other's first listing.
 PROBE_SECONDS = 0.7
 # Longer than a slow store takes.
-PROBE_LIMIT_SECONDS = 0.6
-# Those who have only to learn that the store is back ask less often.
-AWAY_SECONDS = 2.0
-SPREAD = 0.2
+PROBE_TIMEOUT_SECONDS = 0.6
+# Daemons that only wait for the store's return probe less often.
+OUTAGE_PROBE_SECONDS = 2.0
+JITTER = 0.2
 
 
 class StoreProbe:
-    """Reads while this daemon watches, or does not hear the store."""
+    """Probes while this daemon watches, or cannot reach the store."""
 
     def __init__(
         self,
@@ -35,30 +35,30 @@
         watches: Callable[[], bool],
         draw: random.Random,
     ) -> None:
-        """Make a probe that has asked nothing."""
+        """Create a probe that has made no call."""
         self._views = views
         self._health = health
         self._watches = watches
         self._draw = draw
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Probe until cancelled."""
         for view in cycle(self._views):
-            wait = PROBE_SECONDS if self._watches() else AWAY_SECONDS
-            await asyncio.sleep(wait * self._draw.uniform(1 - SPREAD, 1))
+            wait = PROBE_SECONDS if self._watches() else OUTAGE_PROBE_SECONDS
+            await asyncio.sleep(wait * self._draw.uniform(1 - JITTER, 1))
             if self._watches() or not self._health.answers:
                 await self._read(view)
 
     async def _read(self, view: StoreView) -> None:
         try:
-            async with asyncio.timeout(PROBE_LIMIT_SECONDS):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 await view.probe()
         except PlatformError as error:
             self._health.note_failure(error)
         except TimeoutError:
             self._health.note_failure(
                 PlatformError(
-                    f'no answer in {PROBE_LIMIT_SECONDS} s',
+                    f'no answer in {PROBE_TIMEOUT_SECONDS} s',
                     step=Step.STORE_READ,
                     outcome=Outcome.NOT_RUN,
                 )
--- a/libs/serving/fireflyhitch_serving/summaries.py
+++ b/libs/serving/fireflyhitch_serving/summaries.py
@@ -1,10 +1,10 @@
-"""The state of whole failure domains, where there are many daemons.
+"""Summaries of whole failure domains, used if there are many daemons.
 
-Daemons of one failure domain tell each other all. Of the others each needs sums only:
-work in flight at each server, what customers take, prompt parts. One daemon of each
-domain, the relay, sums up its own domain for the relays of the others, and passes on to
-its neighbours what it hears from these. So a daemon's messages grow with its own
-domain and the number of domains, not with all daemons.
+Daemons of one failure domain share their complete states. Of other domains each needs
+only sums: work in flight at each server, units taken by customers, prompt parts. One
+daemon of each domain, the relay, sends the sums of its own domain to the relays of the
+others, and forwards theirs to its own domain. So the number of messages of a daemon
+grows with its own domain and the number of domains, not with all daemons.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -29,38 +29,41 @@
 from fireflyhitch_serving.peer_news import (
     Member,
     PeerNews,
-    decode_notes,
-    read_rows,
-    render_rows,
+    decode_rows,
+    decode_values,
+    encode_rows,
 )
 from fireflyhitch_serving.quotas import CustomerNote
 from fireflyhitch_serving.server_evidence import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
 SUMMARIES = 'summaries'
-# Some turns of the relays; a relay that ended is replaced within that time.
-SILENT_SECONDS = 2.0
-# A domain that was not heard for three turns may be cut off.
+# Several intervals of the relays; a stopped relay is replaced within that time.
+UNRESPONSIVE_SECONDS = 2.0
+# After three missed intervals a domain may be cut off.
 SUSPECT_SECONDS = 1.0
 
 
 @immutable
 class DomainSummary:
-    """The present state of a failure domain's daemons.
+    """The current state of a failure domain's daemons.
 
     :param relay: the daemon that made it.
     :param process: that daemon's process.
     :param sequence: grows with each summary of a process.
-    :param members: by name: the daemons whose state is in it.
-    :param work: what they have in flight at each server.
-    :param answers: how servers have answered them lately.
-    :param customers: what customers take and ask of them.
-    :param fresh_parts: prompt parts that servers began to read lately.
-    :param evidence: by process: answers by service, version and route of moves in force.
-    :param crashes: what is new of requests under which servers ended.
-    :param limits: what servers have said lately of limits.
-    :param newest: revision of the newest change that one of them knows, by prefix.
-    :param store_settled: whether one of them has heard the store without a break.
+    :param members: the daemons whose states it contains, by name.
+    :param work: their requests in flight, by server.
+    :param answers: how servers have answered them recently.
+    :param customers: units that customers take and demand at them.
+    :param fresh_parts: prompt parts that servers recently began to read.
+    :param evidence: by process: answers by service, version and route of moves in
+        force.
+    :param crashes: new records of requests during which servers crashed.
+    :param limits: limits that servers have recently reported.
+    :param newest: revision of the newest change that one of them has received, by
+        prefix.
+    :param store_settled: whether one of them has reached the store without
+        interruption.
     :param wall: seconds since 1970 that they agree on.
     """
 
@@ -82,34 +85,34 @@
 
     @property
     def source(self) -> str:
-        """Return the name under which its work and counts are kept."""
+        """Return the name under which its work and counts are stored."""
         return f'{self.domain} by {self.process}'
 
 
-def render_summaries(summaries: Sequence[DomainSummary]) -> bytes:
+def encode_summaries(summaries: Sequence[DomainSummary]) -> bytes:
     """Return a datagram."""
     rows = [
         {field.name: getattr(summary, field.name) for field in fields(summary)}
         for summary in summaries
     ]
-    return render_rows(SUMMARIES, rows)
+    return encode_rows(SUMMARIES, rows)
 
 
-def read_summaries(data: bytes) -> list[DomainSummary] | None:
-    """Read a datagram; nothing for one of another kind."""
-    return read_rows(SUMMARIES, data, _read_summary)
+def decode_summaries(data: bytes) -> list[DomainSummary] | None:
+    """Decode a datagram; return ``None`` for one of another kind."""
+    return decode_rows(SUMMARIES, data, _decode_summary)
 
 
-def _read_summary(row: dict[str, Any]) -> DomainSummary:
-    members = {name: Member(*told) for name, told in row['members'].items()}
-    return DomainSummary(**{**decode_notes(row), 'members': members})
+def _decode_summary(row: dict[str, Any]) -> DomainSummary:
+    members = {name: Member(*values) for name, values in row['members'].items()}
+    return DomainSummary(**{**decode_values(row), 'members': members})
 
 
-def add_work(news: Sequence[PeerNews]) -> dict[BackendServerId, InFlight]:
-    """Return the work that daemons have in flight together, by server."""
+def sum_work(states: Sequence[PeerNews]) -> dict[BackendServerId, InFlight]:
+    """Return the daemons' total work in flight, by server."""
     total: dict[BackendServerId, InFlight] = {}
-    for told in news:
-        for server, work in told.work.items():
+    for state in states:
+        for server, work in state.work.items():
             known = total.get(server, InFlight())
             total[server] = InFlight(
                 known.requests + work.requests,
@@ -118,84 +121,86 @@
     return total
 
 
-def join_parts(news: Sequence[PeerNews]) -> dict[BackendServerId, list[str]]:
-    """Return the prompt parts that servers began to read, each once."""
-    joined: dict[BackendServerId, dict[str, None]] = {}
-    for told in news:
-        for where, parts in told.fresh_parts.items():
-            joined.setdefault(where, {}).update(dict.fromkeys(parts))
-    return {server: list(found) for server, found in joined.items()}
+def merge_parts(states: Sequence[PeerNews]) -> dict[BackendServerId, list[str]]:
+    """Return the prompt parts that servers began to read, without duplicates."""
+    merged: dict[BackendServerId, dict[str, None]] = {}
+    for state in states:
+        for server_id, parts in state.fresh_parts.items():
+            merged.setdefault(server_id, {}).update(dict.fromkeys(parts))
+    return {server: list(found) for server, found in merged.items()}
 
 
-def join_newest(told: Iterable[Mapping[str, Revision]]) -> dict[str, Revision]:
-    """Return the newest change that anybody knows, by prefix."""
-    joined: dict[str, Revision] = {}
-    for newest in told:
+def merge_newest(reports: Iterable[Mapping[str, Revision]]) -> dict[str, Revision]:
+    """Return the newest change that any daemon has received, by prefix."""
+    merged: dict[str, Revision] = {}
+    for newest in reports:
         for prefix, revision in newest.items():
-            joined[prefix] = max(joined.get(prefix, ABSENT), revision)
-    return joined
+            merged[prefix] = max(merged.get(prefix, ABSENT), revision)
+    return merged
 
 
 @immutable
-class _Heard:
+class _Received:
     summary: DomainSummary
-    at: float
+    received_at: float
 
 
 class SummaryBook:
     """The last summary of each other failure domain."""
 
     def __init__(self, clock: Clock, forget: Callable[[str], None]) -> None:
-        """Make a book that has heard nothing.
+        """Create a table without summaries.
 
-        :param forget: told the source of summaries that another source goes on with.
+        :param forget: called with a source when another source replaces it.
         """
         self._clock = clock
         self._forget = forget
-        self._heard: dict[FailureDomainId, _Heard] = {}
+        self._received: dict[FailureDomainId, _Received] = {}
         self._relayed_at = float('-inf')
 
-    def take(self, summary: DomainSummary) -> bool:
-        """Take in a summary; tell whether it is new."""
-        known = self._heard.get(summary.domain)
+    def receive(self, summary: DomainSummary) -> bool:
+        """Store a summary; return whether it is new."""
+        known = self._received.get(summary.domain)
         now = self._clock.monotonic()
         if known is not None and known.summary.process == summary.process:
             if summary.sequence <= known.summary.sequence:
                 return False
         elif known is not None:
-            # Two sources of one domain count the same; only the last one holds.
+            # Two sources of one domain count the same work; only the last one is kept.
             self._forget(known.summary.source)
             logger.bind(domain=summary.domain, relay=summary.relay).info(
                 'summaries from another relay'
             )
-        self._heard[summary.domain] = _Heard(summary, now)
+        self._received[summary.domain] = _Received(summary, now)
         return True
 
-    def note_relayed(self) -> None:
-        """Note that the own domain's relay is heard."""
+    def record_relay_message(self) -> None:
+        """Record a message of this domain's relay."""
         self._relayed_at = self._clock.monotonic()
 
     def live(self) -> dict[FailureDomainId, DomainSummary]:
         """Return the summaries that are not too old."""
         now = self._clock.monotonic()
         return {
-            domain: heard.summary
-            for domain, heard in self._heard.items()
-            if now - heard.at <= SILENT_SECONDS
+            domain: entry.summary
+            for domain, entry in self._received.items()
+            if now - entry.received_at <= UNRESPONSIVE_SECONDS
         }
 
     def find_silent_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here.
 
-        If none is heard it may be the own domain's relay that has ended; only while
-        that one is heard are all of them taken for cut off.
+        If all of them are silent, this domain's relay may have stopped; only while that
+        relay is responsive are all of them considered cut off.
         """
         now = self._clock.monotonic()
-        silent = frozenset(
+        unresponsive = frozenset(
             domain
-            for domain, heard in self._heard.items()
-            if now - heard.at > SUSPECT_SECONDS
+            for domain, entry in self._received.items()
+            if now - entry.received_at > SUSPECT_SECONDS
+        )
+        if len(unresponsive) < len(self._received):
+            return unresponsive
+        return (
+            unresponsive if now - self._relayed_at <= SUSPECT_SECONDS else frozenset()
         )
-        if len(silent) < len(self._heard):
-            return silent
-        return silent if now - self._relayed_at <= SUSPECT_SECONDS else frozenset()
--- a/libs/serving/fireflyhitch_serving/summary_relay.py
+++ b/libs/serving/fireflyhitch_serving/summary_relay.py
@@ -1,4 +1,4 @@
-"""Makes a failure domain's summary, and passes on those of the others."""
+"""Builds a failure domain's summary, and forwards those of other domains."""
 
 import asyncio
 import random
@@ -18,17 +18,17 @@
 from fireflyhitch_serving.summaries import (
     DomainSummary,
     SummaryBook,
-    add_work,
-    join_newest,
-    join_parts,
-    render_summaries,
+    encode_summaries,
+    merge_newest,
+    merge_parts,
+    sum_work,
 )
 
-# A hub's turn.
-TURN_SECONDS = 0.25
-SPREAD = 0.2
-# Of the daemons that another domain's relay may be: the first by hash relays, the
-# second as soon as the first is silent.
+# Interval between a hub's messages.
+INTERVAL_SECONDS = 0.25
+JITTER = 0.2
+# Daemons that may be another domain's relay: the first by hash relays, the second as
+# soon as the first is unresponsive.
 LIKELY_RELAYS = 2
 
 Send = Callable[[bytes, list[str]], None]
@@ -36,7 +36,10 @@
 
 @immutable
 class RelayedBooks:
-    """What a hub tells by its own knowledge, rather than by its neighbours' news."""
+    """Components whose reports the hub builds from its own records.
+
+    All other parts of a summary are merged from the members' states.
+    """
 
     quotas: Quotas
     crashes: CrashBook
@@ -44,96 +47,97 @@
 
 
 class SummaryRelay:
-    """Joins and tells the own failure domain's state while this daemon is its hub."""
+    """Merges and broadcasts the failure domain's state while this daemon is its hub."""
 
     def __init__(
         self,
         peers: PeerBook,
         hubs: Hubs,
-        book: SummaryBook,
-        told: RelayedBooks,
+        summaries: SummaryBook,
+        trackers: RelayedBooks,
         now: Callable[[], float],
         send: Send,
         draw: random.Random,
     ) -> None:
-        """Make a relay that has sent nothing.
+        """Create a relay that has sent nothing.
 
-        :param now: monotonic seconds.
-        :param send: a datagram to daemons by name.
+        :param now: returns monotonic seconds.
+        :param send: sends a datagram to daemons by name.
         """
         self._peers = peers
         self._hubs = hubs
-        self._book = book
-        self._told = told
+        self._summaries = summaries
+        self._trackers = trackers
         self._now = now
         self._send = send
         self._draw = draw
         self._was_hub = False
         self._sequence = 0
-        self._joined: dict[str, int] = {}
-        self._passed: dict[FailureDomainId, tuple[str, int]] = {}
+        self._merged: dict[str, int] = {}
+        self._forwarded: dict[FailureDomainId, tuple[str, int]] = {}
 
     async def run(self) -> None:
-        """Relay until cancelled."""
+        """Broadcast summaries until cancelled."""
         while True:
             relays = self.relays()
-            self._note_role(relays=relays)
+            self._log_role(relays=relays)
             if relays:
-                self.tell()
+                self.broadcast()
             await asyncio.sleep(
-                TURN_SECONDS * self._draw.uniform(1 - SPREAD, 1 + SPREAD)
+                INTERVAL_SECONDS * self._draw.uniform(1 - JITTER, 1 + JITTER)
             )
 
-    def _note_role(self, *, relays: bool) -> None:
+    def _log_role(self, *, relays: bool) -> None:
         if relays == self._was_hub:
             return
         self._was_hub = relays
         logger.bind(
-            domain=self._peers.own_domain, near=len(self._peers.listed_near())
+            domain=self._peers.own_domain, near=len(self._peers.listed_local())
         ).info('hub' if relays else 'no longer the hub')
 
     def relays(self) -> bool:
-        """Tell whether this daemon is its failure domain's relay."""
-        return self._peers.uses_summaries() and self._hubs.acts()
+        """Return whether this daemon is its failure domain's relay."""
+        return self._peers.uses_summaries() and self._hubs.is_hub()
 
-    def tell(self) -> None:
-        """Tell the other hubs of the own domain, and the neighbours of all."""
-        summary = self.summarise()
+    def broadcast(self) -> None:
+        """Send this domain's summary to the other hubs, and all new ones to members."""
+        summary = self.build_summary()
         if summary is None:
             return
-        self.tell_others(summary)
-        self.tell_neighbours(summary)
+        self.send_to_domains(summary)
+        self.send_to_members(summary)
 
-    def tell_others(self, summary: DomainSummary) -> None:
-        """Send the own domain's summary to the hubs of the others."""
-        live = self._book.live()
+    def send_to_domains(self, summary: DomainSummary) -> None:
+        """Send this domain's summary to the hubs of the others."""
+        live = self._summaries.live()
         daemons: list[str] = []
-        for domain, listed in self._peers.group_far().items():
+        for domain, listed in self._peers.group_remote().items():
             likely = self._peers.rank('relay', listed)[:LIKELY_RELAYS]
             known = live.get(domain)
             if known is not None and known.relay not in likely:
                 likely.append(known.relay)
             daemons.extend(likely)
-        self._send(render_summaries([summary]), daemons)
-
-    def tell_neighbours(self, summary: DomainSummary) -> None:
-        """Tell the own domain's state, and what is new of other domains."""
-        told: list[DomainSummary] = [summary]
-        for domain, far in self._book.live().items():
-            mark = (far.process, far.sequence)
-            if self._passed.get(domain) != mark:
-                self._passed[domain] = mark
-                told.append(far)
-        # To all that are listed: those that have lost their hub find this one so.
-        near = [name for name in self._peers.listed_near() if name != self._peers.own]
-        self._send(render_summaries(told), near)
-
-    def summarise(self) -> DomainSummary | None:
-        """Return the own domain's summary, once this daemon has told its own state."""
-        own = self._peers.own_news
+        self._send(encode_summaries([summary]), daemons)
+
+    def send_to_members(self, summary: DomainSummary) -> None:
+        """Send this domain's summary, and new summaries of other domains."""
+        outgoing: list[DomainSummary] = [summary]
+        for domain, remote in self._summaries.live().items():
+            version = (remote.process, remote.sequence)
+            if self._forwarded.get(domain) != version:
+                self._forwarded[domain] = version
+                outgoing.append(remote)
+        # Sent to all listed daemons, so that those that have lost their hub find this
+        # one.
+        local = [name for name in self._peers.listed_local() if name != self._peers.own]
+        self._send(encode_summaries(outgoing), local)
+
+    def build_summary(self) -> DomainSummary | None:
+        """Return this domain's summary, once this daemon has sent its own state."""
+        own = self._peers.own_state
         if own is None:
             return None
-        news = [own, *self._peers.heard_near().values()]
+        states = [own, *self._peers.responsive_local_states().values()]
         self._sequence += 1
         return DomainSummary(
             domain=self._peers.own_domain,
@@ -141,25 +145,29 @@
             process=own.process,
             sequence=self._sequence,
             members={
-                told.daemon: Member(told.sequence, told.hears_store, told.stopping)
-                for told in news
+                state.daemon: Member(state.sequence, state.hears_store, state.stopping)
+                for state in states
+            },
+            work=sum_work(states),
+            customers=self._trackers.quotas.domain_notes(self._now()),
+            fresh_parts=merge_parts(self._pick_unmerged(states)),
+            evidence={
+                state.process: state.evidence for state in states if state.evidence
             },
-            work=add_work(news),
-            customers=self._told.quotas.domain_notes(self._now()),
-            fresh_parts=join_parts(self._pick_unjoined(news)),
-            evidence={told.process: told.evidence for told in news if told.evidence},
-            newest=join_newest(told.newest for told in news),
-            store_settled=any(told.store_settled for told in news),
+            newest=merge_newest(state.newest for state in states),
+            store_settled=any(state.store_settled for state in states),
             wall=self._peers.wall(),
-            answers=add_answers(told.answers for told in news),
-            crashes=self._told.crashes.tell(self._now(), heard=True),
-            limits=self._told.limits.tell(self._now(), heard=True),
+            answers=add_answers(state.answers for state in states),
+            crashes=self._trackers.crashes.tell(self._now(), heard=True),
+            limits=self._trackers.limits.tell(self._now(), heard=True),
         )
 
-    def _pick_unjoined(self, news: list[PeerNews]) -> list[PeerNews]:
-        """Return the news whose prompt parts no summary had yet."""
+    def _pick_unmerged(self, states: list[PeerNews]) -> list[PeerNews]:
+        """Return the states whose prompt parts are in no summary yet."""
         fresh = [
-            told for told in news if self._joined.get(told.process) != told.sequence
+            state
+            for state in states
+            if self._merged.get(state.process) != state.sequence
         ]
-        self._joined = {told.process: told.sequence for told in news}
+        self._merged = {state.process: state.sequence for state in states}
         return fresh
--- a/libs/serving/fireflyhitch_serving/traffic.py
+++ b/libs/serving/fireflyhitch_serving/traffic.py
@@ -1,4 +1,4 @@
-"""What this daemon sends and asks for control: messages to peers, calls to the platform."""
+"""Counts control traffic: messages between peers and calls to the platform."""
 
 import asyncio
 from collections import Counter
@@ -15,7 +15,7 @@
 
     :param calls: to the platform, by kind.
     :param sent: datagrams to peers.
-    :param received: datagrams of peers.
+    :param received: datagrams from peers.
     """
 
     calls: Counter[str] = field(default_factory=Counter)
@@ -28,13 +28,13 @@
         """Count a call that is about to be made."""
         self.calls[kind] += 1
 
-    def note_sent(self, size: int) -> None:
-        """Count a datagram of so many bytes."""
+    def count_sent(self, size: int) -> None:
+        """Count a sent datagram of ``size`` bytes."""
         self.sent += 1
         self.sent_bytes += size
 
-    def note_received(self, size: int) -> None:
-        """Count a datagram of so many bytes."""
+    def count_received(self, size: int) -> None:
+        """Count a received datagram of ``size`` bytes."""
         self.received += 1
         self.received_bytes += size
 
@@ -45,7 +45,7 @@
             self.report()
 
     def report(self) -> None:
-        """Tell what was counted, and begin anew."""
+        """Log the counts, and reset them."""
         logger.bind(
             calls=dict(self.calls),
             sent=self.sent,
--- a/libs/serving/tests/asked_moments.py
+++ b/libs/serving/tests/asked_moments.py
@@ -1,39 +1,39 @@
-"""The moments at which callers ask, between daemons' news of each other."""
+"""Simulated request arrivals, between which daemons exchange their states."""
 
 import random
 from collections.abc import Iterator
 from typing import Protocol
 
 
-class PlayedFleet(Protocol):
-    """Daemons and engines that a test plays."""
+class SimulatedFleet(Protocol):
+    """Simulated daemons and engines."""
 
     def end_until(self, now: float) -> None:
-        """End the requests that are over by now."""
+        """Complete the requests that end by ``now``."""
 
     def tell_all(self, now: float) -> None:
-        """Let each daemon hear of the others."""
+        """Send each daemon's state to the others."""
 
 
 def pass_moments(
-    fleet: PlayedFleet,
+    fleet: SimulatedFleet,
     draw: random.Random,
     *,
     a_second: float,
     news_seconds: float,
     seconds: float,
 ) -> Iterator[float]:
-    """Return the moments at which a request comes, with all that is over by then done.
+    """Yield the arrival times of requests, with all events due by then processed.
 
-    :param a_second: requests.
-    :param news_seconds: between daemons' news.
+    :param a_second: requests per second.
+    :param news_seconds: interval between the daemons' state exchanges.
     """
     now = 0.0
-    told_at = 0.0
+    exchanged_at = 0.0
     while now < seconds:
         now += draw.expovariate(a_second)
         fleet.end_until(now)
-        if now - told_at > news_seconds:
+        if now - exchanged_at > news_seconds:
             fleet.tell_all(now)
-            told_at = now
+            exchanged_at = now
         yield now
--- a/libs/serving/tests/daemons_scene.py
+++ b/libs/serving/tests/daemons_scene.py
@@ -1,7 +1,7 @@
 """Daemons that follow the server list together, in virtual time.
 
-Their views, relays, peers and leases are the product's; the store and the links
-between them are played.
+Their views, relays, peers and leases are the product's; the store and the links between
+the daemons are simulated.
 """
 
 import asyncio
@@ -57,7 +57,7 @@
 SERVERS = 'servers/'
 READY = b'ready'
 LEAVING = b'draining'
-LINK_SECONDS = 0.001
+LINK_DELAY_SECONDS = 0.001
 USAGE_WINDOW_SECONDS = 5
 
 
@@ -67,24 +67,24 @@
         self._own = own
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Have the links carry a datagram."""
-        self._net.carry(self._own, Address(*to), data)
+        """Send a datagram over the links."""
+        self._net.transmit(self._own, Address(*to), data)
 
 
 class Net:
-    """Links that lose what a test says."""
+    """Links that drop the datagrams that a test selects."""
 
     def __init__(self) -> None:
         self.channels: dict[Address, PeerChannel] = {}
         self.loses: Callable[[str, str, bytes], bool] = lambda sender, to, data: False
         self.names: dict[Address, str] = {}
 
-    def carry(self, sender: Address, to: Address, data: bytes) -> None:
-        """Deliver a datagram unless it is lost."""
+    def transmit(self, sender: Address, to: Address, data: bytes) -> None:
+        """Deliver a datagram unless it is dropped."""
         if self.loses(self.names[sender], self.names.get(to, ''), data):
             return
         asyncio.get_running_loop().call_later(
-            LINK_SECONDS, self._deliver, sender, to, data
+            LINK_DELAY_SECONDS, self._deliver, sender, to, data
         )
 
     def _deliver(self, sender: Address, to: Address, data: bytes) -> None:
@@ -94,7 +94,7 @@
 
 
 def make_servers() -> ServerBook:
-    """Return a book of one server that has a request of its own daemon's in flight."""
+    """Return a registry of one server with one of this daemon's requests in flight."""
     book = ServerBook()
     book.put(
         ServerEntry(
@@ -113,7 +113,7 @@
 
 
 class Daemon:
-    """One daemon's parts that follow the servers, and what it believes of these."""
+    """One daemon's components that follow the server list, and its view of the servers."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
     ) -> None:
         self.name = name
         self.address = address
-        self.believes: dict[str, bytes | None] = {}
+        self.entries: dict[str, bytes | None] = {}
         self._draw = draw
         self._clock = LoopClock()
         self._process = f'{name}/{address.port}'
@@ -174,12 +174,12 @@
             self._registrations.knows_peers,
         )
         self.view = self._make_view(
-            SERVERS, BeliefEvents(self._take_change, lambda: None)
+            SERVERS, BeliefEvents(self._apply_change, lambda: None)
         )
         self._own_view = self._make_view(
             OWN_PREFIX,
             BeliefEvents(
-                self._take_own,
+                self._apply_own,
                 self._note_listed,
                 lambda: not self._registrations.is_listed,
             ),
@@ -188,24 +188,24 @@
         self._tasks = self._start()
 
     def count_work(self) -> int:
-        """Return how many requests it knows of at the one server that has some."""
+        """Return how many requests it counts at the one server that has some."""
         now = self._clock.monotonic()
         records = self._servers.all().values()
         return sum(record.total(now).requests for record in records)
 
     def holds(self, content: ContentId) -> bool:
-        """Tell whether it holds a request back."""
+        """Return whether it holds a request back."""
         now = self._clock.monotonic()
         return self.crashes.quarantine.find_wait(content, now) is not None
 
     def note_end(self, content: ContentId, process: int) -> None:
-        """Have a server end now under a request that it was sent just before."""
+        """Record that a server crashed now, just after a request was sent to it."""
         now = self._clock.monotonic()
         end = ServerEnd(now, now - 0.05)
         self.crashes.book.note_end(content, ProcessId(process), end, now)
 
     def kill(self) -> None:
-        """End without a word."""
+        """Stop without notice."""
         for task in self._tasks:
             task.cancel()
 
@@ -234,8 +234,8 @@
             self.hubs,
             NewsHandlers(
                 self._shared.make_news,
-                self._take_news,
-                self._take_other,
+                self._receive_state,
+                self._receive_other,
                 lambda: self._lease.find_leader(),
             ),
             StallWatch(self._clock.monotonic, lambda: None),
@@ -286,7 +286,7 @@
         self._registrations.note_listed()
         self._lease.take_listed()
 
-    def _take_own(self, key: str, value: bytes | None, revision: Revision) -> None:
+    def _apply_own(self, key: str, value: bytes | None, revision: Revision) -> None:
         if key.startswith(DAEMONS_PREFIX):
             name = key.removeprefix(DAEMONS_PREFIX)
             self._registrations.take(name, value, revision)
@@ -295,11 +295,11 @@
         elif key == LEADER_KEY:
             self._lease.take_leader(value, revision)
 
-    def _take_news(self, news: PeerNews) -> None:
-        self._shared.take_news(news)
+    def _receive_state(self, state: PeerNews) -> None:
+        self._shared.take_news(state)
         self.relay.note_group()
 
-    def _take_other(self, data: bytes) -> bool:
+    def _receive_other(self, data: bytes) -> bool:
         message = read_changes(data)
         if message is None:
             taken = self._shared.take_summaries(data)
@@ -312,14 +312,15 @@
             view.take_span(message.span, f'peer {message.sender}')
         return True
 
-    def _take_change(self, key: str, value: bytes | None, revision: Revision) -> None:
-        self.believes[key] = value
+    def _apply_change(self, key: str, value: bytes | None, revision: Revision) -> None:
+        self.entries[key] = value
 
 
 class Daemons:
-    """Daemons of some failure domains, on links that a test may break.
+    """Daemons of several failure domains, on links that a test may break.
 
-    :param counts: of daemons, by failure domain; they are named ``gent-1`` and so on.
+    :param counts: number of daemons by failure domain; they are named ``gent-1`` and so
+        on.
     """
 
     def __init__(self, seed: int, **counts: int) -> None:
@@ -331,13 +332,13 @@
         self._counts = counts
 
     async def start_all(self) -> None:
-        """Start them with one server listed, and wait until all is settled."""
+        """Start the daemons with one server listed, and wait until all have settled."""
         self.store.put(f'{SERVERS}i-1', READY)
         for domain, count in self._counts.items():
             for number in range(count):
                 self.start(f'{domain}-{number + 1}')
         await asyncio.sleep(5)
-        # What the daemons did while they did not know each other is over.
+        # Daemons act alone until they have discovered each other; this is over now.
         self.store.put(f'{SERVERS}i-2', READY)
         await asyncio.sleep(3)
 
@@ -348,13 +349,13 @@
         self.daemons[name] = Daemon(name, address, self.net, self.store, self.draw)
 
     def kill(self, name: str) -> None:
-        """End a daemon without a word."""
+        """Stop a daemon without notice."""
         daemon = self.daemons.pop(name)
         del self.net.channels[daemon.address]
         daemon.kill()
 
     def find_watchers(self, domain: str) -> list[str]:
-        """Return who watches for a failure domain, as the daemons see it."""
+        """Return a failure domain's watchers, as the daemons see it."""
         return [
             name
             for name in self.find_daemons(domain)
@@ -366,13 +367,15 @@
         return [name for name in self.daemons if name.startswith(domain)]
 
     def find_hubs(self, domain: str) -> list[str]:
-        """Return who takes itself for a failure domain's hub."""
+        """Return the daemons that act as a failure domain's hub."""
         return [
-            name for name in self.find_daemons(domain) if self.daemons[name].hubs.acts()
+            name
+            for name in self.find_daemons(domain)
+            if self.daemons[name].hubs.is_hub()
         ]
 
     def count_work(self) -> list[int]:
-        """Return how many requests each daemon knows of; each has one in flight."""
+        """Return how many requests each daemon counts; each has one in flight."""
         return [daemon.count_work() for daemon in self.daemons.values()]
 
     def find_listed(self) -> set[str]:
@@ -382,18 +385,18 @@
         return {item.key.removeprefix(DAEMONS_PREFIX) for item in listed}
 
     def leave(self, server: str) -> None:
-        """Have a server begin to leave."""
+        """Start draining a server."""
         self.store.put(f'{SERVERS}{server}', LEAVING)
 
     def find_unaware(self, server: str) -> list[str]:
-        """Return the daemons that would still send to a leaving server."""
+        """Return the daemons that would still send to a draining server."""
         return [
             name
             for name, daemon in self.daemons.items()
-            if daemon.believes.get(f'{SERVERS}{server}') != LEAVING
+            if daemon.entries.get(f'{SERVERS}{server}') != LEAVING
         ]
 
 
 def is_change(data: bytes) -> bool:
-    """Tell whether a datagram carries changes."""
+    """Return whether a datagram carries changes."""
     return read_changes(data) is not None
--- a/libs/serving/tests/test_beliefs.py
+++ b/libs/serving/tests/test_beliefs.py
@@ -1,4 +1,4 @@
-"""Tests of what is taken for gone after a break with the store."""
+"""Tests of a daemon's view of the store, mainly after outages."""
 
 import asyncio
 import random
@@ -20,14 +20,14 @@
 SERVER = 'servers/i-1'
 
 
-class Break:
-    """A view that has just got its store back after ten seconds."""
+class RestoredStoreScene:
+    """A view whose store has just returned after ten seconds."""
 
-    def __init__(self, *, others_settled: bool) -> None:
+    def __init__(self, *, is_settled_for_peers: bool) -> None:
         self.changes: list[tuple[str, bytes | None]] = []
         self.clock = ManualClock()
         health = StoreHealth(self.clock)
-        health.others_settled = lambda: others_settled
+        health.is_settled_for_peers = lambda: is_settled_for_peers
         events = BeliefEvents(
             lambda key, value, revision: self.changes.append((key, value)),
             lambda: None,
@@ -41,39 +41,42 @@
             ViewProgress(ManualClock()),
             PeerWord(lambda prefix: ABSENT),
         )
-        self.view.take_change(Change(SERVER, b'{}', Revision(5)), 'watch')
+        self.view.apply_change(Change(SERVER, b'{}', Revision(5)), 'watch')
         health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
         self.clock.advance(timedelta(seconds=10))
-        health.note_answer()
+        health.record_success()
         self.clock.advance(timedelta(seconds=0.7))
 
     def remove(self) -> None:
-        """Have the store tell that the server's entry is gone."""
-        self.view.take_change(Change(SERVER, None, Revision(9)), 'watch')
+        """Remove the server's entry from the store."""
+        self.view.apply_change(Change(SERVER, None, Revision(9)), 'watch')
 
 
 class TestMissingServers:
-    def test_after_a_cut_of_this_daemon_alone_what_is_gone_is_gone(self) -> None:
-        # Only this daemon was cut off; its peers heard the store all the while, and
-        # servers could renew their entries. One that leaves without notice just after
-        # the cut must get nothing more: holding it for those that may come back gave
-        # it a request 2.1 s after the store had acknowledged that it left.
-        scene = Break(others_settled=True)
+    def test_missing_server_is_removed_if_only_this_daemon_was_cut_off(self) -> None:
+        # Only this daemon was cut off; its peers reached the store all the time, and
+        # servers renewed their entries. Keeping a server that left without notice just
+        # after the cut, as one that might come back, sent it a request 2.1 s after the
+        # store had acknowledged that it left.
+        scene = RestoredStoreScene(is_settled_for_peers=True)
         scene.remove()
         assert scene.changes[-1] == (SERVER, None)
 
-    def test_after_an_outage_for_all_a_server_may_come_back(self) -> None:
-        # The store was away for everybody, and entries lapsed with it. A server that
-        # lives writes its own again within two seconds, and goes on being used.
-        scene = Break(others_settled=False)
+    def test_missing_server_is_kept_after_an_outage_for_all_daemons(self) -> None:
+        # The store was unreachable for all, and entries expired. A live server writes
+        # its entry again within two seconds, and must stay in use.
+        scene = RestoredStoreScene(is_settled_for_peers=False)
         scene.remove()
         assert scene.changes[-1] == (SERVER, b'{}')
-        scene.view.take_change(Change(SERVER, b'{}', Revision(12)), 'watch')
+        scene.view.apply_change(Change(SERVER, b'{}', Revision(12)), 'watch')
         assert (SERVER, None) not in scene.changes
 
 
-class ForgetfulStore:
-    """A store whose watch was cut, and whose list shows what it did not tell."""
+class CompactedStore:
+    """A store whose history was compacted during a watch.
+
+    Its second listing contains the change that the watch missed.
+    """
 
     def __init__(self) -> None:
         self.listings = [
@@ -82,39 +85,39 @@
         ]
 
     async def list(self, prefix: str, *, stale: bool = False) -> Listing:
-        """Return the next list."""
+        """Return the next listing."""
         if not self.listings:
             raise asyncio.CancelledError
         return self.listings.pop(0)
 
     async def watch(self, prefix: str, after: Revision, seconds: float) -> None:
-        """Tell that the history is gone."""
+        """Report that the history is compacted."""
         raise WatchCompacted
 
 
-class NotedRelay:
-    """A relay of a daemon that watches, which notes what it is to pass on."""
+class RecordingRelay:
+    """The relay of a watching daemon; records what it is to broadcast."""
 
     def __init__(self) -> None:
-        self.passed: list[ChangeSpan] = []
+        self.broadcasts: list[ChangeSpan] = []
 
     def watches(self) -> bool:
-        """Watch."""
+        """Return that this daemon watches."""
         return True
 
-    def pass_on(self, span: ChangeSpan) -> None:
-        """Note changes."""
-        self.passed.append(span)
+    def broadcast(self, span: ChangeSpan) -> None:
+        """Record changes."""
+        self.broadcasts.append(span)
 
 
-class TestForgottenHistory:
-    def test_what_a_list_shows_after_a_gap_is_passed_on(self) -> None:
-        # The store forgets its history while a server begins to leave. The daemon that
-        # watches for its failure domain lists anew; its neighbours read a list that
-        # is seconds old, and went on sending to that server for 3.2 s.
-        relay = NotedRelay()
+class TestCompactedHistory:
+    def test_changes_listed_after_compaction_are_broadcast(self) -> None:
+        # The store compacts its history while a server begins to drain, so the domain's
+        # watcher lists again. The other daemons read a listing that was seconds old, and
+        # sent requests to that server for another 3.2 s.
+        relay = RecordingRelay()
         view = StoreView(
-            ForgetfulStore(),  # type: ignore[arg-type]
+            CompactedStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
             BeliefEvents(lambda key, value, revision: None, lambda: None),
@@ -126,20 +129,20 @@
         with suppress(asyncio.CancelledError):
             asyncio.run(view.run())
         changes = [Change(SERVER, b'[]', Revision(9))]
-        assert relay.passed == [
+        assert relay.broadcasts == [
             ChangeSpan('servers/', changes, Revision(5), Revision(9))
         ]
 
 
 class TestSources:
-    def test_the_lines_of_a_change_tell_how_it_came_to_be_known(self) -> None:
-        """Guards against a late change whose way nobody can tell afterwards."""
+    def test_log_lines_of_a_change_name_its_source(self) -> None:
+        """Guards against late changes whose source cannot be found in the logs."""
         sources: list[object] = []
         number = logger.add(
             lambda line: sources.append(line.record['extra'].get('source'))
         )
         view = StoreView(
-            ForgetfulStore(),  # type: ignore[arg-type]
+            CompactedStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
             BeliefEvents(
@@ -162,46 +165,47 @@
         ]
 
 
-class TestWitness:
-    def test_a_process_that_has_just_started_vouches_for_nothing(self) -> None:
-        # The store was away for all; a daemon that starts as it returns has seen no
-        # break. Its word would have its peers drop servers that come back in a second.
+class TestStability:
+    def test_new_process_is_not_stable(self) -> None:
+        # The store was unreachable for all; a daemon that starts as it returns has seen
+        # no outage. If it reported none, its peers would drop servers that come back
+        # within a second.
         clock = ManualClock()
         health = StoreHealth(clock)
-        assert not health.vouches()
-        health.note_answer()
-        assert not health.vouches()
+        assert not health.is_stable()
+        health.record_success()
+        assert not health.is_stable()
         clock.advance(timedelta(seconds=1))
-        assert not health.vouches()
+        assert not health.is_stable()
         clock.advance(timedelta(seconds=2))
-        health.note_answer()
-        assert health.vouches()
+        health.record_success()
+        assert health.is_stable()
 
-    def test_a_daemon_that_asks_the_store_for_nothing_vouches_for_nothing(
+    def test_daemon_without_recent_calls_is_not_stable(
         self,
     ) -> None:
-        """Guards against a break that nobody saw, as nobody asked the store."""
+        """Guards against an unnoticed outage during which this daemon made no call."""
         clock = ManualClock()
         health = StoreHealth(clock)
-        health.note_answer()
+        health.record_success()
         clock.advance(timedelta(seconds=3))
-        health.note_answer()
-        assert health.vouches()
+        health.record_success()
+        assert health.is_stable()
         clock.advance(timedelta(seconds=RECENT_SECONDS + 0.1))
-        assert not health.vouches()
+        assert not health.is_stable()
         assert not health.is_settled()
 
-    def test_a_daemon_that_has_lost_the_store_vouches_for_nothing(self) -> None:
+    def test_daemon_is_not_stable_just_after_an_outage(self) -> None:
         clock = ManualClock()
         health = StoreHealth(clock)
-        health.note_answer()
+        health.record_success()
         clock.advance(timedelta(seconds=60))
         health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
-        assert not health.vouches()
+        assert not health.is_stable()
         clock.advance(timedelta(seconds=4))
-        health.note_answer()
+        health.record_success()
         clock.advance(timedelta(seconds=2))
-        health.note_answer()
-        assert not health.vouches()
+        health.record_success()
+        assert not health.is_stable()
         clock.advance(timedelta(seconds=1))
-        assert health.vouches()
+        assert health.is_stable()
--- a/libs/serving/tests/test_hubs.py
+++ b/libs/serving/tests/test_hubs.py
@@ -1,4 +1,4 @@
-"""Tests of the hubs that join the news of a failure domain's daemons, in virtual time."""
+"""Tests of the hubs that merge the states of a failure domain's daemons."""
 
 import asyncio
 from collections import Counter
@@ -8,36 +8,36 @@
 from daemons_scene import Daemons
 from virtual_time import play
 
-# A daemon's messages a second: to two hubs, and to the leader.
-MOST_SENT = 14
+# A daemon's messages per second: to two hubs, and to the leader.
+MAX_SENT = 14
 SECONDS = 5
-# In which the state after a fault is known: a hub's silence, its successor's first
-# message, and what was noted of daemons that have ended.
+# Time after which the state is correct again after a fault: detection of the hub's
+# loss, its successor's first message, and expiry of stopped daemons' state.
 SETTLE_SECONDS = 4.0
 
 Fault = Callable[[Daemons], Awaitable[None]]
 
 
-async def end_the_hub(scene: Daemons) -> None:
-    """End a failure domain's hub."""
+async def kill_hub(scene: Daemons) -> None:
+    """Kill a failure domain's hub."""
     scene.kill(scene.find_hubs('gent')[0])
 
 
-async def end_the_hub_and_its_successor(scene: Daemons) -> None:
-    """End a hub, and the one that takes its place as soon as it does."""
-    await end_the_hub(scene)
+async def kill_hub_and_successor(scene: Daemons) -> None:
+    """Kill a hub, and then the successor that replaced it."""
+    await kill_hub(scene)
     await asyncio.sleep(1.5)
-    await end_the_hub(scene)
+    await kill_hub(scene)
 
 
-async def lose_messages(scene: Daemons) -> None:
-    """Lose one message in ten from now on."""
+async def drop_messages(scene: Daemons) -> None:
+    """Drop one message in ten from now on."""
     draw = scene.draw
     scene.net.loses = lambda sender, to, data: draw.random() < 0.1
 
 
-async def start_the_hub_again(scene: Daemons) -> None:
-    """End a hub, and have it start again at once."""
+async def restart_hub(scene: Daemons) -> None:
+    """Kill a hub, and restart it at once."""
     hub = scene.find_hubs('gent')[0]
     scene.kill(hub)
     await asyncio.sleep(0.5)
@@ -45,7 +45,7 @@
 
 
 async def change_nothing(scene: Daemons) -> None:
-    """Leave all as it is."""
+    """Cause no fault."""
 
 
 class TestSums:
@@ -53,13 +53,13 @@
         'fault',
         [
             change_nothing,
-            end_the_hub,
-            end_the_hub_and_its_successor,
-            start_the_hub_again,
-            lose_messages,
+            kill_hub,
+            kill_hub_and_successor,
+            restart_hub,
+            drop_messages,
         ],
     )
-    def test_each_request_counts_once_at_each_daemon(self, fault: Fault) -> None:
+    def test_each_daemon_counts_each_request_once(self, fault: Fault) -> None:
         """Guards against engines that look idle, or twice as busy as they are."""
         counted: Counter[int] = Counter()
         running: list[int] = []
@@ -75,8 +75,8 @@
         play(script())
         assert set(counted) == set(running)
 
-    def test_there_is_one_hub_a_failure_domain(self) -> None:
-        """Guards against two that join the same news, and none after a start."""
+    def test_each_failure_domain_has_one_hub(self) -> None:
+        """Guards against two hubs that merge the same states, and none after a start."""
         hubs: list[list[str]] = []
 
         async def script() -> None:
@@ -91,14 +91,14 @@
 
 
 class TestMessages:
-    @pytest.mark.parametrize('near', [12, 33])
-    def test_a_daemon_sends_as_little_however_many_there_are(self, near: int) -> None:
-        """Guards against messages that grow with the failure domain."""
+    @pytest.mark.parametrize('daemons_per_domain', [12, 33])
+    def test_message_rate_of_a_daemon_is_bounded(self, daemons_per_domain: int) -> None:
+        """Guards against a message rate that grows with the failure domain."""
         sent: Counter[str] = Counter()
         hubs: list[str] = []
 
         async def script() -> None:
-            scene = Daemons(4, gent=near, aalst=near)
+            scene = Daemons(4, gent=daemons_per_domain, aalst=daemons_per_domain)
             await scene.start_all()
             hubs.extend([*scene.find_hubs('gent'), *scene.find_hubs('aalst')])
 
@@ -111,4 +111,4 @@
 
         play(script())
         others = [count for name, count in sent.items() if name not in hubs]
-        assert max(others) <= MOST_SENT * SECONDS
+        assert max(others) <= MAX_SENT * SECONDS
--- a/libs/serving/tests/test_registrations.py
+++ b/libs/serving/tests/test_registrations.py
@@ -1,4 +1,4 @@
-"""Tests of what daemons write of themselves into the store."""
+"""Tests of the registrations that daemons write into the store."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 from fireflyhitch_serving.registrations import (
     DAEMONS_PREFIX,
     GONE_SECONDS,
-    MOST_GONE_SECONDS,
+    MAJORITY_GONE_SECONDS,
     Registration,
     RegistrationKeeper,
-    read_registration,
+    decode_registration,
 )
 from fireflyhitch_serving.store_health import StoreHealth
 
@@ -24,23 +24,23 @@
 
 
 class TestRegistration:
-    def test_it_is_read_as_it_was_written(self) -> None:
-        assert read_registration(OWN.render()) == OWN
+    def test_encoding_round_trip(self) -> None:
+        assert decode_registration(OWN.encode()) == OWN
 
-    def test_one_without_a_link_is_read(self) -> None:
-        # While instances are replaced one by one, older versions are listed as well.
-        told = read_registration(b'10.1.0.14:7600 gent')
-        assert told.address == OWN.address
-        assert not told.link_mbps
+    def test_registration_without_a_link_is_decoded(self) -> None:
+        # During a rolling replacement of instances, older versions are listed as well.
+        registration = decode_registration(b'10.1.0.14:7600 gent')
+        assert registration.address == OWN.address
+        assert not registration.link_mbps
 
     @pytest.mark.parametrize('value', [b'', b'10.1.0.14 gent', b'a:b gent', b'\xff'])
-    def test_what_is_none_is_said(self, value: bytes) -> None:
+    def test_invalid_registration_is_rejected(self, value: bytes) -> None:
         with pytest.raises(ValueError):
-            read_registration(value)
+            decode_registration(value)
 
 
-def make_keeper(store: VirtualStore) -> RegistrationKeeper:
-    """Return the keeper of a daemon that has just started."""
+def make_manager(store: VirtualStore) -> RegistrationKeeper:
+    """Return the manager of a daemon that has just started."""
     clock = LoopClock()
     return RegistrationKeeper(
         StoreClient(store, 'front-1'),
@@ -52,68 +52,68 @@
     )
 
 
-async def keep(keeper: RegistrationKeeper, seconds: float) -> None:
-    """Let a keeper run for some seconds."""
-    running = asyncio.create_task(keeper.run())
+async def run_manager(manager: RegistrationKeeper, seconds: float) -> None:
+    """Run a manager for some seconds."""
+    running = asyncio.create_task(manager.run())
     await asyncio.sleep(seconds)
     running.cancel()
 
 
-class TestKeeper:
-    def test_a_process_that_starts_again_writes_nothing(self) -> None:
-        """Guards against a call of each daemon when all start again at once."""
+class TestManager:
+    def test_restarted_process_makes_no_call(self) -> None:
+        """Guards against a call by each daemon when all restart at once."""
 
         async def script() -> None:
             store = VirtualStore()
-            written = store.put(f'{DAEMONS_PREFIX}front-1', OWN.render())
-            keeper = make_keeper(store)
-            keeper.take('front-1', OWN.render(), written)
-            keeper.note_listed()
-            await keep(keeper, 3)
-            assert keeper.is_listed
-            assert keeper.knows_peers()
+            written = store.put(f'{DAEMONS_PREFIX}front-1', OWN.encode())
+            manager = make_manager(store)
+            manager.take('front-1', OWN.encode(), written)
+            manager.note_listed()
+            await run_manager(manager, 3)
+            assert manager.is_listed
+            assert manager.knows_peers()
             assert not store.calls
 
         play(script())
 
     @pytest.mark.parametrize('known', [ABSENT, Revision(1)])
-    def test_what_stood_there_before_is_replaced(self, known: Revision) -> None:
+    def test_old_registration_is_replaced(self, known: Revision) -> None:
         """Guards against peers that send to the address of an instance that is gone."""
 
         async def script() -> None:
             store = VirtualStore()
             store.put(f'{DAEMONS_PREFIX}front-1', b'10.1.0.9:7600 gent 10')
-            keeper = make_keeper(store)
+            manager = make_manager(store)
             if known:
-                keeper.take('front-1', b'10.1.0.9:7600 gent 10', known)
-            keeper.note_listed()
-            await keep(keeper, 3)
+                manager.take('front-1', b'10.1.0.9:7600 gent 10', known)
+            manager.note_listed()
+            await run_manager(manager, 3)
             listed = store.read(DAEMONS_PREFIX, 3).items
-            assert [item.value for item in listed] == [OWN.render()]
+            assert [item.value for item in listed] == [OWN.encode()]
 
         play(script())
 
-    def test_one_that_was_deleted_is_written_again(self) -> None:
-        """Guards against a daemon that was frozen for long and that nobody finds."""
+    def test_deleted_registration_is_written_again(self) -> None:
+        """Guards against a daemon that was frozen for long and stays unregistered."""
 
         async def script() -> None:
             store = VirtualStore()
-            keeper = make_keeper(store)
-            keeper.note_listed()
-            await keep(keeper, 1)
+            manager = make_manager(store)
+            manager.note_listed()
+            await run_manager(manager, 1)
             deleted = store.put(f'{DAEMONS_PREFIX}front-1', None)
-            keeper.take('front-1', None, deleted)
-            await keep(keeper, 1)
+            manager.take('front-1', None, deleted)
+            await run_manager(manager, 1)
             assert store.read(DAEMONS_PREFIX, 2).items
 
         play(script())
 
 
 class TestSweeper:
-    def test_daemons_that_have_ended_are_deleted_and_those_that_live_are_not(
+    def test_only_stopped_daemons_are_deleted(
         self,
     ) -> None:
-        """Guards against limits parted among daemons that have ended for good."""
+        """Guards against limits shared among daemons that have stopped for good."""
 
         async def script() -> None:
             scene = Daemons(1, gent=5, aalst=5)
@@ -125,21 +125,21 @@
 
         play(script())
 
-    def test_most_daemons_that_have_ended_for_good_are_deleted_later(self) -> None:
-        """Guards against limits parted for good with daemons that are not there."""
+    def test_majority_that_stopped_is_deleted_later(self) -> None:
+        """Guards against limits shared for good with daemons that no longer exist."""
 
         async def script() -> None:
             scene = Daemons(1, gent=3, aalst=3)
             await scene.start_all()
             for name in ('gent-1', 'gent-2', 'aalst-1', 'aalst-2'):
                 scene.kill(name)
-            await asyncio.sleep(MOST_GONE_SECONDS + 6)
+            await asyncio.sleep(MAJORITY_GONE_SECONDS + 6)
             assert scene.find_listed() == set(scene.daemons)
 
         play(script())
 
-    def test_a_leader_that_hears_hardly_anybody_deletes_nobody(self) -> None:
-        """Guards against a cut-off leader whose side takes the others' limits."""
+    def test_cut_off_leader_deletes_nothing(self) -> None:
+        """Guards against a cut-off leader whose side takes over the others' limits."""
 
         async def script() -> None:
             scene = Daemons(1, gent=5, aalst=5)
--- a/libs/serving/tests/test_relays.py
+++ b/libs/serving/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Tests of changes that daemons pass on to each other."""
+"""Tests of changes that daemons broadcast to each other."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,26 +9,26 @@
     Change,
     ChangeMessage,
     ChangeSpan,
-    part_span,
+    encode_changes,
     read_changes,
-    render_changes,
+    split_span,
 )
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.peer_news import PeerNews
 from fireflyhitch_serving.peers import PeerBook
 from fireflyhitch_serving.relays import ChangeRelay
 
-HERE = FailureDomainId('gent')
-THERE = FailureDomainId('aalst')
+LOCAL = FailureDomainId('gent')
+REMOTE = FailureDomainId('aalst')
 LEAVING = Change('servers/i-1', b'{"state":"draining"}', Revision(9))
 SPAN = ChangeSpan('servers/', [LEAVING], Revision(5), Revision(9))
 PEER = 'gent-2/a1'
 
 
-def tell(
+def make_state(
     daemon: str, domain: FailureDomainId, *, hears_store: bool, sequence: int = 1
 ) -> PeerNews:
-    """Return a daemon's news."""
+    """Return a daemon's state."""
     return PeerNews(
         daemon=daemon,
         process=f'{daemon}/a1',
@@ -46,21 +46,21 @@
 
 
 class Watcher:
-    """A daemon that watches, with peers that it hears."""
+    """A daemon that watches, with responsive peers."""
 
     def __init__(self, *peers: PeerNews) -> None:
-        self.told: dict[str, list[Change]] = {}
+        self.broadcast_to: dict[str, list[Change]] = {}
         self.clock = ManualClock()
-        self.book = PeerBook('gent-1', HERE, self.clock, float)
-        for number, news in enumerate(peers):
-            self.book.register(news.daemon, Address('127.0.0.1', 1 + number))
-            self.book.take(news)
+        self.registry = PeerBook('gent-1', LOCAL, self.clock, float)
+        for number, state in enumerate(peers):
+            self.registry.register(state.daemon, Address('127.0.0.1', 1 + number))
+            self.registry.receive(state)
         self.relay = ChangeRelay(
-            self.book, 'gent-1', 'gent-1/a1', self.clock, self._send, lambda: True
+            self.registry, 'gent-1', 'gent-1/a1', self.clock, self._send, lambda: True
         )
 
-    def play(self, script: Callable[[], None]) -> None:
-        """Do something, and let what follows from it be sent."""
+    def run_script(self, script: Callable[[], None]) -> None:
+        """Run a script, and wait until its datagrams are sent."""
 
         async def run() -> None:
             script()
@@ -72,73 +72,75 @@
         message = read_changes(data)
         assert message is not None
         for daemon in daemons:
-            self.told.setdefault(daemon, []).extend(message.span.changes)
+            self.broadcast_to.setdefault(daemon, []).extend(message.span.changes)
 
 
 class TestDaemonsWithoutTheStore:
-    """The callers of one daemon get 502 for requests that ran at nobody's.
+    """The store refuses one daemon and serves the others while a server leaves.
 
-    The store turns that daemon away and serves the others. A server leaves; all but
-    that daemon learn of it, which goes on sending there until the server is gone.
+    Without broadcasts that daemon keeps sending to the server until it is gone, and its
+    callers get 502 for requests that ran nowhere.
     """
 
-    def test_they_get_changes_from_those_who_hear_it(self) -> None:
-        watcher = Watcher(tell('aalst-1', THERE, hears_store=False))
-        watcher.play(lambda: watcher.relay.pass_on(SPAN))
-        assert watcher.told == {'aalst-1': [LEAVING]}
+    def test_they_receive_broadcast_changes(self) -> None:
+        watcher = Watcher(make_state('aalst-1', REMOTE, hears_store=False))
+        watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
+        assert watcher.broadcast_to == {'aalst-1': [LEAVING]}
 
-    def test_they_get_what_came_before_anybody_knew(self) -> None:
-        watcher = Watcher(tell('aalst-1', THERE, hears_store=True))
-        watcher.play(lambda: watcher.relay.pass_on(SPAN))
-        assert not watcher.told
-        without = tell('aalst-1', THERE, hears_store=False, sequence=2)
-        watcher.book.take(without)
-        watcher.play(watcher.relay.note_group)
-        assert watcher.told == {'aalst-1': [LEAVING]}
+    def test_they_receive_changes_from_before_their_loss_was_reported(self) -> None:
+        watcher = Watcher(make_state('aalst-1', REMOTE, hears_store=True))
+        watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
+        assert not watcher.broadcast_to
+        unreachable = make_state('aalst-1', REMOTE, hears_store=False, sequence=2)
+        watcher.registry.receive(unreachable)
+        watcher.run_script(watcher.relay.note_group)
+        assert watcher.broadcast_to == {'aalst-1': [LEAVING]}
 
-    def test_those_who_hear_it_watch_themselves(self) -> None:
-        watcher = Watcher(tell('gent-2', HERE, hears_store=True))
-        watcher.play(lambda: watcher.relay.pass_on(SPAN))
-        assert not watcher.told
+    def test_watchers_with_store_access_receive_nothing(self) -> None:
+        watcher = Watcher(make_state('gent-2', LOCAL, hears_store=True))
+        watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
+        assert not watcher.broadcast_to
 
 
 class TestMessages:
-    def test_a_message_is_read_as_it_was_written(self) -> None:
+    def test_encoding_round_trip(self) -> None:
         changes = [LEAVING, Change('a', None, Revision(8))]
         message = ChangeMessage(
             PEER, ChangeSpan('servers/', changes, Revision(5), Revision(9))
         )
-        assert read_changes(render_changes(message)) == message
+        assert read_changes(encode_changes(message)) == message
 
-    def test_parts_of_a_span_do_not_pass_for_the_whole(self) -> None:
-        """Guards against a lost part of many changes that nobody misses."""
+    def test_parts_of_a_span_do_not_claim_completeness(self) -> None:
+        """Guards against losing one part of many changes without noticing."""
         span = ChangeSpan(
             'servers/', [LEAVING for _ in range(5)], Revision(5), Revision(9)
         )
-        assert part_span(span, 5) == [span]
-        parts = part_span(span, 2)
+        assert split_span(span, 5) == [span]
+        parts = split_span(span, 2)
         assert [len(part.changes) for part in parts] == [2, 2, 1]
         assert all(part.after == part.upto for part in parts)
 
 
 class TestUnequalInstances:
-    """The callers of one instance wait longer for each first token than all others.
+    """The slowest instance by link is first by hash, and relays for its failure domain.
 
-    Its link carries a twentieth of what others' do, and it was first by hash: it relays
-    for its failure domain, and its callers' answers wait behind the messages.
+    Its link carries a twentieth of the others' rate, so its callers' answers queue
+    behind the messages, and each first token comes later than elsewhere.
     """
 
-    def test_duties_go_to_instances_whose_links_carry_them(self) -> None:
+    def test_instances_with_fast_links_rank_first(self) -> None:
         watcher = Watcher()
         names = [f'gent-{number}' for number in range(1, 16)]
         for name in names:
-            watcher.book.note_link(name, 200 if name in {'gent-4', 'gent-9'} else 10)
+            watcher.registry.note_link(
+                name, 200 if name in {'gent-4', 'gent-9'} else 10
+            )
         for duty in ('relay', 'watch', 'help'):
-            ranked = watcher.book.rank(duty, names)
+            ranked = watcher.registry.rank(duty, names)
             assert set(ranked[:2]) == {'gent-4', 'gent-9'}
             assert sorted(ranked) == sorted(names)
 
-    def test_without_able_instances_the_others_do_them(self) -> None:
+    def test_slow_links_are_ranked_if_there_are_no_others(self) -> None:
         watcher = Watcher()
         names = ['gent-1', 'gent-2', 'gent-3']
-        assert sorted(watcher.book.rank('relay', names)) == names
+        assert sorted(watcher.registry.rank('relay', names)) == names
--- a/libs/serving/tests/test_store_calls.py
+++ b/libs/serving/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Tests of how many calls daemons make to the store, at any number of daemons."""
+"""Tests of the number of store calls, for different numbers of daemons."""
 
 import asyncio
 from collections import Counter
@@ -8,23 +8,23 @@
 from virtual_time import play
 
 SECONDS = 10
-# Watchers of two failure domains, or of all daemons where these are few.
-MOST_WATCHERS = 6
-# A watcher's cheap reads, and the leader's renewals besides.
-MOST_A_SECOND = 3.0
-# While the store is away, on the average of all daemons.
-AWAY_A_SECOND = 1.5
+# Watchers of two failure domains, or of all daemons if there are few.
+MAX_WATCHERS = 6
+# A watcher's stale reads, and the leader's renewals.
+MAX_CALLS_PER_SECOND = 3.0
+# During an outage, averaged over all daemons.
+OUTAGE_CALLS_PER_SECOND = 1.5
 
 
-def count_calls(near: int, *, away: bool) -> Counter[str]:
-    """Return the calls of ten seconds, by daemon, while nothing changes."""
+def count_calls(daemons_per_domain: int, *, outage: bool) -> Counter[str]:
+    """Return the calls of ten seconds without changes, by daemon."""
     counted: Counter[str] = Counter()
 
     async def script() -> None:
-        scene = Daemons(3, gent=near, aalst=near)
+        scene = Daemons(3, gent=daemons_per_domain, aalst=daemons_per_domain)
         await scene.start_all()
         await asyncio.sleep(3)
-        if away:
+        if outage:
             scene.store.silent_to.update(scene.daemons)
         before = scene.store.calls.copy()
         await asyncio.sleep(SECONDS)
@@ -35,15 +35,22 @@
 
 
 class TestCalls:
-    @pytest.mark.parametrize('near', [4, 12, 33])
-    def test_a_few_ask_and_all_others_ask_nothing(self, near: int) -> None:
+    @pytest.mark.parametrize('daemons_per_domain', [4, 12, 33])
+    def test_only_watchers_and_the_leader_call_the_store(
+        self, daemons_per_domain: int
+    ) -> None:
         """Guards against calls that grow with the number of daemons."""
-        counted = count_calls(near, away=False)
-        assert len(counted) <= MOST_WATCHERS + 1
-        assert max(counted.values()) <= MOST_A_SECOND * SECONDS
-
-    @pytest.mark.parametrize('near', [4, 12])
-    def test_a_store_that_is_away_is_asked_by_few_and_seldom(self, near: int) -> None:
-        """Guards against all daemons that call again and again until it is back."""
-        counted = count_calls(near, away=True)
-        assert sum(counted.values()) <= AWAY_A_SECOND * 2 * near * SECONDS
+        counted = count_calls(daemons_per_domain, outage=False)
+        assert len(counted) <= MAX_WATCHERS + 1
+        assert max(counted.values()) <= MAX_CALLS_PER_SECOND * SECONDS
+
+    @pytest.mark.parametrize('daemons_per_domain', [4, 12])
+    def test_call_rate_is_bounded_during_an_outage(
+        self, daemons_per_domain: int
+    ) -> None:
+        """Guards against all daemons calling repeatedly until the store returns."""
+        counted = count_calls(daemons_per_domain, outage=True)
+        assert (
+            sum(counted.values())
+            <= OUTAGE_CALLS_PER_SECOND * 2 * daemons_per_domain * SECONDS
+        )
