--- a/libs/serving/tests/test_summaries.py
+++ b/libs/serving/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""Tests of failure domains' summaries, with messages that are handed over directly."""
+"""Tests of failure domains' summaries, with messages delivered directly."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -16,11 +16,11 @@
 from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
 from fireflyhitch_serving.catalog import Customer, Quota
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.hubs import FIRST_SECONDS, TOLD, Hubs
+from fireflyhitch_serving.hubs import RECIPIENTS, START_DELAY_SECONDS, Hubs
 from fireflyhitch_serving.moves import MoveBook
 from fireflyhitch_serving.parts import FreshParts
 from fireflyhitch_serving.peer_news import Member, PeerNews
-from fireflyhitch_serving.peers import MOST_DIRECT, PeerBook
+from fireflyhitch_serving.peers import MAX_DIRECT_PEERS, PeerBook
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
 from fireflyhitch_serving.servers import InFlight, ServerBook, ServerEntry
 from fireflyhitch_serving.shared_state import SharedParts, SharedState
@@ -29,8 +29,8 @@
     SUSPECT_SECONDS,
     DomainSummary,
     SummaryBook,
-    read_summaries,
-    render_summaries,
+    decode_summaries,
+    encode_summaries,
 )
 from fireflyhitch_serving.summary_relay import RelayedBooks, SummaryRelay
 from fireflyhitch_serving.usage import UsageBook
@@ -40,12 +40,12 @@
 QUOTA = Quota(1000, 2000, in_tokens=True, plain_tokens=200)
 SERVER = BackendServerId('i-1')
 DOMAINS = tuple(FailureDomainId(name) for name in ('a', 'b', 'c', 'd'))
-NEAR_EACH = 6
-NOBODY: frozenset[str] = frozenset()
+DAEMONS_PER_DOMAIN = 6
+NO_DAEMONS: frozenset[str] = frozenset()
 
 
 def find_quota(customer: CustomerId) -> Quota:
-    """Return the one customer's quota."""
+    """Return the only customer's quota."""
     return QUOTA
 
 
@@ -67,7 +67,7 @@
 
 @dataclass(eq=False)
 class Daemon:
-    """One daemon's books and its relay."""
+    """One daemon's state and its relay."""
 
     name: str
     domain: FailureDomainId
@@ -75,7 +75,7 @@
     sent: list[tuple[bytes, list[str]]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Make the books; it has one request in flight at the server."""
+        """Create the components; the daemon has one request in flight at the server."""
         self.peers = PeerBook(self.name, self.domain, self.clock, float)
         self.quotas = Quotas(QuotaSlack(), find_quota=find_quota)
         self.book = SummaryBook(self.clock, self.quotas.forget_process)
@@ -104,7 +104,7 @@
             self.book,
             RelayedBooks(self.quotas, self.crashes, self.limits),
             self.clock.monotonic,
-            self.note_sent,
+            self.record_datagram,
             random.Random(1),  # noqa: S311
         )
 
@@ -127,22 +127,22 @@
             newest=dict,
         )
 
-    def note_sent(self, data: bytes, names: list[str]) -> None:
-        """Keep what it sends until it is delivered."""
+    def record_datagram(self, data: bytes, names: list[str]) -> None:
+        """Store a sent datagram until it is delivered."""
         self.sent.append((data, names))
 
     def make_news(self) -> PeerNews:
         """Return its state."""
-        self.peers.own_news = self.shared.make_news()
-        return self.peers.own_news
+        self.peers.own_state = self.shared.make_news()
+        return self.peers.own_state
 
-    def take_news(self, news: PeerNews) -> None:
-        """Take in a neighbour's state."""
-        if self.peers.take(news):
-            self.shared.take_news(news)
+    def take_news(self, state: PeerNews) -> None:
+        """Apply a same-domain daemon's state."""
+        if self.peers.receive(state):
+            self.shared.take_news(state)
 
     def count_work(self) -> InFlight:
-        """Return what it knows of all daemons' work at the server."""
+        """Return its count of all daemons' work at the server."""
         return self.servers.all()[SERVER].total(self.clock.monotonic())
 
 
@@ -154,75 +154,78 @@
         self.daemons = {
             f'{domain}{number}': Daemon(f'{domain}{number}', domain, self.clock)
             for domain in DOMAINS
-            for number in range(NEAR_EACH)
+            for number in range(DAEMONS_PER_DOMAIN)
         }
         for daemon in self.daemons.values():
             for other in self.daemons.values():
                 address = Address('127.0.0.1', 1)
                 daemon.peers.register(other.name, address, other.domain)
-        assert len(self.daemons) > MOST_DIRECT
-        self.clock.advance(timedelta(seconds=FIRST_SECONDS))
+        assert len(self.daemons) > MAX_DIRECT_PEERS
+        self.clock.advance(timedelta(seconds=START_DELAY_SECONDS))
 
-    def turn(self, without: frozenset[str] = NOBODY) -> None:
-        """Have all tell the hubs, and the hubs tell each other and all, once."""
-        living = [d for name, d in self.daemons.items() if name not in without]
-        for daemon in living:
-            news = daemon.make_news()
-            for told in daemon.hubs.find_told():
-                if told not in without:
-                    self.daemons[told].take_news(news)
+    def run_round(self, stopped: frozenset[str] = NO_DAEMONS) -> None:
+        """Send all states to the hubs, and the hubs' summaries to all, once."""
+        running = [d for name, d in self.daemons.items() if name not in stopped]
+        for daemon in running:
+            state = daemon.make_news()
+            for recipient in daemon.hubs.find_recipients():
+                if recipient not in stopped:
+                    self.daemons[recipient].take_news(state)
         for _ in range(2):
-            # What comes from another hub is passed on with the next turn.
-            for hub in living:
+            # Summaries from another hub are forwarded in the next round.
+            for hub in running:
                 if hub.relay.relays():
-                    hub.relay.tell()
-            self._deliver(without)
+                    hub.relay.broadcast()
+            self._deliver(stopped)
         self.clock.advance(timedelta(seconds=0.3))
 
-    def _deliver(self, without: frozenset[str]) -> None:
+    def _deliver(self, stopped: frozenset[str]) -> None:
         for daemon in self.daemons.values():
             sent = list(daemon.sent)
             daemon.sent.clear()
             for data, names in sent:
                 for name in names:
-                    if name not in without:
+                    if name not in stopped:
                         self.daemons[name].shared.take_summaries(data)
 
 
 class TestSums:
-    def test_each_daemon_knows_the_work_of_all_after_two_turns(self) -> None:
-        # A server's queue is what all daemons sent there. With 75 of them each told a
-        # far one only every 1.9 s, and a server took requests of all at once.
+    def test_each_daemon_knows_all_work_after_two_rounds(self) -> None:
+        # A server's queue holds requests of all daemons. With 75 daemons each sent its
+        # state to an other-domain daemon only every 1.9 s, and a server received
+        # requests of all at once.
         fleet = Fleet()
-        fleet.turn()
-        fleet.turn()
+        fleet.run_round()
+        fleet.run_round()
         for daemon in fleet.daemons.values():
-            far = daemon.book.live()
-            assert far.keys() == set(DOMAINS) - {daemon.domain}
-            for summary in far.values():
-                assert summary.work[SERVER] == InFlight(NEAR_EACH, 50 * NEAR_EACH)
-            requests = NEAR_EACH * len(DOMAINS)
+            remote_summaries = daemon.book.live()
+            assert remote_summaries.keys() == set(DOMAINS) - {daemon.domain}
+            for summary in remote_summaries.values():
+                assert summary.work[SERVER] == InFlight(
+                    DAEMONS_PER_DOMAIN, 50 * DAEMONS_PER_DOMAIN
+                )
+            requests = DAEMONS_PER_DOMAIN * len(DOMAINS)
             assert daemon.count_work() == InFlight(requests, 50 * requests)
 
-    def test_a_daemon_sends_little_however_many_there_are(self) -> None:
+    def test_number_of_recipients_is_bounded(self) -> None:
         fleet = Fleet()
-        fleet.turn()
+        fleet.run_round()
         relays = [d for d in fleet.daemons.values() if d.relay.relays()]
         assert len(relays) == len(DOMAINS)
-        relays[0].relay.tell()
+        relays[0].relay.broadcast()
         others, _ = relays[0].sent
         assert len(others[1]) <= 3 * (len(DOMAINS) - 1)
         for daemon in fleet.daemons.values():
-            assert len(daemon.hubs.find_told()) == TOLD
+            assert len(daemon.hubs.find_recipients()) == RECIPIENTS
 
-    def test_what_a_customer_took_anywhere_is_known_everywhere(self) -> None:
+    def test_units_taken_at_one_daemon_count_at_all(self) -> None:
         fleet = Fleet()
         for _ in range(3):
-            # While they do not know each other each keeps to a small part.
-            fleet.turn()
+            # Until they have discovered each other, each uses a small share.
+            fleet.run_round()
         takers = [fleet.daemons[name] for name in ('a0', 'b1', 'c2')]
         customer = Customer(BAKERY, QUOTA)
-        # The first units of each set the account; what follows is added up.
+        # The first units at each daemon are its baseline; later ones are added up.
         for units in (1, 400):
             for daemon in takers:
                 assert (
@@ -230,21 +233,21 @@
                     is None
                 )
             for _ in range(2):
-                fleet.turn()
+                fleet.run_round()
         for daemon in fleet.daemons.values():
-            note = daemon.quotas.domain_notes(daemon.clock.monotonic()).get(BAKERY)
-            left = note.left if note else 0
-            # 1,200 of 2,000 units were taken, and 0.6 s have filled it by 600.
+            report = daemon.quotas.domain_notes(daemon.clock.monotonic()).get(BAKERY)
+            left = report.left if report else 0
+            # 1,200 of 2,000 units were taken, and 0.6 s have refilled 600.
             assert left <= 2000 - 1200 + 600
 
 
 class TestLostRelays:
-    def test_another_daemon_relays_when_the_first_is_gone(self) -> None:
-        # A domain's relay is killed. Its neighbours miss its news, the next by hash
-        # goes on, and no work or units count twice.
+    def test_another_daemon_replaces_a_stopped_relay(self) -> None:
+        # A domain's relay is killed. The other daemons miss its messages, the next by hash
+        # takes over, and no work or units count twice.
         fleet = Fleet()
         for _ in range(3):
-            fleet.turn()
+            fleet.run_round()
         first = next(
             name
             for name, daemon in fleet.daemons.items()
@@ -252,40 +255,41 @@
         )
         gone = frozenset((first,))
         for _ in range(12):
-            fleet.turn(without=gone)
-        seen = fleet.daemons['b0'].book.live()[FailureDomainId('a')]
-        assert seen.relay != first
-        requests = NEAR_EACH * len(DOMAINS) - 1
+            fleet.run_round(stopped=gone)
+        latest = fleet.daemons['b0'].book.live()[FailureDomainId('a')]
+        assert latest.relay != first
+        requests = DAEMONS_PER_DOMAIN * len(DOMAINS) - 1
         for name, daemon in fleet.daemons.items():
             assert name in gone or daemon.count_work().requests == requests
-        assert seen.work[SERVER].requests == NEAR_EACH - 1
+        assert latest.work[SERVER].requests == DAEMONS_PER_DOMAIN - 1
 
-    def test_the_end_of_the_own_relay_is_no_cut_of_all_domains(self) -> None:
-        # No summary comes any more, and none of the own relay either: it has ended.
-        # Taking all other domains for cut off would load the own servers alone.
+    def test_loss_of_the_local_relay_is_not_a_loss_of_all_domains(self) -> None:
+        # No summaries arrive, and no messages of the local relay either: it has
+        # stopped. Treating all other domains as cut off would send all load to local
+        # servers.
         clock = ManualClock()
         book = SummaryBook(clock, lambda source: None)
         for domain in ('b', 'c'):
-            book.take(make_summary(domain, f'{domain}0', 1))
-        book.note_relayed()
+            book.receive(make_summary(domain, f'{domain}0', 1))
+        book.record_relay_message()
         clock.advance(timedelta(seconds=SUSPECT_SECONDS + 0.5))
         assert not book.find_silent_domains()
-        book.note_relayed()
+        book.record_relay_message()
         assert book.find_silent_domains() == {'b', 'c'}
 
-    def test_an_old_or_repeated_summary_changes_nothing(self) -> None:
+    def test_old_or_repeated_summary_is_ignored(self) -> None:
         book = SummaryBook(ManualClock(), lambda source: None)
-        assert book.take(make_summary('b', 'b0', 5))
-        assert not book.take(make_summary('b', 'b0', 5))
-        assert not book.take(make_summary('b', 'b0', 4))
+        assert book.receive(make_summary('b', 'b0', 5))
+        assert not book.receive(make_summary('b', 'b0', 5))
+        assert not book.receive(make_summary('b', 'b0', 4))
 
 
 class TestMessages:
-    def test_a_summary_is_read_as_it_was_written(self) -> None:
+    def test_encoding_round_trip(self) -> None:
         summary = replace(
             make_summary('b', 'b0', 5),
             work={SERVER: InFlight(3, 4)},
             members={'b0': Member(7)},
         )
-        assert read_summaries(render_summaries([summary])) == [summary]
-        assert read_summaries(b'\x01') is None
+        assert decode_summaries(encode_summaries([summary])) == [summary]
+        assert decode_summaries(b'\x01') is None
--- a/libs/serving/tests/test_traffic.py
+++ b/libs/serving/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of the counts of control traffic."""
+"""Tests of the control traffic counters."""
 
 from typing import Any
 
@@ -8,19 +8,19 @@
 
 
 class TestReport:
-    def test_a_report_tells_what_came_since_the_last(self) -> None:
-        told: list[dict[str, Any]] = []
-        sink = logger.add(lambda line: told.append(line.record['extra']))
+    def test_report_counts_since_the_last_one(self) -> None:
+        reports: list[dict[str, Any]] = []
+        sink = logger.add(lambda line: reports.append(line.record['extra']))
         traffic = ControlTraffic()
         for _ in range(2):
             traffic.note_call('renewal')
-        traffic.note_sent(100)
-        traffic.note_received(40)
+        traffic.count_sent(100)
+        traffic.count_received(40)
         traffic.report()
         traffic.report()
         logger.remove(sink)
-        assert told[0]['calls'] == {'renewal': 2}
-        assert (told[0]['sent'], told[0]['sent_bytes']) == (1, 100)
-        assert (told[0]['received'], told[0]['received_bytes']) == (1, 40)
-        assert told[1]['calls'] == {}
-        assert not told[1]['sent']
+        assert reports[0]['calls'] == {'renewal': 2}
+        assert (reports[0]['sent'], reports[0]['sent_bytes']) == (1, 100)
+        assert (reports[0]['received'], reports[0]['received_bytes']) == (1, 40)
+        assert reports[1]['calls'] == {}
+        assert not reports[1]['sent']
--- a/libs/serving/tests/virtual_store.py
+++ b/libs/serving/tests/virtual_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in virtual time, with the faults that it may have."""
+"""A simulated store in virtual time, with injectable faults."""
 
 import asyncio
 from collections import Counter
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class VirtualStore:
-    """Keys, their history, and whom the store answers.
+    """Keys, their history, and the daemons that the store answers.
 
     :param silent_to: daemons whose calls get no answer.
-    :param deaf: daemons whose waiting watches never get their answer.
-    :param stale_seconds: how old reads are that may be old.
-    :param calls: by daemon, those without an answer included.
+    :param deaf: daemons whose open watches never return changes.
+    :param stale_seconds: age of the snapshot that stale reads return.
+    :param calls: by daemon, unanswered ones included.
     """
 
     silent_to: set[str] = field(default_factory=set)
@@ -53,7 +53,7 @@
         return event.revision
 
     def read(self, prefix: str, until: float) -> Listing:
-        """Return what stood below a prefix at a time."""
+        """Return the keys below a prefix as of a time."""
         items: dict[str, KeyValue] = {}
         revision = Revision(0)
         for at, event in self.history:
@@ -120,7 +120,7 @@
     async def put(
         self, puts: Iterable[Put], deletes: Iterable[str] = ()
     ) -> WriteResult:
-        """Write if the keys are as expected."""
+        """Write if the keys are at the expected revisions."""
         await self._reach()
         now = asyncio.get_running_loop().time()
         for put in puts:
@@ -135,7 +135,7 @@
         return Written(self._store.revision)
 
     async def grant_lease(self, seconds: float) -> LeaseId:
-        """Make a lease; it is the daemon's as long as the play lasts."""
+        """Create a lease; it never expires."""
         await self._reach()
         self._store.leases += 1
         return LeaseId(self._store.leases)
@@ -146,7 +146,7 @@
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._reach()
 
     async def _reach(self) -> None:
--- a/libs/serving/tests/virtual_time.py
+++ b/libs/serving/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once, so that seconds of daemons play quickly."""
+"""An event loop in virtual time, so that tests run seconds of daemon time quickly."""
 
 import asyncio
 import selectors
@@ -9,16 +9,16 @@
 
 
 class _Selector(selectors.DefaultSelector):  # type: ignore[valid-type,misc]
-    """Waits by moving the loop's time on."""
+    """Advances the loop's time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Pass the time that nothing is due in."""
+        """Advance the time to the next timer."""
         if timeout is None:
-            raise RuntimeError('all tasks wait for something that never comes')
+            raise RuntimeError('all tasks wait for an event that never comes')
         self.now += max(0.0, timeout)
         return super().select(0)
 
@@ -39,7 +39,7 @@
     """The running loop's time as a clock."""
 
     def now(self) -> datetime:
-        """Return the wall time."""
+        """Return the wall clock."""
         return datetime.fromtimestamp(self.monotonic(), UTC)
 
     def monotonic(self) -> float:
@@ -52,6 +52,6 @@
 
 
 def play(script: Coroutine[Any, Any, None]) -> None:
-    """Run a script to its end in virtual time, and end what it started."""
+    """Run a coroutine to completion in virtual time, and cancel the tasks it started."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(script)
