--- a/libs/serving/fireflyhitch_serving/changes.py
+++ b/libs/serving/fireflyhitch_serving/changes.py
@@ -7,7 +7,7 @@
 
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.records import immutable
-from fireflyhitch_serving.peer_news import decode_rows, encode_rows
+from fireflyhitch_serving.peer_state import decode_rows, encode_rows
 
 CHANGES = 'changes'
 # Values are JSON with few distinct words; the fastest level removes most of the size.
@@ -58,7 +58,7 @@
     return encode_rows(CHANGES, [packed])
 
 
-def read_changes(data: bytes) -> ChangeMessage | None:
+def decode_changes(data: bytes) -> ChangeMessage | None:
     """Decode a datagram; return ``None`` for one of another kind."""
     packed = decode_rows(CHANGES, data, _unpack)
     if not packed:
--- a/libs/serving/fireflyhitch_serving/hubs.py
+++ b/libs/serving/fireflyhitch_serving/hubs.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.peers import GroupMember, PeerBook
+from fireflyhitch_serving.peers import GroupMember, PeerRegistry
 from fireflyhitch_serving.summaries import DomainSummary
 
 # The hub and its successor.
@@ -30,10 +30,10 @@
 MAX_SUMMARY_AGE_SECONDS = 1.5
 
 
-class Hubs:
+class HubTracker:
     """Tracks the hub of this daemon's failure domain."""
 
-    def __init__(self, peers: PeerBook, clock: Clock) -> None:
+    def __init__(self, peers: PeerRegistry, clock: Clock) -> None:
         """Create a tracker that has received no summary."""
         self._peers = peers
         self._clock = clock
--- a/libs/serving/fireflyhitch_serving/own_part.py
+++ b/libs/serving/fireflyhitch_serving/own_contribution.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 
 from fireflyhitch_model.ids import BackendServerId, CustomerId
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 from fireflyhitch_serving.summaries import DomainSummary
 
@@ -26,13 +26,13 @@
     def __init__(self, own: str) -> None:
         """Create the record of a daemon that has sent no state."""
         self._own = own
-        self._sent: OrderedDict[int, PeerNews] = OrderedDict()
+        self._sent: OrderedDict[int, PeerState] = OrderedDict()
         self._hub = ''
         # Units taken by each customer when the hub first heard from this daemon.
         self._baseline: dict[CustomerId, float] | None = None
         self._counted: dict[CustomerId, float] = {}
 
-    def remember(self, state: PeerNews) -> None:
+    def remember(self, state: PeerState) -> None:
         """Remember a state that is about to be sent."""
         self._sent[state.sequence] = state
         if len(self._sent) > MAX_REMEMBERED:
@@ -50,8 +50,8 @@
         )
 
     def _subtract_customers(
-        self, summary: DomainSummary, own: PeerNews | None
-    ) -> dict[CustomerId, CustomerNote]:
+        self, summary: DomainSummary, own: PeerState | None
+    ) -> dict[CustomerId, QuotaReport]:
         """Return the units that customers take and demand at the other daemons.
 
         Like the sum it is subtracted from, ``taken`` grows as long as the hub is the
@@ -59,7 +59,7 @@
         """
         own_customers = {} if own is None else own.customers
         return {
-            customer: CustomerNote(
+            customer: QuotaReport(
                 report.taken - self._counted.get(customer, 0),
                 max(report.demand - _read_demand(own_customers.get(customer)), 0),
                 report.left,
@@ -67,11 +67,11 @@
             for customer, report in summary.customers.items()
         }
 
-    def _find(self, summary: DomainSummary) -> PeerNews | None:
+    def _find(self, summary: DomainSummary) -> PeerState | None:
         member = summary.members.get(self._own)
         return None if member is None else self._sent.get(member.sequence)
 
-    def _update_counted(self, summary: DomainSummary, own: PeerNews | None) -> None:
+    def _update_counted(self, summary: DomainSummary, own: PeerState | None) -> None:
         """Record which of this daemon's units the hub has counted.
 
         Counting begins with the hub's first message from this daemon.
@@ -90,7 +90,7 @@
 
 
 def _subtract_work(
-    summary: DomainSummary, own: PeerNews | None
+    summary: DomainSummary, own: PeerState | None
 ) -> Mapping[BackendServerId, InFlight]:
     if own is None:
         return summary.work
@@ -101,12 +101,12 @@
 
 
 def _subtract_answers(
-    summary: DomainSummary, own: PeerNews | None
+    summary: DomainSummary, own: PeerState | None
 ) -> Mapping[BackendServerId, AnswerCounts]:
     if own is None:
         return summary.answers
     return {
-        server: counts.take_off(own.answers.get(server, AnswerCounts()))
+        server: counts.subtract(own.answers.get(server, AnswerCounts()))
         for server, counts in summary.answers.items()
     }
 
@@ -118,5 +118,5 @@
     )
 
 
-def _read_demand(report: CustomerNote | None) -> float:
+def _read_demand(report: QuotaReport | None) -> float:
     return 0 if report is None else report.demand
--- a/libs/serving/fireflyhitch_serving/peer_channel.py
+++ b/libs/serving/fireflyhitch_serving/peer_channel.py
@@ -15,16 +15,16 @@
 
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_news import PeerNews, decode_state, encode_state
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_state import PeerState, decode_state, encode_state
 from fireflyhitch_serving.peers import (
     HUB_INTERVAL_SECONDS,
     MAX_DATAGRAM_BYTES,
     MAX_REMOTE_PER_SECOND,
     SEND_SECONDS,
-    PeerBook,
+    PeerRegistry,
 )
-from fireflyhitch_serving.stalls import StallWatch
+from fireflyhitch_serving.stalls import StallDetector
 from fireflyhitch_serving.traffic import ControlTraffic
 
 # Within a failure domain all daemons send to each other; this bounds the messages that
@@ -41,7 +41,7 @@
 
 
 @immutable
-class NewsHandlers:
+class PeerHandlers:
     """Callbacks that build this daemon's state and receive messages.
 
     :param receive: called with each new state.
@@ -50,8 +50,8 @@
     :param find_leader: returns the name of the leading daemon.
     """
 
-    build_own: Callable[[], PeerNews]
-    receive: Callable[[PeerNews], None]
+    build_own: Callable[[], PeerState]
+    receive: Callable[[PeerState], None]
     receive_other: Callable[[bytes], bool]
     find_leader: Callable[[], str | None]
 
@@ -61,11 +61,11 @@
 
     def __init__(
         self,
-        peers: PeerBook,
-        hubs: Hubs,
-        handlers: NewsHandlers,
-        stalls: StallWatch,
-        draw: random.Random,
+        peers: PeerRegistry,
+        hubs: HubTracker,
+        handlers: PeerHandlers,
+        stalls: StallDetector,
+        rng: random.Random,
         traffic: ControlTraffic,
     ) -> None:
         """Create a channel; ``run`` sends until cancelled."""
@@ -73,7 +73,7 @@
         self._hubs = hubs
         self._handlers = handlers
         self._stalls = stalls
-        self._draw = draw
+        self._rng = rng
         self._traffic = traffic
         self._transport: asyncio.DatagramTransport | None = None
         self._remote_due = 0.0
@@ -86,7 +86,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Receive a message."""
         self._traffic.count_received(len(data))
-        if self._stalls.is_behind():
+        if self._stalls.is_discarding():
             return
         if self._handlers.receive_other(data):
             return
@@ -112,7 +112,7 @@
                 local, remote = self._peers.split_by_domain()
                 seconds = max(SEND_SECONDS, len(local) / MAX_LOCAL_PER_SECOND)
                 self.send([*local, *self._pick_remote(remote)])
-            await asyncio.sleep(seconds * self._draw.uniform(1 - JITTER, 1 + JITTER))
+            await asyncio.sleep(seconds * self._rng.uniform(1 - JITTER, 1 + JITTER))
 
     def _pick_recipients(self) -> list[Address]:
         """Return the hub and its successor, and at intervals the leader."""
--- a/libs/serving/fireflyhitch_serving/peer_news.py
+++ b/libs/serving/fireflyhitch_serving/peer_state.py
@@ -16,10 +16,10 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashNote
-from fireflyhitch_routing.server_limits import LimitNote
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_routing.crashes import CrashReport
+from fireflyhitch_routing.server_limits import LimitReport
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
 DECODE_ERRORS = (cbor2.CBORDecodeError, KeyError, TypeError, ValueError, AttributeError)
@@ -38,7 +38,7 @@
 
 
 @immutable
-class PeerNews:
+class PeerState:
     """A daemon's current state.
 
     :param daemon: its name, which a later process on the same instance shares.
@@ -65,20 +65,20 @@
     sequence: int
     wall: float
     work: Mapping[BackendServerId, InFlight]
-    customers: Mapping[CustomerId, CustomerNote]
+    customers: Mapping[CustomerId, QuotaReport]
     usage: Mapping[int, Mapping[CustomerId, int]]
     fresh_parts: Mapping[BackendServerId, list[str]]
     evidence: Mapping[str, list[int]]
     newest: Mapping[str, Revision]
     answers: Mapping[BackendServerId, AnswerCounts] = field(default_factory=dict)
-    crashes: Mapping[ContentId, CrashNote] = field(default_factory=dict)
-    limits: Mapping[ProcessId, LimitNote] = field(default_factory=dict)
+    crashes: Mapping[ContentId, CrashReport] = field(default_factory=dict)
+    limits: Mapping[ProcessId, LimitReport] = field(default_factory=dict)
     hears_store: bool = True
     store_settled: bool = True
     stopping: bool = False
 
 
-def encode_state(state: PeerNews) -> bytes:
+def encode_state(state: PeerState) -> bytes:
     """Return a datagram."""
     return cbor2.dumps(
         {field.name: getattr(state, field.name) for field in fields(state)},
@@ -88,14 +88,14 @@
 
 def encode_value(encoder: cbor2.CBOREncoder, value: object) -> None:
     """Encode message values of types unknown to CBOR; it encodes tuples itself."""
-    if isinstance(value, CustomerNote):
+    if isinstance(value, QuotaReport):
         encoder.encode((value.taken, value.demand, value.left))
 
 
-def decode_state(data: bytes) -> PeerNews | None:
+def decode_state(data: bytes) -> PeerState | None:
     """Decode a datagram; return ``None`` if it holds no state."""
     try:
-        return PeerNews(**decode_values(cbor2.loads(data)))
+        return PeerState(**decode_values(cbor2.loads(data)))
     except DECODE_ERRORS:
         return None
 
@@ -104,7 +104,7 @@
     """Return a message's fields with the values that ``encode_value`` wrote."""
     work = {key: InFlight(*counts) for key, counts in message['work'].items()}
     customers = {
-        key: CustomerNote(*units) for key, units in message['customers'].items()
+        key: QuotaReport(*units) for key, units in message['customers'].items()
     }
     answers = {key: AnswerCounts(*row) for key, row in message['answers'].items()}
     crashes = {key: _decode_crash(*row) for key, row in message['crashes'].items()}
@@ -114,13 +114,13 @@
         'customers': customers,
         'answers': answers,
         'crashes': crashes,
-        'limits': {key: LimitNote(*row) for key, row in message['limits'].items()},
+        'limits': {key: LimitReport(*row) for key, row in message['limits'].items()},
     }
 
 
-def _decode_crash(crash_rows: list[list[Any]], answered: float | None) -> CrashNote:
+def _decode_crash(crash_rows: list[list[Any]], answered: float | None) -> CrashReport:
     rows = [(process, float(age), float(ran)) for process, age, ran in crash_rows]
-    return CrashNote(rows, answered)
+    return CrashReport(rows, answered)
 
 
 def encode_rows(kind: str, rows: Sequence[object]) -> bytes:
--- a/libs/serving/fireflyhitch_serving/peers.py
+++ b/libs/serving/fireflyhitch_serving/peers.py
@@ -11,7 +11,7 @@
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peer_news import PeerNews
+from fireflyhitch_serving.peer_state import PeerState
 
 # Interval between messages, so the maximum age of a peer's state; engines take 0.2 s
 # for a long prompt.
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class _Received:
-    state: PeerNews
+    state: PeerState
     received_at: float
     wall_clock_offset: float
 
@@ -67,7 +67,7 @@
         return GroupMember(state.failure_domain, state.hears_store, state.stopping)
 
 
-class PeerBook:
+class PeerRegistry:
     """The last state of each daemon, and values derived from all of them."""
 
     def __init__(
@@ -86,7 +86,7 @@
         self._registered: dict[str, Address] = {}
         self._domains: dict[str, FailureDomainId] = {}
         self._links: dict[str, float] = {}
-        self.own_state: PeerNews | None = None
+        self.own_state: PeerState | None = None
         # Supplied by the hub tracker: the hub's members, and the wall clock of the hub.
         self.hub_members: Callable[[], Mapping[str, GroupMember]] = dict
         self.find_hub_wall_clock: Callable[[], float | None] = _find_no_hub_wall_clock
@@ -121,7 +121,7 @@
         if domain is not None:
             self._domains[daemon] = domain
 
-    def note_link(self, daemon: str, megabits: float) -> None:
+    def set_link_rate(self, daemon: str, megabits: float) -> None:
         """Set the rate of a daemon's link, in megabits per second."""
         self._links[daemon] = megabits
 
@@ -150,7 +150,7 @@
         """Add a sender that the last listing of the store lacks, to answer it."""
         self._registered.setdefault(daemon, address)
 
-    def receive(self, state: PeerNews) -> bool:
+    def receive(self, state: PeerState) -> bool:
         """Store a state; return whether it is new."""
         known = self._received.get(state.daemon)
         if known is not None and known.state.process == state.process:
@@ -181,7 +181,7 @@
                 groups.setdefault(self._domains[daemon], []).append(daemon)
         return groups
 
-    def responsive_local_states(self) -> dict[str, PeerNews]:
+    def responsive_local_states(self) -> dict[str, PeerState]:
         """Return the states of the responsive daemons in this failure domain."""
         return {
             daemon: state
@@ -197,10 +197,12 @@
         """Return the responsive daemons that share duties with this one."""
         return self._find_members(self._unresponsive_seconds())
 
-    def heard_lately(self) -> dict[str, GroupMember]:
+    def unsuspected_members(self) -> dict[str, GroupMember]:
         """Return those of them that have not missed several consecutive messages."""
         interval = (
-            HUB_INTERVAL_SECONDS if self.uses_summaries() else self.turn_seconds()
+            HUB_INTERVAL_SECONDS
+            if self.uses_summaries()
+            else self.propagation_seconds()
         )
         return self._find_members(max(SUSPECT_SECONDS, SUSPECT_INTERVALS * interval))
 
@@ -220,14 +222,16 @@
         }
         return {**self.hub_members(), **local}
 
-    def turn_seconds(self) -> float:
+    def propagation_seconds(self) -> float:
         """Return how long each daemon's state takes to reach all others."""
         if self.uses_summaries():
             return SUMMARY_PROPAGATION_SECONDS
         return max(SEND_SECONDS, len(self._registered) / MAX_REMOTE_PER_SECOND)
 
     def _unresponsive_seconds(self) -> float:
-        return max(UNRESPONSIVE_SECONDS, UNRESPONSIVE_INTERVALS * self.turn_seconds())
+        return max(
+            UNRESPONSIVE_SECONDS, UNRESPONSIVE_INTERVALS * self.propagation_seconds()
+        )
 
     def monotonic(self) -> float:
         """Return the time of the registry's clock."""
@@ -249,7 +253,7 @@
         """Return a daemon's address."""
         return self._registered.get(daemon)
 
-    def responsive_states(self) -> dict[str, PeerNews]:
+    def responsive_states(self) -> dict[str, PeerState]:
         """Return the states of the responsive daemons."""
         return {
             daemon: entry.state for daemon, entry in self._find_responsive().items()
@@ -264,7 +268,7 @@
             if now - entry.received_at <= max_age
         }
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains in which all listed daemons are unresponsive.
 
         A failure domain that is cut off shows here half a second after the cut, by
--- a/libs/serving/fireflyhitch_serving/relays.py
+++ b/libs/serving/fireflyhitch_serving/relays.py
@@ -12,14 +12,14 @@
 from loguru import logger
 
 from fireflyhitch_model.clock import Clock
-from fireflyhitch_serving.candidates import rank_able
 from fireflyhitch_serving.changes import (
     ChangeMessage,
     ChangeSpan,
     encode_changes,
     split_span,
 )
-from fireflyhitch_serving.peers import MAX_DATAGRAM_BYTES, PeerBook
+from fireflyhitch_serving.duty_ranking import rank_eligible
+from fireflyhitch_serving.peers import MAX_DATAGRAM_BYTES, PeerRegistry
 
 WATCHERS = 3
 # For each daemon that the store has turned away one more watches: replacing them one
@@ -48,19 +48,19 @@
 
     def __init__(
         self,
-        peers: PeerBook,
+        peers: PeerRegistry,
         own: str,
         process: str,
         clock: Clock,
         send: Callable[[bytes, list[str]], None],
-        knows_peers: Callable[[], bool],
+        has_discovered_peers: Callable[[], bool],
     ) -> None:
         """Create a relay with nothing to broadcast.
 
         :param own: this daemon's name.
         :param process: identifies this process alone.
         :param send: sends a datagram to daemons by name.
-        :param knows_peers: returns whether this daemon has had time to receive the
+        :param has_discovered_peers: returns whether this daemon has had time to receive the
             others' states.
         """
         self._peers = peers
@@ -68,7 +68,7 @@
         self._process = process
         self._clock = clock
         self._send = send
-        self._knows_peers = knows_peers
+        self._knows_peers = has_discovered_peers
         self._watchers: list[str] = []
         self._ranked_until = float('-inf')
         self._recent: deque[tuple[float, ChangeSpan]] = deque()
@@ -107,7 +107,7 @@
         group = self._peers.responsive_members().values()
         without_store = sum(not state.hears_store for state in group)
         max_watchers = min(WATCHERS + without_store, MAX_WATCHERS)
-        return rank_able(self._peers, 'watch')[:max_watchers]
+        return rank_eligible(self._peers, 'watch')[:max_watchers]
 
     def broadcast(self, span: ChangeSpan) -> None:
         """Send changes to the daemons that do not watch."""
@@ -142,7 +142,7 @@
         if self._peers.uses_summaries() and self._peers.is_remote(sender):
             self._send_span(message.span, list(self._peers.responsive_members()))
 
-    def help(self, relays: Collection[str]) -> None:
+    def assist_domains(self, relays: Collection[str]) -> None:
         """Send changes to groups in which no daemon can reach the store.
 
         :param relays: one daemon of each such group, which forwards the changes there.
@@ -156,7 +156,7 @@
         for _, span in self._recent if added else ():
             self._send_span(span, added)
 
-    def note_group(self) -> None:
+    def update_group(self) -> None:
         """Update which daemons of the group have lost the store, or reach it again."""
         without_store = set(self._find_without_store())
         lost = sorted(without_store - self._without_store)
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -17,31 +17,35 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.budgets import RepeatBudget
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.moves import MoveBook
-from fireflyhitch_serving.own_part import OwnContribution
-from fireflyhitch_serving.parts import FreshParts
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.peers import PeerBook
-from fireflyhitch_serving.quotas import Quotas, QuotaSlack, find_slack_part
-from fireflyhitch_serving.server_evidence import LEAST_TOLD, AnswerCounts, Answers
-from fireflyhitch_serving.servers import InFlight, ServerBook
+from fireflyhitch_serving.dependencies import RecentPromptParts
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.moves import MoveTracker
+from fireflyhitch_serving.own_contribution import OwnContribution
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.peers import PeerRegistry
+from fireflyhitch_serving.quotas import Quotas, QuotaSlack, find_slack_fraction
+from fireflyhitch_serving.retry_budget import RetryBudget
+from fireflyhitch_serving.server_statistics import (
+    MIN_REPORTED_ANSWERS,
+    AnswerCounts,
+    AnswersByServer,
+)
+from fireflyhitch_serving.servers import InFlight, ServerRegistry
 from fireflyhitch_serving.store_health import StoreHealth
 from fireflyhitch_serving.summaries import (
     DomainSummary,
-    SummaryBook,
+    SummaryTable,
     decode_summaries,
 )
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 
 ASSISTING_DOMAINS = 2
 
 
 @immutable
-class SharedParts:
+class SharedComponents:
     """The components whose state daemons share.
 
     :param stopping: returns whether this daemon is about to stop.
@@ -49,17 +53,17 @@
     """
 
     clock: Clock
-    peers: PeerBook
-    hubs: Hubs
-    summaries: SummaryBook
-    servers: ServerBook
+    peers: PeerRegistry
+    hubs: HubTracker
+    summaries: SummaryTable
+    servers: ServerRegistry
     quotas: Quotas
-    usage: UsageBook
-    budget: RepeatBudget
-    moves: MoveBook
-    crashes: CrashBook
+    usage: UsageTracker
+    budget: RetryBudget
+    moves: MoveTracker
+    crashes: CrashTracker
     limits: ServerLimits
-    fresh_parts: FreshParts
+    fresh_parts: RecentPromptParts
     health: StoreHealth
     stopping: Callable[[], bool]
     newest: Callable[[], Mapping[str, Revision]]
@@ -68,7 +72,7 @@
 class SharedState:
     """Builds this daemon's state, and merges the states of others."""
 
-    def __init__(self, daemon: str, process: str, parts: SharedParts) -> None:
+    def __init__(self, daemon: str, process: str, parts: SharedComponents) -> None:
         """Create the state of a daemon that has sent and received nothing."""
         self._daemon = daemon
         self._process = process
@@ -83,18 +87,18 @@
         parts.peers.find_hub_wall_clock = self._find_hub_wall_clock
         parts.health.is_settled_for_peers = self.is_store_settled_elsewhere
 
-    def tolerate(self, tolerance: QuotaSlack) -> None:
+    def set_quota_slack(self, tolerance: QuotaSlack) -> None:
         """Set how far the platform tolerates that customers exceed their limits."""
         self._tolerance = tolerance
         self._apply_slack()
 
-    def make_news(self) -> PeerNews:
+    def build_peer_state(self) -> PeerState:
         """Return this daemon's current state."""
         parts = self._parts
         self._update_daemon_count()
         now = parts.clock.monotonic()
         self._sequence += 1
-        state = PeerNews(
+        state = PeerState(
             daemon=self._daemon,
             process=self._process,
             failure_domain=parts.peers.own_domain,
@@ -105,8 +109,8 @@
                 for server_id, record in parts.servers.all().items()
                 if record.requests
             },
-            customers=parts.quotas.notes(now),
-            usage=parts.usage.own_counts(parts.peers.wall()),
+            customers=parts.quotas.build_reports(now),
+            usage=parts.usage.local_counts(parts.peers.wall()),
             fresh_parts=parts.fresh_parts.take(),
             evidence=parts.moves.evidence(),
             hears_store=parts.health.answers,
@@ -120,11 +124,11 @@
         self._own_contribution.remember(state)
         return state
 
-    def take_news(self, state: PeerNews) -> None:
+    def apply_peer_state(self, state: PeerState) -> None:
         """Apply another daemon's state."""
         parts = self._parts
-        parts.usage.take_in(state.process, state.usage)
-        parts.moves.take_evidence(state.process, state.evidence)
+        parts.usage.merge_counts(state.process, state.usage)
+        parts.moves.update_peer_evidence(state.process, state.evidence)
         now = parts.clock.monotonic()
         parts.crashes.take(state.crashes, now)
         parts.limits.take(state.limits, now)
@@ -135,9 +139,9 @@
         self._apply_work(state.daemon, state.work, state.fresh_parts)
         self._apply_answers(state.daemon, state.answers)
         for customer, report in state.customers.items():
-            parts.quotas.take_note(state.process, customer, report, now, near=near)
+            parts.quotas.apply_report(state.process, customer, report, now, near=near)
 
-    def take_summaries(self, data: bytes) -> bool:
+    def apply_summaries(self, data: bytes) -> bool:
         """Apply a datagram of summaries; return ``False`` for one of another kind."""
         summaries = decode_summaries(data)
         if summaries is None:
@@ -152,13 +156,13 @@
                 self._apply_summary(summary)
         return True
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here."""
         if self._parts.peers.uses_summaries():
-            return self._parts.summaries.find_silent_domains()
-        return self._parts.peers.find_silent_domains()
+            return self._parts.summaries.find_unresponsive_domains()
+        return self._parts.peers.find_unresponsive_domains()
 
-    def hears_all(self) -> bool:
+    def has_heard_from_all(self) -> bool:
         """Return whether all other daemons are responsive, by their own messages."""
         peers = self._parts.peers
         return len(peers.responsive_states()) >= peers.count_daemons() - 1
@@ -231,10 +235,10 @@
         self._apply_answers(summary.domain, summary.answers)
         now = parts.clock.monotonic()
         for customer, report in summary.customers.items():
-            parts.quotas.take_note(summary.source, customer, report, now)
+            parts.quotas.apply_report(summary.source, customer, report, now)
         for process, evidence in summary.evidence.items():
             if process != self._process:
-                parts.moves.take_evidence(process, evidence)
+                parts.moves.update_peer_evidence(process, evidence)
 
     def _update_state_source(self) -> None:
         """Update whether same-domain state comes from its daemons or from the hub.
@@ -270,48 +274,48 @@
         for server_id in (*ended, *work):
             record = servers.find(server_id)
             if record is not None:
-                record.note_peer(source, work.get(server_id, InFlight()), now)
+                record.update_peer(source, work.get(server_id, InFlight()), now)
         for reader_id, parts in fresh_parts.items():
             reader = servers.find(reader_id)
             if reader is not None:
-                reader.note_part_ids(parts, now)
+                reader.add_cached_part_ids(parts, now)
 
     def _collect_answers(self) -> dict[BackendServerId, AnswerCounts]:
         now = self._parts.clock.monotonic()
         local_answers = {
-            server_id: record.evidence.read_own(now)
+            server_id: record.evidence.read_local(now)
             for server_id, record in self._parts.servers.all().items()
-            if record.evidence.has_own
+            if record.evidence.has_local_answers
         }
         return {
             server_id: counts
             for server_id, counts in local_answers.items()
-            if counts.answers >= LEAST_TOLD
+            if counts.answers >= MIN_REPORTED_ANSWERS
         }
 
-    def _apply_answers(self, source: str, answers: Answers) -> None:
+    def _apply_answers(self, source: str, answers: AnswersByServer) -> None:
         now = self._parts.clock.monotonic()
         for server_id, counts in answers.items():
             record = self._parts.servers.find(server_id)
             if record is not None:
-                record.evidence.note_peer(source, counts, now)
+                record.evidence.update_peer(source, counts, now)
 
     def _update_daemon_count(self) -> None:
         self._update_state_source()
         peers = self._parts.peers
         daemons = peers.count_daemons()
         self._parts.budget.daemons = daemons
-        self._parts.quotas.share_with(
-            daemons, self._count_responsive(), peers.turn_seconds()
+        self._parts.quotas.update_daemon_counts(
+            daemons, self._count_responsive(), peers.propagation_seconds()
         )
         self._apply_slack()
 
     def _apply_slack(self) -> None:
-        used = find_slack_part(self._parts.peers.turn_seconds())
+        used = find_slack_fraction(self._parts.peers.propagation_seconds())
         self._parts.quotas.slack = QuotaSlack(
             self._tolerance.units * used,
             # The other half covers bursts that begin in one window and end in the next.
-            self._tolerance.part * used / 2,
+            self._tolerance.rate_fraction * used / 2,
             self._tolerance.window,
         )
 
--- a/libs/serving/fireflyhitch_serving/store_health.py
+++ b/libs/serving/fireflyhitch_serving/store_health.py
@@ -42,7 +42,7 @@
         """Add a callback for each return of the store after an outage."""
         self._on_return.append(callback)
 
-    def note_failure(self, error: PlatformError) -> None:
+    def record_failure(self, error: PlatformError) -> None:
         """Record a call that was refused or got no answer."""
         if self._failing_since is None:
             self._failing_since = self._clock.monotonic()
@@ -64,7 +64,7 @@
             for callback in self._on_return:
                 callback()
 
-    async def hear(self, call: Awaitable[Answer]) -> Answer:
+    async def track(self, call: Awaitable[Answer]) -> Answer:
         """Await a store call, and record that it was answered."""
         answer = await call
         self.record_success()
--- a/libs/serving/fireflyhitch_serving/beliefs.py
+++ b/libs/serving/fireflyhitch_serving/store_view.py
@@ -16,7 +16,7 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_platform.keyvalue import Listing, WatchCompacted
 from fireflyhitch_serving.changes import Change, ChangeSpan
-from fireflyhitch_serving.key_beliefs import ChangeCallback, KeyRevisions
+from fireflyhitch_serving.key_revisions import ChangeCallback, KeyRevisions
 from fireflyhitch_serving.progress import ViewProgress
 from fireflyhitch_serving.relays import ChangeRelay
 from fireflyhitch_serving.store import AsyncStore, WatchResult
@@ -53,7 +53,7 @@
 
 
 @immutable
-class BeliefEvents:
+class ViewCallbacks:
     """Callbacks of a view; they must return at once.
 
     :param changed: called with a key's new value; ``None`` if the key was removed.
@@ -67,7 +67,7 @@
 
 
 @immutable
-class PeerWord:
+class PeerReports:
     """What peers report about the store.
 
     :param find_newest: returns the newest change below a prefix that any peer has
@@ -92,10 +92,10 @@
         store: AsyncStore,
         health: StoreHealth,
         prefix: str,
-        events: BeliefEvents,
-        draw: random.Random,
+        events: ViewCallbacks,
+        rng: random.Random,
         progress: ViewProgress,
-        peers: PeerWord,
+        peers: PeerReports,
         relay: ChangeRelay | None = None,
     ) -> None:
         """Create an empty view.
@@ -113,7 +113,7 @@
         self._store = store
         self._health = health
         self._events = events
-        self._draw = draw
+        self._rng = rng
         self._watch_task: asyncio.Task[WatchResult] | None = None
         health.add_return_callback(self._cancel_watch)
 
@@ -134,11 +134,11 @@
                 ).info('listing anew')
                 continue
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 if self.current:
                     wait = INITIAL_RETRY_SECONDS
                 self.current = False
-            await asyncio.sleep(wait * self._draw.uniform(MIN_WAIT_FRACTION, 1))
+            await asyncio.sleep(wait * self._rng.uniform(MIN_WAIT_FRACTION, 1))
             wait = min(wait * 2, MAX_RETRY_SECONDS)
             await self._wait_for_store()
 
@@ -210,7 +210,7 @@
         logger.bind(
             prefix=self.prefix, told=reported, known=self._progress.complete
         ).info('catching up')
-        await asyncio.sleep(self._draw.uniform(0, CATCH_UP_JITTER_SECONDS))
+        await asyncio.sleep(self._rng.uniform(0, CATCH_UP_JITTER_SECONDS))
         await self.probe()
         if self._progress.complete < reported:
             await self._list(broadcasts=False)
@@ -312,7 +312,7 @@
         if self._watch_task is not None:
             self._watch_task.cancel()
 
-    def take_span(self, span: ChangeSpan, source: str) -> None:
+    def apply_span(self, span: ChangeSpan, source: str) -> None:
         """Apply changes broadcast by a peer.
 
         :param source: how they were received, for log lines.
--- a/libs/serving/fireflyhitch_serving/summaries.py
+++ b/libs/serving/fireflyhitch_serving/summaries.py
@@ -24,17 +24,17 @@
     Revision,
 )
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashNote
-from fireflyhitch_routing.server_limits import LimitNote
-from fireflyhitch_serving.peer_news import (
+from fireflyhitch_routing.crashes import CrashReport
+from fireflyhitch_routing.server_limits import LimitReport
+from fireflyhitch_serving.peer_state import (
     Member,
-    PeerNews,
+    PeerState,
     decode_rows,
     decode_values,
     encode_rows,
 )
-from fireflyhitch_serving.quotas import CustomerNote
-from fireflyhitch_serving.server_evidence import AnswerCounts
+from fireflyhitch_serving.quotas import QuotaReport
+from fireflyhitch_serving.server_statistics import AnswerCounts
 from fireflyhitch_serving.servers import InFlight
 
 SUMMARIES = 'summaries'
@@ -73,15 +73,15 @@
     sequence: int
     members: Mapping[str, Member]
     work: Mapping[BackendServerId, InFlight]
-    customers: Mapping[CustomerId, CustomerNote]
+    customers: Mapping[CustomerId, QuotaReport]
     fresh_parts: Mapping[BackendServerId, list[str]]
     evidence: Mapping[str, Mapping[str, list[int]]]
     newest: Mapping[str, Revision]
     store_settled: bool
     wall: float = 0
     answers: Mapping[BackendServerId, AnswerCounts] = field(default_factory=dict)
-    crashes: Mapping[ContentId, CrashNote] = field(default_factory=dict)
-    limits: Mapping[ProcessId, LimitNote] = field(default_factory=dict)
+    crashes: Mapping[ContentId, CrashReport] = field(default_factory=dict)
+    limits: Mapping[ProcessId, LimitReport] = field(default_factory=dict)
 
     @property
     def source(self) -> str:
@@ -108,7 +108,7 @@
     return DomainSummary(**{**decode_values(row), 'members': members})
 
 
-def sum_work(states: Sequence[PeerNews]) -> dict[BackendServerId, InFlight]:
+def sum_work(states: Sequence[PeerState]) -> dict[BackendServerId, InFlight]:
     """Return the daemons' total work in flight, by server."""
     total: dict[BackendServerId, InFlight] = {}
     for state in states:
@@ -121,7 +121,7 @@
     return total
 
 
-def merge_parts(states: Sequence[PeerNews]) -> dict[BackendServerId, list[str]]:
+def merge_parts(states: Sequence[PeerState]) -> dict[BackendServerId, list[str]]:
     """Return the prompt parts that servers began to read, without duplicates."""
     merged: dict[BackendServerId, dict[str, None]] = {}
     for state in states:
@@ -145,7 +145,7 @@
     received_at: float
 
 
-class SummaryBook:
+class SummaryTable:
     """The last summary of each other failure domain."""
 
     def __init__(self, clock: Clock, forget: Callable[[str], None]) -> None:
@@ -187,7 +187,7 @@
             if now - entry.received_at <= UNRESPONSIVE_SECONDS
         }
 
-    def find_silent_domains(self) -> frozenset[FailureDomainId]:
+    def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here.
 
         If all of them are silent, this domain's relay may have stopped; only while that
--- a/libs/serving/fireflyhitch_serving/summary_relay.py
+++ b/libs/serving/fireflyhitch_serving/summary_relay.py
@@ -8,16 +8,16 @@
 
 from fireflyhitch_model.ids import FailureDomainId
 from fireflyhitch_model.records import immutable
-from fireflyhitch_routing.crashes import CrashBook
+from fireflyhitch_routing.crashes import CrashTracker
 from fireflyhitch_routing.server_limits import ServerLimits
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_news import Member, PeerNews
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_state import Member, PeerState
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.quotas import Quotas
-from fireflyhitch_serving.server_evidence import add_answers
+from fireflyhitch_serving.server_statistics import sum_answers
 from fireflyhitch_serving.summaries import (
     DomainSummary,
-    SummaryBook,
+    SummaryTable,
     encode_summaries,
     merge_newest,
     merge_parts,
@@ -35,14 +35,14 @@
 
 
 @immutable
-class RelayedBooks:
+class RelayedTrackers:
     """Components whose reports the hub builds from its own records.
 
     All other parts of a summary are merged from the members' states.
     """
 
     quotas: Quotas
-    crashes: CrashBook
+    crashes: CrashTracker
     limits: ServerLimits
 
 
@@ -51,13 +51,13 @@
 
     def __init__(
         self,
-        peers: PeerBook,
-        hubs: Hubs,
-        summaries: SummaryBook,
-        trackers: RelayedBooks,
+        peers: PeerRegistry,
+        hubs: HubTracker,
+        summaries: SummaryTable,
+        trackers: RelayedTrackers,
         now: Callable[[], float],
         send: Send,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         """Create a relay that has sent nothing.
 
@@ -70,7 +70,7 @@
         self._trackers = trackers
         self._now = now
         self._send = send
-        self._draw = draw
+        self._rng = rng
         self._was_hub = False
         self._sequence = 0
         self._merged: dict[str, int] = {}
@@ -84,7 +84,7 @@
             if relays:
                 self.broadcast()
             await asyncio.sleep(
-                INTERVAL_SECONDS * self._draw.uniform(1 - JITTER, 1 + JITTER)
+                INTERVAL_SECONDS * self._rng.uniform(1 - JITTER, 1 + JITTER)
             )
 
     def _log_role(self, *, relays: bool) -> None:
@@ -149,7 +149,7 @@
                 for state in states
             },
             work=sum_work(states),
-            customers=self._trackers.quotas.domain_notes(self._now()),
+            customers=self._trackers.quotas.build_domain_reports(self._now()),
             fresh_parts=merge_parts(self._pick_unmerged(states)),
             evidence={
                 state.process: state.evidence for state in states if state.evidence
@@ -157,12 +157,12 @@
             newest=merge_newest(state.newest for state in states),
             store_settled=any(state.store_settled for state in states),
             wall=self._peers.wall(),
-            answers=add_answers(state.answers for state in states),
+            answers=sum_answers(state.answers for state in states),
             crashes=self._trackers.crashes.tell(self._now(), heard=True),
             limits=self._trackers.limits.tell(self._now(), heard=True),
         )
 
-    def _pick_unmerged(self, states: list[PeerNews]) -> list[PeerNews]:
+    def _pick_unmerged(self, states: list[PeerState]) -> list[PeerState]:
         """Return the states whose prompt parts are in no summary yet."""
         fresh = [
             state
--- a/libs/serving/fireflyhitch_serving/traffic.py
+++ b/libs/serving/fireflyhitch_serving/traffic.py
@@ -24,7 +24,7 @@
     received: int = 0
     received_bytes: int = 0
 
-    def note_call(self, kind: str) -> None:
+    def count_call(self, kind: str) -> None:
         """Count a call that is about to be made."""
         self.calls[kind] += 1
 
--- a/libs/serving/tests/asked_moments.py
+++ b/libs/serving/tests/simulated_arrivals.py
@@ -8,32 +8,32 @@
 class SimulatedFleet(Protocol):
     """Simulated daemons and engines."""
 
-    def end_until(self, now: float) -> None:
+    def complete_until(self, now: float) -> None:
         """Complete the requests that end by ``now``."""
 
-    def tell_all(self, now: float) -> None:
+    def exchange_state(self, now: float) -> None:
         """Send each daemon's state to the others."""
 
 
-def pass_moments(
+def simulate_arrivals(
     fleet: SimulatedFleet,
-    draw: random.Random,
+    rng: random.Random,
     *,
-    a_second: float,
-    news_seconds: float,
+    arrivals_per_second: float,
+    exchange_seconds: float,
     seconds: float,
 ) -> Iterator[float]:
     """Yield the arrival times of requests, with all events due by then processed.
 
-    :param a_second: requests per second.
-    :param news_seconds: interval between the daemons' state exchanges.
+    :param arrivals_per_second: requests per second.
+    :param exchange_seconds: interval between the daemons' state exchanges.
     """
     now = 0.0
     exchanged_at = 0.0
     while now < seconds:
-        now += draw.expovariate(a_second)
-        fleet.end_until(now)
-        if now - exchanged_at > news_seconds:
-            fleet.tell_all(now)
+        now += rng.expovariate(arrivals_per_second)
+        fleet.complete_until(now)
+        if now - exchanged_at > exchange_seconds:
+            fleet.exchange_state(now)
             exchanged_at = now
         yield now
--- a/libs/serving/tests/test_hubs.py
+++ b/libs/serving/tests/test_hubs.py
@@ -6,7 +6,7 @@
 
 import pytest
 from daemons_scene import Daemons
-from virtual_time import play
+from virtual_time import run_virtual
 
 # A daemon's messages per second: to two hubs, and to the leader.
 MAX_SENT = 14
@@ -32,8 +32,8 @@
 
 async def drop_messages(scene: Daemons) -> None:
     """Drop one message in ten from now on."""
-    draw = scene.draw
-    scene.net.loses = lambda sender, to, data: draw.random() < 0.1
+    rng = scene.rng
+    scene.net.should_drop = lambda sender, to, data: rng.random() < 0.1
 
 
 async def restart_hub(scene: Daemons) -> None:
@@ -72,7 +72,7 @@
             counted.update(scene.count_work())
             running.append(len(scene.daemons))
 
-        play(script())
+        run_virtual(script())
         assert set(counted) == set(running)
 
     def test_each_failure_domain_has_one_hub(self) -> None:
@@ -86,7 +86,7 @@
                 hubs.extend(scene.find_hubs(domain) for domain in ('gent', 'aalst'))
                 await asyncio.sleep(0.1)
 
-        play(script())
+        run_virtual(script())
         assert {len(found) for found in hubs} == {1}
 
 
@@ -106,9 +106,9 @@
                 sent[sender] += 1
                 return False
 
-            scene.net.loses = count
+            scene.net.should_drop = count
             await asyncio.sleep(SECONDS)
 
-        play(script())
+        run_virtual(script())
         others = [count for name, count in sent.items() if name not in hubs]
         assert max(others) <= MAX_SENT * SECONDS
--- a/libs/serving/tests/test_progress.py
+++ b/libs/serving/tests/test_progress.py
@@ -5,14 +5,14 @@
 from datetime import timedelta
 
 from virtual_store import StoreClient, VirtualStore
-from virtual_time import LoopClock, play
+from virtual_time import LoopClock, run_virtual
 
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import ABSENT, Revision
-from fireflyhitch_serving.beliefs import BeliefEvents, PeerWord, StoreView
 from fireflyhitch_serving.changes import Change, ChangeSpan
 from fireflyhitch_serving.progress import ARRIVAL_SECONDS, ViewProgress
 from fireflyhitch_serving.store_health import StoreHealth
+from fireflyhitch_serving.store_view import PeerReports, StoreView, ViewCallbacks
 
 LATER = timedelta(seconds=ARRIVAL_SECONDS + 0.01)
 
@@ -91,10 +91,10 @@
         StoreClient(store, 'gent-1'),
         StoreHealth(LoopClock()),
         prefix,
-        BeliefEvents(lambda key, value, revision: None, lambda: None),
+        ViewCallbacks(lambda key, value, revision: None, lambda: None),
         random.Random(1),  # noqa: S311
         ViewProgress(LoopClock()),
-        PeerWord(lambda _: reported),
+        PeerReports(lambda _: reported),
         relay,  # type: ignore[arg-type]
     )
 
@@ -104,7 +104,7 @@
         """Guards against an outdated configuration after a watch's answer was lost."""
 
         async def script() -> None:
-            store = VirtualStore(deaf={'gent-1'})
+            store = VirtualStore(stalled_watchers={'gent-1'})
             store.put('op/config', b'4')
             view = make_view(store, reported=Revision(2), prefix='op/')
             view_task = asyncio.create_task(view.run())
@@ -114,7 +114,7 @@
             view_task.cancel()
             assert view.newest == changed
 
-        play(script())
+        run_virtual(script())
 
 
 class TestRemovedKeys:
@@ -135,7 +135,7 @@
             view_task.cancel()
             assert view.newest == known
 
-        play(script())
+        run_virtual(script())
 
 
 class TestNewWatcher:
@@ -164,7 +164,7 @@
                 ChangeSpan('servers/', changes, Revision(2), gone)
             ]
 
-        play(script())
+        run_virtual(script())
 
     def test_changes_received_from_another_watcher_are_broadcast(self) -> None:
         """Guards against changes not sent to daemons that cannot reach the store."""
@@ -180,9 +180,9 @@
             leaving = store.put('servers/i-1', b'draining')
             change = Change('servers/i-1', b'draining', leaving)
             span = ChangeSpan('servers/', [change], listed, leaving)
-            view.take_span(span, 'peer gent-2/a1')
+            view.apply_span(span, 'peer gent-2/a1')
             await asyncio.sleep(0.1)
             view_task.cancel()
             assert relay.broadcasts == [span]
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_registrations.py
+++ b/libs/serving/tests/test_registrations.py
@@ -5,17 +5,17 @@
 import pytest
 from daemons_scene import Daemons
 from virtual_store import StoreClient, VirtualStore
-from virtual_time import LoopClock, play
+from virtual_time import LoopClock, run_virtual
 
 from fireflyhitch_model.ids import ABSENT, FailureDomainId, Revision
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.registrations import (
     DAEMONS_PREFIX,
     GONE_SECONDS,
     MAJORITY_GONE_SECONDS,
     Registration,
-    RegistrationKeeper,
+    RegistrationManager,
     decode_registration,
 )
 from fireflyhitch_serving.store_health import StoreHealth
@@ -39,12 +39,12 @@
             decode_registration(value)
 
 
-def make_manager(store: VirtualStore) -> RegistrationKeeper:
+def make_manager(store: VirtualStore) -> RegistrationManager:
     """Return the manager of a daemon that has just started."""
     clock = LoopClock()
-    return RegistrationKeeper(
+    return RegistrationManager(
         StoreClient(store, 'front-1'),
-        PeerBook('front-1', OWN.failure_domain, clock, clock.monotonic),
+        PeerRegistry('front-1', OWN.failure_domain, clock, clock.monotonic),
         'front-1',
         OWN,
         StoreHealth(clock),
@@ -52,7 +52,7 @@
     )
 
 
-async def run_manager(manager: RegistrationKeeper, seconds: float) -> None:
+async def run_manager(manager: RegistrationManager, seconds: float) -> None:
     """Run a manager for some seconds."""
     running = asyncio.create_task(manager.run())
     await asyncio.sleep(seconds)
@@ -71,10 +71,10 @@
             manager.note_listed()
             await run_manager(manager, 3)
             assert manager.is_listed
-            assert manager.knows_peers()
+            assert manager.has_discovered_peers()
             assert not store.calls
 
-        play(script())
+        run_virtual(script())
 
     @pytest.mark.parametrize('known', [ABSENT, Revision(1)])
     def test_old_registration_is_replaced(self, known: Revision) -> None:
@@ -91,7 +91,7 @@
             listed = store.read(DAEMONS_PREFIX, 3).items
             assert [item.value for item in listed] == [OWN.encode()]
 
-        play(script())
+        run_virtual(script())
 
     def test_deleted_registration_is_written_again(self) -> None:
         """Guards against a daemon that was frozen for long and stays unregistered."""
@@ -106,7 +106,7 @@
             await run_manager(manager, 1)
             assert store.read(DAEMONS_PREFIX, 2).items
 
-        play(script())
+        run_virtual(script())
 
 
 class TestSweeper:
@@ -123,7 +123,7 @@
             await asyncio.sleep(GONE_SECONDS + 3)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
 
     def test_majority_that_stopped_is_deleted_later(self) -> None:
         """Guards against limits shared for good with daemons that no longer exist."""
@@ -136,7 +136,7 @@
             await asyncio.sleep(MAJORITY_GONE_SECONDS + 6)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
 
     def test_cut_off_leader_deletes_nothing(self) -> None:
         """Guards against a cut-off leader whose side takes over the others' limits."""
@@ -144,8 +144,8 @@
         async def script() -> None:
             scene = Daemons(1, gent=5, aalst=5)
             await scene.start_all()
-            scene.net.loses = lambda sender, to, data: True
+            scene.net.should_drop = lambda sender, to, data: True
             await asyncio.sleep(GONE_SECONDS + 5)
             assert scene.find_listed() == set(scene.daemons)
 
-        play(script())
+        run_virtual(script())
--- a/libs/serving/tests/test_relays.py
+++ b/libs/serving/tests/test_relays.py
@@ -9,13 +9,13 @@
     Change,
     ChangeMessage,
     ChangeSpan,
+    decode_changes,
     encode_changes,
-    read_changes,
     split_span,
 )
 from fireflyhitch_serving.connections import Address
-from fireflyhitch_serving.peer_news import PeerNews
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.peer_state import PeerState
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.relays import ChangeRelay
 
 LOCAL = FailureDomainId('gent')
@@ -27,9 +27,9 @@
 
 def make_state(
     daemon: str, domain: FailureDomainId, *, hears_store: bool, sequence: int = 1
-) -> PeerNews:
+) -> PeerState:
     """Return a daemon's state."""
-    return PeerNews(
+    return PeerState(
         daemon=daemon,
         process=f'{daemon}/a1',
         failure_domain=domain,
@@ -48,10 +48,10 @@
 class Watcher:
     """A daemon that watches, with responsive peers."""
 
-    def __init__(self, *peers: PeerNews) -> None:
+    def __init__(self, *peers: PeerState) -> None:
         self.broadcast_to: dict[str, list[Change]] = {}
         self.clock = ManualClock()
-        self.registry = PeerBook('gent-1', LOCAL, self.clock, float)
+        self.registry = PeerRegistry('gent-1', LOCAL, self.clock, float)
         for number, state in enumerate(peers):
             self.registry.register(state.daemon, Address('127.0.0.1', 1 + number))
             self.registry.receive(state)
@@ -69,7 +69,7 @@
         asyncio.run(run())
 
     def _send(self, data: bytes, daemons: list[str]) -> None:
-        message = read_changes(data)
+        message = decode_changes(data)
         assert message is not None
         for daemon in daemons:
             self.broadcast_to.setdefault(daemon, []).extend(message.span.changes)
@@ -93,7 +93,7 @@
         assert not watcher.broadcast_to
         unreachable = make_state('aalst-1', REMOTE, hears_store=False, sequence=2)
         watcher.registry.receive(unreachable)
-        watcher.run_script(watcher.relay.note_group)
+        watcher.run_script(watcher.relay.update_group)
         assert watcher.broadcast_to == {'aalst-1': [LEAVING]}
 
     def test_watchers_with_store_access_receive_nothing(self) -> None:
@@ -108,7 +108,7 @@
         message = ChangeMessage(
             PEER, ChangeSpan('servers/', changes, Revision(5), Revision(9))
         )
-        assert read_changes(encode_changes(message)) == message
+        assert decode_changes(encode_changes(message)) == message
 
     def test_parts_of_a_span_do_not_claim_completeness(self) -> None:
         """Guards against losing one part of many changes without noticing."""
@@ -132,7 +132,7 @@
         watcher = Watcher()
         names = [f'gent-{number}' for number in range(1, 16)]
         for name in names:
-            watcher.registry.note_link(
+            watcher.registry.set_link_rate(
                 name, 200 if name in {'gent-4', 'gent-9'} else 10
             )
         for duty in ('relay', 'watch', 'help'):
--- a/libs/serving/tests/test_beliefs.py
+++ b/libs/serving/tests/test_store_view.py
@@ -12,10 +12,10 @@
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.states import Step
 from fireflyhitch_platform.keyvalue import KeyValue, Listing, WatchCompacted
-from fireflyhitch_serving.beliefs import BeliefEvents, PeerWord, StoreView
 from fireflyhitch_serving.changes import Change, ChangeSpan
 from fireflyhitch_serving.progress import ViewProgress
 from fireflyhitch_serving.store_health import RECENT_SECONDS, StoreHealth
+from fireflyhitch_serving.store_view import PeerReports, StoreView, ViewCallbacks
 
 SERVER = 'servers/i-1'
 
@@ -28,7 +28,7 @@
         self.clock = ManualClock()
         health = StoreHealth(self.clock)
         health.is_settled_for_peers = lambda: is_settled_for_peers
-        events = BeliefEvents(
+        events = ViewCallbacks(
             lambda key, value, revision: self.changes.append((key, value)),
             lambda: None,
         )
@@ -39,10 +39,10 @@
             events,
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
         )
         self.view.apply_change(Change(SERVER, b'{}', Revision(5)), 'watch')
-        health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
+        health.record_failure(PlatformError('cut', step=Step.STORE_WATCH))
         self.clock.advance(timedelta(seconds=10))
         health.record_success()
         self.clock.advance(timedelta(seconds=0.7))
@@ -120,10 +120,10 @@
             CompactedStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
-            BeliefEvents(lambda key, value, revision: None, lambda: None),
+            ViewCallbacks(lambda key, value, revision: None, lambda: None),
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
             relay,  # type: ignore[arg-type]
         )
         with suppress(asyncio.CancelledError):
@@ -145,15 +145,15 @@
             CompactedStore(),  # type: ignore[arg-type]
             StoreHealth(ManualClock()),
             'servers/',
-            BeliefEvents(
+            ViewCallbacks(
                 lambda key, *rest: logger.info('server changed'), lambda: None
             ),
             random.Random(1),  # noqa: S311
             ViewProgress(ManualClock()),
-            PeerWord(lambda prefix: ABSENT),
+            PeerReports(lambda prefix: ABSENT),
         )
         change = Change('servers/i-2', b'{}', Revision(1))
-        view.take_span(ChangeSpan('servers/', [change]), 'peer gent-2/a1')
+        view.apply_span(ChangeSpan('servers/', [change]), 'peer gent-2/a1')
         with suppress(asyncio.CancelledError):
             asyncio.run(view.run())
         logger.remove(number)
@@ -200,7 +200,7 @@
         health = StoreHealth(clock)
         health.record_success()
         clock.advance(timedelta(seconds=60))
-        health.note_failure(PlatformError('cut', step=Step.STORE_WATCH))
+        health.record_failure(PlatformError('cut', step=Step.STORE_WATCH))
         assert not health.is_stable()
         clock.advance(timedelta(seconds=4))
         health.record_success()
--- a/libs/serving/tests/test_traffic.py
+++ b/libs/serving/tests/test_traffic.py
@@ -13,7 +13,7 @@
         sink = logger.add(lambda line: reports.append(line.record['extra']))
         traffic = ControlTraffic()
         for _ in range(2):
-            traffic.note_call('renewal')
+            traffic.count_call('renewal')
         traffic.count_sent(100)
         traffic.count_received(40)
         traffic.report()
--- a/libs/serving/tests/virtual_time.py
+++ b/libs/serving/tests/virtual_time.py
@@ -51,7 +51,7 @@
         raise NotImplementedError
 
 
-def play(script: Coroutine[Any, Any, None]) -> None:
+def run_virtual(script: Coroutine[Any, Any, None]) -> None:
     """Run a coroutine to completion in virtual time, and cancel the tasks it started."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(script)
