--- a/libs/serving/tests/simulated_arrivals.py
+++ b/libs/serving/tests/simulated_arrivals.py
@@ -1,39 +1,39 @@
-"""The moments at which callers ask, between daemons' news of each other."""
+"""Simulated request arrivals, between which daemons exchange their states."""
 
 import random
 from collections.abc import Iterator
 from typing import Protocol
 
 
-class PlayedFleet(Protocol):
-    """Daemons and engines that a test plays."""
+class SimulatedFleet(Protocol):
+    """Simulated daemons and engines."""
 
     def complete_until(self, now: float) -> None:
-        """End the requests that are over by now."""
+        """Complete the requests that end by ``now``."""
 
     def exchange_state(self, now: float) -> None:
-        """Let each daemon hear of the others."""
+        """Send each daemon's state to the others."""
 
 
 def simulate_arrivals(
-    fleet: PlayedFleet,
+    fleet: SimulatedFleet,
     rng: random.Random,
     *,
     arrivals_per_second: float,
     exchange_seconds: float,
     seconds: float,
 ) -> Iterator[float]:
-    """Return the moments at which a request comes, with all that is over by then done.
+    """Yield the arrival times of requests, with all events due by then processed.
 
-    :param arrivals_per_second: requests.
-    :param exchange_seconds: between daemons' news.
+    :param arrivals_per_second: requests per second.
+    :param exchange_seconds: interval between the daemons' state exchanges.
     """
     now = 0.0
-    told_at = 0.0
+    exchanged_at = 0.0
     while now < seconds:
         now += rng.expovariate(arrivals_per_second)
         fleet.complete_until(now)
-        if now - told_at > exchange_seconds:
+        if now - exchanged_at > exchange_seconds:
             fleet.exchange_state(now)
-            told_at = now
+            exchanged_at = now
         yield now
