--- a/libs/serving/fireflyhitch_serving/relays.py
+++ b/libs/serving/fireflyhitch_serving/relays.py
@@ -157,7 +157,7 @@
             self._send_span(span, added)
 
     def update_group(self) -> None:
-        """Update which daemons of the group have lost the store, or reach it again."""
+        """Send recent changes to daemons of the group that have just lost the store."""
         without_store = set(self._find_without_store())
         lost = sorted(without_store - self._without_store)
         self._without_store = without_store
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -88,7 +88,7 @@
         parts.health.is_settled_for_peers = self.is_store_settled_elsewhere
 
     def set_quota_slack(self, tolerance: QuotaSlack) -> None:
-        """Set how far the platform tolerates that customers exceed their limits."""
+        """Set by how much the platform lets customers exceed their limits."""
         self._tolerance = tolerance
         self._apply_slack()
 
--- a/libs/serving/fireflyhitch_serving/store_view.py
+++ b/libs/serving/fireflyhitch_serving/store_view.py
@@ -1,7 +1,7 @@
 """Maintains this daemon's view of the store: lists all keys, then follows changes.
 
-A few daemons of each group watch the store and broadcast changes; the others read
-the store only for changes that peers report and they have missed.
+A few daemons of each group watch the store and broadcast changes; the others read the
+store only for changes that they have missed.
 """
 
 import asyncio
--- a/libs/serving/fireflyhitch_serving/summary_relay.py
+++ b/libs/serving/fireflyhitch_serving/summary_relay.py
@@ -79,23 +79,23 @@
     async def run(self) -> None:
         """Broadcast summaries until cancelled."""
         while True:
-            relays = self.relays()
-            self._log_role(relays=relays)
-            if relays:
+            is_relay = self.is_relay()
+            self._log_role(is_relay=is_relay)
+            if is_relay:
                 self.broadcast()
             await asyncio.sleep(
                 INTERVAL_SECONDS * self._rng.uniform(1 - JITTER, 1 + JITTER)
             )
 
-    def _log_role(self, *, relays: bool) -> None:
-        if relays == self._was_hub:
+    def _log_role(self, *, is_relay: bool) -> None:
+        if is_relay == self._was_hub:
             return
-        self._was_hub = relays
+        self._was_hub = is_relay
         logger.bind(
             domain=self._peers.own_domain, near=len(self._peers.listed_local())
-        ).info('hub' if relays else 'no longer the hub')
+        ).info('hub' if is_relay else 'no longer the hub')
 
-    def relays(self) -> bool:
+    def is_relay(self) -> bool:
         """Return whether this daemon is its failure domain's relay."""
         return self._peers.uses_summaries() and self._hubs.is_hub()
 
--- a/libs/serving/tests/daemons_scene.py
+++ b/libs/serving/tests/daemons_scene.py
@@ -62,7 +62,7 @@
 
 
 class _Transport:
-    def __init__(self, net: 'Net', own: Address) -> None:
+    def __init__(self, net: 'SimulatedNetwork', own: Address) -> None:
         self._net = net
         self._own = own
 
@@ -71,7 +71,7 @@
         self._net.transmit(self._own, Address(*to), data)
 
 
-class Net:
+class SimulatedNetwork:
     """Links that drop the datagrams that a test selects."""
 
     def __init__(self) -> None:
@@ -97,8 +97,8 @@
 
 def make_servers() -> ServerRegistry:
     """Return a registry of one server with one of this daemon's requests in flight."""
-    book = ServerRegistry()
-    book.put(
+    registry = ServerRegistry()
+    registry.put(
         ServerEntry(
             BackendServerId('busy'),
             DeploymentId('bookings'),
@@ -109,9 +109,9 @@
             ready=True,
         )
     )
-    for record in book.all().values():
+    for record in registry.all().values():
         record.requests = 1
-    return book
+    return registry
 
 
 class Daemon:
@@ -121,7 +121,7 @@
         self,
         name: str,
         address: Address,
-        net: Net,
+        net: SimulatedNetwork,
         store: VirtualStore,
         rng: random.Random,
     ) -> None:
@@ -142,7 +142,7 @@
         self.limits = ServerLimits(name, self._peers.list_all, self._peers.wall)
         self.crashes = make_crash_tracking(self._clock, self._servers)
         self._summaries = SummaryTable(self._clock, lambda source: None)
-        self._shared = SharedState(name, self._process, self._make_parts())
+        self._shared = SharedState(name, self._process, self._make_components())
         self._channel = self._make_channel()
         self._channel.connection_made(_Transport(net, address))  # type: ignore[arg-type]
         net.names[address] = name
@@ -213,7 +213,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def _make_parts(self) -> SharedComponents:
+    def _make_components(self) -> SharedComponents:
         return SharedComponents(
             clock=self._clock,
             peers=self._peers,
@@ -331,7 +331,7 @@
 
     def __init__(self, seed: int, **counts: int) -> None:
         self.store = VirtualStore()
-        self.net = Net()
+        self.net = SimulatedNetwork()
         self.daemons: dict[str, Daemon] = {}
         self.rng = random.Random(seed)  # noqa: S311
         self._starts = 0
--- a/libs/serving/tests/test_summaries.py
+++ b/libs/serving/tests/test_summaries.py
@@ -78,7 +78,7 @@
         """Create the components; the daemon has one request in flight at the server."""
         self.peers = PeerRegistry(self.name, self.domain, self.clock, float)
         self.quotas = Quotas(QuotaSlack(), find_quota=find_quota)
-        self.book = SummaryTable(self.clock, self.quotas.forget_process)
+        self.summaries = SummaryTable(self.clock, self.quotas.forget_process)
         self.hubs = HubTracker(self.peers, self.clock)
         self.servers = ServerRegistry()
         self.servers.put(
@@ -97,23 +97,23 @@
         record.prompt_tokens = 50
         self.crashes = CrashTracker()
         self.limits = ServerLimits(self.name, self.peers.list_all, self.peers.wall)
-        self.shared = SharedState(self.name, f'{self.name}/1', self._make_parts())
+        self.shared = SharedState(self.name, f'{self.name}/1', self._make_components())
         self.relay = SummaryRelay(
             self.peers,
             self.hubs,
-            self.book,
+            self.summaries,
             RelayedTrackers(self.quotas, self.crashes, self.limits),
             self.clock.monotonic,
             self.record_datagram,
             random.Random(1),  # noqa: S311
         )
 
-    def _make_parts(self) -> SharedComponents:
+    def _make_components(self) -> SharedComponents:
         return SharedComponents(
             clock=self.clock,
             peers=self.peers,
             hubs=self.hubs,
-            summaries=self.book,
+            summaries=self.summaries,
             servers=self.servers,
             quotas=self.quotas,
             usage=UsageTracker(f'{self.name}/1', 5),
@@ -174,7 +174,7 @@
         for _ in range(2):
             # Summaries from another hub are forwarded in the next round.
             for hub in running:
-                if hub.relay.relays():
+                if hub.relay.is_relay():
                     hub.relay.broadcast()
             self._deliver(stopped)
         self.clock.advance(timedelta(seconds=0.3))
@@ -198,7 +198,7 @@
         fleet.run_round()
         fleet.run_round()
         for daemon in fleet.daemons.values():
-            remote_summaries = daemon.book.live()
+            remote_summaries = daemon.summaries.live()
             assert remote_summaries.keys() == set(DOMAINS) - {daemon.domain}
             for summary in remote_summaries.values():
                 assert summary.work[SERVER] == InFlight(
@@ -210,7 +210,7 @@
     def test_number_of_recipients_is_bounded(self) -> None:
         fleet = Fleet()
         fleet.run_round()
-        relays = [d for d in fleet.daemons.values() if d.relay.relays()]
+        relays = [d for d in fleet.daemons.values() if d.relay.is_relay()]
         assert len(relays) == len(DOMAINS)
         relays[0].relay.broadcast()
         others, _ = relays[0].sent
@@ -253,12 +253,12 @@
         first = next(
             name
             for name, daemon in fleet.daemons.items()
-            if daemon.domain == 'a' and daemon.relay.relays()
+            if daemon.domain == 'a' and daemon.relay.is_relay()
         )
         gone = frozenset((first,))
         for _ in range(12):
             fleet.run_round(stopped=gone)
-        latest = fleet.daemons['b0'].book.live()[FailureDomainId('a')]
+        latest = fleet.daemons['b0'].summaries.live()[FailureDomainId('a')]
         assert latest.relay != first
         requests = DAEMONS_PER_DOMAIN * len(DOMAINS) - 1
         for name, daemon in fleet.daemons.items():
@@ -270,20 +270,20 @@
         # stopped. Treating all other domains as cut off would send all load to local
         # servers.
         clock = ManualClock()
-        book = SummaryTable(clock, lambda source: None)
+        table = SummaryTable(clock, lambda source: None)
         for domain in ('b', 'c'):
-            book.receive(make_summary(domain, f'{domain}0', 1))
-        book.record_relay_message()
+            table.receive(make_summary(domain, f'{domain}0', 1))
+        table.record_relay_message()
         clock.advance(timedelta(seconds=SUSPECT_SECONDS + 0.5))
-        assert not book.find_unresponsive_domains()
-        book.record_relay_message()
-        assert book.find_unresponsive_domains() == {'b', 'c'}
+        assert not table.find_unresponsive_domains()
+        table.record_relay_message()
+        assert table.find_unresponsive_domains() == {'b', 'c'}
 
     def test_old_or_repeated_summary_is_ignored(self) -> None:
-        book = SummaryTable(ManualClock(), lambda source: None)
-        assert book.receive(make_summary('b', 'b0', 5))
-        assert not book.receive(make_summary('b', 'b0', 5))
-        assert not book.receive(make_summary('b', 'b0', 4))
+        table = SummaryTable(ManualClock(), lambda source: None)
+        assert table.receive(make_summary('b', 'b0', 5))
+        assert not table.receive(make_summary('b', 'b0', 5))
+        assert not table.receive(make_summary('b', 'b0', 4))
 
 
 class TestMessages:
