--- a/libs/serving/fireflyhitch_serving/demand.py
+++ b/libs/serving/fireflyhitch_serving/demand.py
@@ -1,30 +1,31 @@
-"""What customers ask of a daemon, as a rate."""
+"""Measures customers' demand on a daemon as a rate."""
 
 import math
 from dataclasses import dataclass
 
-# Demand is averaged over about this long: shorter than the window that limits are
-# counted in, longer than the gap between two messages of a peer.
+# Time constant of the average: shorter than the window in which limits are counted,
+# longer than the interval between two messages of a peer.
 DEMAND_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class DemandMeter:
-    """Units asked for a second, as an exponentially fading average.
+    """Units requested per second, as an exponentially decaying average.
 
-    Each unit counts as one in the end, however seldom a daemon is asked. With an average
-    that faded linearly, a request that came alone counted half: 75 daemons together
-    showed half of their customers' demand, and half of the servers were ordered.
+    Over time each unit counts once, however seldom a daemon gets requests. With an
+    average that decayed linearly, a request that came alone counted half: 75 daemons
+    together reported half of their customers' demand, and half of the servers were
+    ordered.
     """
 
     rate: float = 0
-    at: float = 0
+    updated_at: float = 0
 
     def add(self, units: float, now: float) -> None:
-        """Count units that were asked for."""
+        """Add units that were requested."""
         self.rate = self.read(now) + units / DEMAND_SECONDS
-        self.at = now
+        self.updated_at = now
 
     def read(self, now: float) -> float:
-        """Return units a second."""
-        return self.rate * math.exp((self.at - now) / DEMAND_SECONDS)
+        """Return the units requested per second."""
+        return self.rate * math.exp((self.updated_at - now) / DEMAND_SECONDS)
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -1,15 +1,15 @@
-"""Customers' limits, held as a sum over all daemons without a call for each request.
-
-Every daemon keeps the same account of each customer: it fills at the customer's rate,
-and what any daemon takes from it is told to the others some times a second. So a
-customer whose connections lie at few daemons gets its whole limit, and a prompt that
-is larger than any daemon's part of a burst is admitted. What daemons take at the same
-moment without knowing of each other is within what the platform tolerates: the longer
-news take, and the more a customer asks for, the less of its account is given away at
-once (``_find_chance``).
-
-Daemons that do not hear each other go on with the part of the limit that their number
-stands for, so the sum over all groups holds.
+"""Enforces customers' quotas across all daemons without a call per request.
+
+Every daemon keeps a replica of each customer's token bucket. The bucket fills at the
+customer's rate, and each daemon reports what it took to the others several times a
+second. So a customer connected to only a few daemons gets its whole quota, and a prompt
+larger than one daemon's share of the burst is admitted. Concurrent takes that have not
+been exchanged yet stay within the platform's tolerance: the longer propagation takes
+and the higher a customer's demand, the less of its bucket is granted at once
+(``_find_admission_probability``).
+
+Partitioned daemons each keep to the fraction of the quota that the reachable daemons
+represent, so the sum over all groups stays within the quota.
 """
 
 import math
@@ -24,33 +24,33 @@
 from fireflyhitch_serving.catalog import Customer, Quota
 from fireflyhitch_serving.demand import DEMAND_SECONDS, DemandMeter
 
-# Peers' processes remembered, those heard last; one that was forgotten counts as heard
-# for the first time. Several times the daemons there may be.
-MOST_PROCESSES = 4096
+# Peer processes with a recorded total, least recently used evicted first; an evicted
+# one is handled as new. Several times the maximum number of daemons.
+MAX_PROCESSES = 4096
 # The platform counts a limit over any window of some seconds, as rate x window + burst.
-# This part of the burst fills anew over the window instead of being there at once; the
-# sum in any window stays the same. Customers that ask a little more than their rate for
-# long are within their limit so, and are not refused (``TestLongDemand``).
-SUSTAINED_PART = 0.5
-# A process that was not heard for this long, or for so many turns of news, was cut off
-# or frozen; some messages lost in a row are not yet a cut.
+# This fraction of the burst accrues over the window instead of being available at once;
+# the sum in any window is the same. Customers slightly above their rate for a long time
+# are then within their limit and not refused (``TestSustainedDemand``).
+SUSTAINED_FRACTION = 0.5
+# A process without reports for this long, or for this many exchange rounds, was
+# partitioned or frozen; a few lost messages in a row are not a partition yet.
 GAP_SECONDS = 2.0
-GAP_TURNS = 3.0
-# Of what is tolerated above limits: with news within 0.1 s, less for each second that
-# they take, and at least. Five times a limit at 75 daemons, with news after 0.7 s,
-# stays within what is tolerated by these (``TestManyDaemons``).
-MOST_SLACK_PART = 0.75
+GAP_ROUNDS = 3.0
+# Fraction of the tolerance above limits that daemons use: the maximum, its reduction per
+# second of propagation, and the minimum. With these, five times a limit requested at 75
+# daemons with 0.7 s propagation stays within the tolerance (``TestManyDaemons``).
+MAX_SLACK_FRACTION = 0.75
 SLACK_PER_SECOND = 0.5
-LEAST_SLACK_PART = 0.3
+MIN_SLACK_FRACTION = 0.3
 
 
 @immutable
 class CustomerNote:
-    """What a process tells of a customer.
+    """One process's state of a customer's quota.
 
-    :param taken: units that it has taken since its start, less what came back.
-    :param demand: units a second that are asked of it.
-    :param left: units that it thinks are left for all daemons.
+    :param taken: units taken since its start, less those refunded.
+    :param demand: units requested of it per second.
+    :param left: units that it estimates are left for all daemons.
     """
 
     taken: float
@@ -61,45 +61,45 @@
 @immutable
 class _PeerDemand:
     rate: float
-    at: float
+    updated_at: float
     near: bool
 
 
 @immutable
-class _Told:
+class _ReportedTotal:
     taken: float
-    at: float
+    updated_at: float
 
 
 @dataclass(slots=True)
-class _Account:
+class _Bucket:
     left: float
-    at: float
+    updated_at: float
     quota: Quota | None = None
     taken: float = 0
-    relayed: float = 0
+    domain_peers_taken: float = 0
     demand: DemandMeter = field(default_factory=DemandMeter)
     peers: dict[str, _PeerDemand] = field(default_factory=dict)
 
-    def drop_silent(self, now: float) -> None:
-        """Forget what peers that are not heard any more were asked for."""
+    def drop_stale_peers(self, now: float) -> None:
+        """Remove peers whose last report is too old."""
         self.peers = {
             process: peer
             for process, peer in self.peers.items()
-            if now - peer.at < DEMAND_SECONDS
+            if now - peer.updated_at < DEMAND_SECONDS
         }
 
     def sum_demand(self, now: float, *, near: bool = False) -> float:
-        """Return units a second that are asked of all daemons.
+        """Return the units requested of all daemons per second.
 
-        :param near: only of those of the own failure domain.
+        :param near: count only daemons of the local failure domain.
         """
-        told = (
+        peer_rates = (
             peer.rate
             for peer in self.peers.values()
-            if now - peer.at < DEMAND_SECONDS and (peer.near or not near)
+            if now - peer.updated_at < DEMAND_SECONDS and (peer.near or not near)
         )
-        return self.demand.read(now) + sum(told)
+        return self.demand.read(now) + sum(peer_rates)
 
 
 @immutable
@@ -107,8 +107,8 @@
     """What the platform tolerates above limits, as far as the daemons use it.
 
     :param units: over all daemons, on top of a customer's burst.
-    :param part: of a customer's rate, on top of it.
-    :param window: seconds over which limits are counted; 0 if that is not known.
+    :param part: fraction of a customer's rate, on top of it.
+    :param window: seconds over which limits are counted; 0 if unknown.
     """
 
     units: float = 0
@@ -116,244 +116,259 @@
     window: float = 0
 
 
-def find_slack_part(news_seconds: float) -> float:
-    """Return the part of what is tolerated above limits that the daemons may use.
+def find_slack_part(propagation_seconds: float) -> float:
+    """Return the fraction of the tolerance above limits that the daemons may use.
 
-    Callers within a limit come in bursts, and each refusal makes an answer late. The
-    rest covers what daemons take before they hear of each other.
+    Requests within a limit come in bursts, and each refusal delays a response, so the
+    tolerance is used. The rest covers what daemons take before they receive each
+    other's reports.
 
-    :param news_seconds: in which what one has taken is known to all.
+    :param propagation_seconds: until all daemons have received a report.
     """
-    return max(LEAST_SLACK_PART, MOST_SLACK_PART - SLACK_PER_SECOND * news_seconds)
+    return max(
+        MIN_SLACK_FRACTION, MAX_SLACK_FRACTION - SLACK_PER_SECOND * propagation_seconds
+    )
 
 
 def _find_no_quota(_: CustomerId) -> None:
-    """Return no quota: accounts then learn it from their first own request."""
+    """Return no quota: buckets then get it from their first local request."""
 
 
 class Quotas:
-    """This daemon's account of all customers."""
+    """This daemon's replicas of all customers' token buckets."""
 
     def __init__(
         self,
         slack: QuotaSlack,
         started: float = 0,
-        draw: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
         find_quota: Callable[[CustomerId], Quota | None] = _find_no_quota,
     ) -> None:
-        """Make accounts on demand.
-
-        :param started: monotonic seconds since which customers could save up units.
-        :param draw: returns numbers from 0 to 1.
-        :param find_quota: by the configuration in force. An account that only peers
-            have spoken of fills as well: without it, customers whose requests seldom
-            come here were refused while most of their limit was left.
+        """Create an empty set; buckets are created on demand.
+
+        :param started: monotonic seconds since which customers could accrue units.
+        :param random_float: returns numbers from 0 to 1.
+        :param find_quota: returns the quota in the active configuration. It lets
+            buckets that only peers have reported on fill too; otherwise customers whose
+            requests seldom reach this daemon were refused while most of their quota was
+            left.
         """
-        self._draw = draw
+        self._random_float = random_float
         self._find_quota = find_quota
         self.slack = slack
         self._started = started
-        self._accounts: dict[CustomerId, _Account] = {}
-        self._told: LRUCache[str, dict[CustomerId, _Told]] = LRUCache(MOST_PROCESSES)
-        self._part = 1.0
-        self._news_seconds = 0.0
+        self._buckets: dict[CustomerId, _Bucket] = {}
+        self._reported_totals: LRUCache[str, dict[CustomerId, _ReportedTotal]] = (
+            LRUCache(MAX_PROCESSES)
+        )
+        self._quota_fraction = 1.0
+        self._propagation_seconds = 0.0
 
-    def share_with(self, daemons: int, heard: int, news_seconds: float = 0) -> None:
-        """Take in how many daemons there are.
+    def share_with(
+        self, daemons: int, reachable: int, propagation_seconds: float = 0
+    ) -> None:
+        """Set the number of daemons.
 
-        :param daemons: this one included, heard or not.
-        :param heard: of them, this one included.
-        :param news_seconds: in which what one has taken is known to all.
+        :param daemons: all daemons, this one included.
+        :param reachable: those that are reachable, this one included.
+        :param propagation_seconds: until all daemons have received a report.
         """
-        self._news_seconds = news_seconds
-        self._part = min(1.0, max(heard, 1) / max(daemons, 1))
+        self._propagation_seconds = propagation_seconds
+        self._quota_fraction = min(1.0, max(reachable, 1) / max(daemons, 1))
 
     def notes(self, now: float) -> dict[CustomerId, CustomerNote]:
-        """Return what this daemon tells its peers."""
-        for known in self._accounts.values():
-            self._refill(known, now)
-            known.drop_silent(now)
+        """Return the reports for the peers in this failure domain."""
+        for replica in self._buckets.values():
+            self._refill(replica, now)
+            replica.drop_stale_peers(now)
         return {
-            name: CustomerNote(account.taken, account.demand.read(now), account.left)
-            for name, account in self._accounts.items()
-            if account.taken
+            name: CustomerNote(bucket.taken, bucket.demand.read(now), bucket.left)
+            for name, bucket in self._buckets.items()
+            if bucket.taken
         }
 
     def domain_notes(self, now: float) -> dict[CustomerId, CustomerNote]:
-        """Return what this daemon tells other failure domains for its own.
+        """Return the reports of this failure domain for the other ones.
 
-        ``taken`` is what this process has taken and seen its neighbours take: like
-        theirs it grows, and a daemon that relays next counts as another process.
-        Accounts of which nothing was taken are told too, so that what is taken next is
-        not the first that others hear of it.
+        ``taken`` is the sum of what this process took and saw its same-domain peers
+        take. It only grows, like a process's own total, and the next relay counts as
+        another process. Buckets from which nothing was taken are included, so that the
+        first units taken are not in the first report that others receive.
         """
-        for known in self._accounts.values():
-            self._refill(known, now)
+        for replica in self._buckets.values():
+            self._refill(replica, now)
         return {
             name: CustomerNote(
-                account.taken + account.relayed,
-                account.sum_demand(now, near=True),
-                account.left,
+                bucket.taken + bucket.domain_peers_taken,
+                bucket.sum_demand(now, near=True),
+                bucket.left,
             )
-            for name, account in self._accounts.items()
+            for name, bucket in self._buckets.items()
         }
 
     def sum_demand(self, now: float) -> float:
-        """Return units a second that customers ask of all daemons within their limits.
+        """Return the units requested of all daemons per second, within the limits.
 
-        What lies beyond a limit is refused and needs no servers.
+        Demand above a limit is refused and needs no servers.
         """
         return sum(
-            min(account.sum_demand(now), self._find_most_rate(account))
-            for account in self._accounts.values()
+            min(bucket.sum_demand(now), self._find_max_rate(bucket))
+            for bucket in self._buckets.values()
         )
 
-    def _find_most_rate(self, account: _Account) -> float:
-        if account.quota is None or not account.quota.rate:
+    def _find_max_rate(self, bucket: _Bucket) -> float:
+        if bucket.quota is None or not bucket.quota.rate:
             return math.inf
-        return self._find_rate(account.quota)
+        return self._find_rate(bucket.quota)
 
     def take_note(
         self,
         process: str,
         customer: CustomerId,
-        note: CustomerNote,
+        report: CustomerNote,
         now: float,
         *,
         near: bool = False,
     ) -> None:
-        """Take in what a peer's process tells.
+        """Apply a peer process's report.
 
-        :param near: whether this daemon may have to tell it to other failure domains.
+        :param near: whether this daemon may have to report it to other failure domains.
 
-        What it took before it was first heard is in what it thinks is left. So it is
-        for one that was cut off: it kept to its own part of the limit meanwhile, and
-        taking all of that from this account at once would refuse callers for seconds.
+        Units taken before the first report are already in its ``left``. The same holds
+        for a process that was partitioned: it kept to its own fraction of the quota
+        meanwhile, and subtracting all of that at once would refuse requests for
+        seconds.
         """
-        told = self._told.setdefault(process, {})
-        before = told.get(customer)
-        if before is not None and now - before.at > self._find_gap():
+        totals = self._reported_totals.setdefault(process, {})
+        before = totals.get(customer)
+        if before is not None and now - before.updated_at > self._find_max_gap():
             before = None
-        told[customer] = _Told(note.taken, now)
-        account = self._accounts.get(customer)
-        if account is None:
-            account = _Account(note.left, now)
-            self._accounts[customer] = account
-            before = told[customer]
-        # It may be new, from before the first configuration, or have changed since.
-        account.quota = self._find_quota(customer) or account.quota
-        account.peers[process] = _PeerDemand(note.demand, now, near)
-        # What was saved up until now must not make up for what is taken now.
-        self._refill(account, now)
+        totals[customer] = _ReportedTotal(report.taken, now)
+        bucket = self._buckets.get(customer)
+        if bucket is None:
+            bucket = _Bucket(report.left, now)
+            self._buckets[customer] = bucket
+            before = totals[customer]
+        # The quota may be new, from before the first configuration, or changed.
+        bucket.quota = self._find_quota(customer) or bucket.quota
+        bucket.peers[process] = _PeerDemand(report.demand, now, near)
+        # Refill first: units accrued until now must not offset what is subtracted now.
+        self._refill(bucket, now)
         if before is None:
-            account.left = min(account.left, note.left)
+            bucket.left = min(bucket.left, report.left)
         else:
-            account.left -= note.taken - before.taken
-            account.relayed += near * (note.taken - before.taken)
+            bucket.left -= report.taken - before.taken
+            bucket.domain_peers_taken += near * (report.taken - before.taken)
 
-    def _find_gap(self) -> float:
-        return max(GAP_SECONDS, GAP_TURNS * self._news_seconds)
+    def _find_max_gap(self) -> float:
+        return max(GAP_SECONDS, GAP_ROUNDS * self._propagation_seconds)
 
     def forget_process(self, process: str) -> None:
-        """Drop a process whose place another has taken."""
-        self._told.pop(process, None)
-        for account in self._accounts.values():
-            account.peers.pop(process, None)
+        """Remove a process that another one has replaced."""
+        self._reported_totals.pop(process, None)
+        for bucket in self._buckets.values():
+            bucket.peers.pop(process, None)
 
     def note_stall(self) -> None:
-        """Take all processes as heard for the first time when they are heard next."""
-        self._told.clear()
+        """Treat every process's next report as its first."""
+        self._reported_totals.clear()
 
     def count_processes(self) -> int:
-        """Return how many peers' processes are remembered."""
-        return len(self._told)
+        """Return the number of peer processes with a recorded total."""
+        return len(self._reported_totals)
 
     def count_peers(self, customer: CustomerId) -> int:
-        """Return how many peers' demand of a customer is remembered."""
-        return len(self._accounts[customer].peers)
+        """Return the number of peers with recorded demand of a customer."""
+        return len(self._buckets[customer].peers)
 
     def take(self, customer: Customer, units: float, now: float) -> float | None:
-        """Take units from a customer's limit.
+        """Take units from a customer's quota.
 
-        :returns: seconds until they may be there; ``None`` if they were taken.
+        :returns: seconds until they may be available; ``None`` if they were taken.
         """
         quota = customer.quota
         if not quota.rate:
             return None
-        account = self._find(customer.name, quota, now)
-        account.demand.add(units, now)
-        self._refill(account, now)
-        most = self._find_most(quota)
-        # A request larger than what can be saved up runs into debt from a full one.
-        needed = min(units, most)
+        bucket = self._get_bucket(customer.name, quota, now)
+        bucket.demand.add(units, now)
+        self._refill(bucket, now)
+        capacity = self._find_capacity(quota)
+        # A request larger than the capacity takes a full bucket into debt.
+        needed = min(units, capacity)
         rate = self._find_rate(quota)
-        if account.left < needed:
-            return (needed - account.left) / rate
-        chance = self._find_chance(account, rate, now)
-        if chance < 1 and self._draw() >= chance:
-            return self._news_seconds
-        account.left -= units
-        account.taken += units
+        if bucket.left < needed:
+            return (needed - bucket.left) / rate
+        probability = self._find_admission_probability(bucket, rate, now)
+        if probability < 1 and self._random_float() >= probability:
+            return self._propagation_seconds
+        bucket.left -= units
+        bucket.taken += units
         return None
 
     def describe(self, customer: Customer, now: float) -> dict[str, float]:
-        """Return what an account's refusal rests on, for the log."""
-        account = self._accounts[customer.name]
+        """Return the state behind a refusal, for the log."""
+        bucket = self._buckets[customer.name]
         return {
-            'left': round(account.left),
+            'left': round(bucket.left),
             'rate': customer.quota.rate,
             'burst': customer.quota.burst,
-            'demand': round(account.demand.read(now)),
-            'part': round(self._part, 2),
+            'demand': round(bucket.demand.read(now)),
+            'part': round(self._quota_fraction, 2),
         }
 
     def give_back(self, customer: Customer, units: float) -> None:
-        """Give back what was taken for a request that did not run."""
-        account = self._accounts.get(customer.name)
-        if account is not None:
-            account.left += units
-            account.taken -= units
-
-    def _find_chance(self, account: _Account, rate: float, now: float) -> float:
-        """Return the part of a customer's requests that is admitted now.
-
-        What other daemons take is known only some tenths of a second later. With 75 of
-        them, a customer that asks for several times its limit would be admitted at
-        each, until all have heard of all (``TestManyDaemons``). So no more is admitted
-        than the account holds until then.
+        """Return the units of a request that did not run."""
+        bucket = self._buckets.get(customer.name)
+        if bucket is not None:
+            bucket.left += units
+            bucket.taken -= units
+
+    def _find_admission_probability(
+        self, bucket: _Bucket, rate: float, now: float
+    ) -> float:
+        """Return the fraction of a customer's requests to admit now.
+
+        Other daemons' takes arrive some tenths of a second late. With 75 daemons, a
+        customer that requests several times its limit would be admitted at each of them
+        until all have exchanged reports (``TestManyDaemons``). So no more is admitted
+        than the bucket holds until then.
         """
-        asked = account.sum_demand(now) * self._news_seconds
-        if not asked:
+        demanded = bucket.sum_demand(now) * self._propagation_seconds
+        if not demanded:
             return 1
-        return (account.left + rate * self._news_seconds) / asked
+        return (bucket.left + rate * self._propagation_seconds) / demanded
 
-    def _refill(self, account: _Account, now: float) -> None:
-        if account.quota is not None:
-            saved = (now - account.at) * self._find_rate(account.quota)
-            account.left = min(self._find_most(account.quota), account.left + saved)
-        account.at = now
+    def _refill(self, bucket: _Bucket, now: float) -> None:
+        if bucket.quota is not None:
+            accrued = (now - bucket.updated_at) * self._find_rate(bucket.quota)
+            bucket.left = min(self._find_capacity(bucket.quota), bucket.left + accrued)
+        bucket.updated_at = now
 
     def _find_rate(self, quota: Quota) -> float:
         rate = quota.rate * (1 + self.slack.part)
         if self.slack.window:
             rate += (
-                SUSTAINED_PART * (quota.burst + self.slack.units) / self.slack.window
+                SUSTAINED_FRACTION
+                * (quota.burst + self.slack.units)
+                / self.slack.window
+            )
+        return self._quota_fraction * rate
+
+    def _find_capacity(self, quota: Quota) -> float:
+        burst_fraction = 1 - SUSTAINED_FRACTION if self.slack.window else 1
+        return self._quota_fraction * burst_fraction * (quota.burst + self.slack.units)
+
+    def _get_bucket(self, name: CustomerId, quota: Quota, now: float) -> _Bucket:
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            # Without the tolerance above the burst: all daemons may be killed at once
+            # when a customer has just used up its quota, and what they grant before and
+            # after must stay within one window's tolerance.
+            accrued = (now - self._started) * self._find_rate(quota)
+            capacity = self._find_capacity(quota)
+            bucket = _Bucket(
+                min(capacity, self._quota_fraction * quota.burst + accrued), now
             )
-        return self._part * rate
-
-    def _find_most(self, quota: Quota) -> float:
-        kept = 1 - SUSTAINED_PART if self.slack.window else 1
-        return self._part * kept * (quota.burst + self.slack.units)
-
-    def _find(self, name: CustomerId, quota: Quota, now: float) -> _Account:
-        found = self._accounts.get(name)
-        if found is None:
-            # Without what is tolerated above a burst: all daemons may be killed at
-            # once when a customer has just used up its limit, and what they take
-            # before and after must stay within one window's tolerance.
-            saved = (now - self._started) * self._find_rate(quota)
-            most = self._find_most(quota)
-            found = _Account(min(most, self._part * quota.burst + saved), now)
-            self._accounts[name] = found
-        found.quota = quota
-        return found
+            self._buckets[name] = bucket
+        bucket.quota = quota
+        return bucket
--- a/libs/serving/fireflyhitch_serving/stalls.py
+++ b/libs/serving/fireflyhitch_serving/stalls.py
@@ -1,53 +1,53 @@
-"""Finds that this process was frozen, and keeps old messages from being taken for new.
+"""Detects that this process was frozen, and discards the messages that queued up.
 
-Messages of peers wait in the socket while an instance is frozen or suspended. Read all
-at once afterwards they tell of seconds of work as if it were done in one moment, and
-callers within their limits are refused for seconds. Peers tell their state again within
-a tenth of a second, so that what waited is dropped.
+Peers' messages wait in the socket while an instance is frozen or suspended. Read all at
+once afterwards, they report seconds of work as if it happened in one moment, and
+requests within their limits are refused for seconds. Peers send their state again
+within a tenth of a second, so the queued messages are dropped.
 """
 
 from collections.abc import Callable
 
 from loguru import logger
 
-# The loop ticks each 0.1 to 0.5 s; a busy core delays that by some tenths.
+# The loop ticks every 0.1 to 0.5 s; a busy core delays that by some tenths of a second.
 STALL_SECONDS = 1.0
-# Dropping some hundred messages takes less; the next state of each peer comes later.
+# Dropping some hundred messages takes less; each peer's next state arrives later.
 DROP_SECONDS = 0.25
 
 
 class StallWatch:
-    """Is told of each turn of a loop, and tells whether some are missing."""
+    """Detects missing iterations of a loop."""
 
     def __init__(
         self, boot_clock: Callable[[], float], note_stall: Callable[[], None]
     ) -> None:
-        """Make a watch for a loop that runs.
+        """Create a detector for a running loop.
 
         :param boot_clock: seconds that also pass while the instance is suspended.
-        :param note_stall: told after each stall, before anything else is taken in.
+        :param note_stall: called after each stall, before any message is processed.
         """
         self._clock = boot_clock
-        self._note_stall = note_stall
-        self._ticked = boot_clock()
-        self._drops_until = float('-inf')
+        self._on_stall = note_stall
+        self._last_tick = boot_clock()
+        self._discard_until = float('-inf')
 
     def tick(self) -> None:
-        """Note that the loop runs."""
-        self._look()
-        self._ticked = self._clock()
+        """Record an iteration of the loop."""
+        self._check()
+        self._last_tick = self._clock()
 
     def is_behind(self) -> bool:
-        """Tell whether a message that is read now may have waited for long."""
-        self._look()
-        return self._clock() < self._drops_until
+        """Tell whether a message read now may have been queued during a stall."""
+        self._check()
+        return self._clock() < self._discard_until
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._clock()
-        missing = now - self._ticked
-        if missing <= STALL_SECONDS:
+        elapsed = now - self._last_tick
+        if elapsed <= STALL_SECONDS:
             return
-        logger.bind(seconds=round(missing, 2)).warning('stalled')
-        self._ticked = now
-        self._drops_until = now + DROP_SECONDS
-        self._note_stall()
+        logger.bind(seconds=round(elapsed, 2)).warning('stalled')
+        self._last_tick = now
+        self._discard_until = now + DROP_SECONDS
+        self._on_stall()
--- a/libs/serving/fireflyhitch_serving/workloads.py
+++ b/libs/serving/fireflyhitch_serving/workloads.py
@@ -1,8 +1,8 @@
-"""How much work a service's engines have with what customers ask, learned from answers.
+"""Estimates the engine time that customers' units need, from observed answers.
 
-Engines differ in how fast they read prompts, and services in how much of their prompts
-the engines have cached already. Both decide how many servers carry a load; a fixed
-number of tokens a server orders twice too many of fast engines, and too few of slow.
+Engines differ in prefill speed, and services in how much of their prompts the engines
+have cached. Both determine how many servers a load needs; a fixed number of tokens per
+server orders twice too many fast engines, and too few slow ones.
 """
 
 from collections import defaultdict
@@ -10,28 +10,28 @@
 
 from fireflyhitch_model.ids import DeploymentId
 
-# Assumed until answers tell, and with the weight of two answers beside them: engines
-# that read 50,000 tokens a second and begin to answer 50 ms after that.
+# Prior with the weight of two answers: engines that prefill 50,000 tokens a second and
+# send the first event 50 ms after that.
 ASSUMED_TOKENS_PER_SECOND = 50_000.0
-ASSUMED_FIRST_SECONDS = 0.05
+ASSUMED_BASE_SECONDS = 0.05
 ASSUMED_TOKENS = 20_000
-# Answers that count, about; some tens of seconds of a daemon's load.
+# Approximate number of answers that count; some tens of seconds of a daemon's load.
 REMEMBERED_ANSWERS = 300
-# An answer that is later than this many times what was expected was held up by a
-# fault, and counts as no later: one that hangs for seconds would count for hundreds.
-LATEST_FACTOR = 4.0
-# Assumed part of customers' units that engines read, with the weight of so many units.
-ASSUMED_READ_PART = 0.7
+# An answer later than this many times the predicted time was delayed by a fault and is
+# capped; one that hangs for seconds would otherwise count like hundreds.
+MAX_DELAY_FACTOR = 4.0
+# Prior of the uncached fraction of customers' units, with the weight of so many units.
+ASSUMED_UNCACHED_FRACTION = 0.7
 ASSUMED_UNITS = 100_000.0
 
-_KEPT = 1 - 1 / REMEMBERED_ANSWERS
+_DECAY = 1 - 1 / REMEMBERED_ANSWERS
 
 
 @dataclass(slots=True)
 class ReadingPace:
-    """First events' times as a line over the tokens read before them.
+    """Linear model of the time to the first event over the tokens to prefill.
 
-    The sums are those of a least squares fit in which older answers fade.
+    The sums are those of a least squares fit in which older answers decay.
     """
 
     answers: float = 0
@@ -41,72 +41,84 @@
     products: float = 0
 
     def note(self, tokens: int, seconds: float) -> None:
-        """Take in an answer.
+        """Add an observed answer.
 
-        :param tokens: that its server had yet to read when it was sent, its own
-            prompt included.
+        :param tokens: tokens that the server still had to prefill when the request was
+            sent, its own prompt included.
         :param seconds: from then to its first event.
         """
-        latest = LATEST_FACTOR * self.expect(tokens)
-        taken = min(seconds, latest)
-        self.answers = self.answers * _KEPT + 1
-        self.tokens = self.tokens * _KEPT + tokens
-        self.seconds = self.seconds * _KEPT + taken
-        self.squares = self.squares * _KEPT + tokens * tokens
-        self.products = self.products * _KEPT + tokens * taken
+        max_seconds = MAX_DELAY_FACTOR * self.expect(tokens)
+        capped = min(seconds, max_seconds)
+        self.answers = self.answers * _DECAY + 1
+        self.tokens = self.tokens * _DECAY + tokens
+        self.seconds = self.seconds * _DECAY + capped
+        self.squares = self.squares * _DECAY + tokens * tokens
+        self.products = self.products * _DECAY + tokens * capped
 
     def expect(self, tokens: int) -> float:
-        """Return the seconds to a first event behind so many tokens."""
-        slope, first = self._fit()
-        return max(first, 0) + slope * tokens
+        """Return the predicted seconds to the first event.
+
+        :param tokens: tokens to prefill before it, its own prompt included.
+        """
+        slope, base = self._fit()
+        return max(base, 0) + slope * tokens
 
     @property
     def seconds_per_token(self) -> float:
-        """Return for how long an engine is busy with a prompt token."""
+        """Return the seconds that an engine needs for a prompt token."""
         return self._fit()[0]
 
     def _fit(self) -> tuple[float, float]:
-        # Two assumed answers keep the line in place while all prompts are alike.
-        full = ASSUMED_FIRST_SECONDS + ASSUMED_TOKENS / ASSUMED_TOKENS_PER_SECOND
+        # Two assumed answers keep the fit well-defined while all prompts have the same
+        # size.
+        assumed_seconds = (
+            ASSUMED_BASE_SECONDS + ASSUMED_TOKENS / ASSUMED_TOKENS_PER_SECOND
+        )
         answers = self.answers + 2
         tokens = self.tokens + ASSUMED_TOKENS
-        seconds = self.seconds + ASSUMED_FIRST_SECONDS + full
+        seconds = self.seconds + ASSUMED_BASE_SECONDS + assumed_seconds
         squares = self.squares + ASSUMED_TOKENS**2
-        products = self.products + ASSUMED_TOKENS * full
-        spread = squares - tokens * tokens / answers
-        slope = max((products - tokens * seconds / answers) / spread, 0)
+        products = self.products + ASSUMED_TOKENS * assumed_seconds
+        variance = squares - tokens * tokens / answers
+        slope = max((products - tokens * seconds / answers) / variance, 0)
         return slope, (seconds - slope * tokens) / answers
 
 
 class Workloads:
-    """What this daemon has seen of the work that customers' units make.
+    """Relates customers' units to engine time, by this daemon's own requests.
 
-    It sees a fair sample of all requests, so a leader can tell from its own what the
+    These are a fair sample of all requests, so a leader can infer from them what the
     units of all daemons need.
     """
 
     def __init__(self) -> None:
-        """Make workloads of which nothing is known."""
-        self._paces: defaultdict[DeploymentId, ReadingPace] = defaultdict(ReadingPace)
-        self._read: defaultdict[DeploymentId, float] = defaultdict(float)
+        """Create an estimate without observations."""
+        self._prefill_models: defaultdict[DeploymentId, ReadingPace] = defaultdict(
+            ReadingPace
+        )
+        self._prefill_tokens: defaultdict[DeploymentId, float] = defaultdict(float)
         self._units = 0.0
 
     def note_units(self, units: float) -> None:
-        """Take in units of a request that was admitted, of any service."""
-        self._units = self._units * _KEPT + units
-        for service in self._read:
-            self._read[service] *= _KEPT
+        """Add the units of an admitted request, of any service."""
+        self._units = self._units * _DECAY + units
+        for service in self._prefill_tokens:
+            self._prefill_tokens[service] *= _DECAY
 
     def note_read(self, service: DeploymentId, tokens: int) -> None:
-        """Take in prompt tokens that an engine of a service has to read."""
-        self._read[service] += tokens
+        """Add the prompt tokens that an engine of a service has to prefill."""
+        self._prefill_tokens[service] += tokens
 
     def pace_of(self, service: DeploymentId) -> ReadingPace:
-        """Return how fast a service's engines read."""
-        return self._paces[service]
+        """Return the model of a service's engines."""
+        return self._prefill_models[service]
 
     def find_busy_seconds(self, service: DeploymentId, units: float) -> float:
-        """Return for how long customers' units keep a service's engines busy."""
-        assumed = ASSUMED_UNITS * ASSUMED_READ_PART
-        read_part = (self._read[service] + assumed) / (self._units + ASSUMED_UNITS)
-        return units * read_part * self._paces[service].seconds_per_token
+        """Return the seconds for which units keep a service's engines busy."""
+        assumed = ASSUMED_UNITS * ASSUMED_UNCACHED_FRACTION
+        uncached_fraction = (self._prefill_tokens[service] + assumed) / (
+            self._units + ASSUMED_UNITS
+        )
+        return (
+            units * uncached_fraction * self._prefill_models[service].seconds_per_token
+        )
--- a/libs/serving/tests/test_stalls.py
+++ b/libs/serving/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed after this process was frozen."""
+"""Tests of peer messages after this process was frozen."""
 
 import random
 
@@ -16,78 +16,78 @@
 BAKERY = Customer(CustomerId('bakery'), QUOTA)
 
 
-class Frozen:
-    """A daemon that hears one peer, and its clock."""
+class FrozenDaemon:
+    """A daemon with one peer, and its clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.here = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
-        self.there = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
-        self.watch = StallWatch(lambda: self.now, self.here.note_stall)
-        self.waiting: list[object] = []
+        self.local_quotas = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
+        self.remote_quotas = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
+        self.detector = StallWatch(lambda: self.now, self.local_quotas.note_stall)
+        self.queued: list[object] = []
 
-    def use_there(self) -> None:
-        """Have the customer use its rate at the peer, which tells so."""
-        self.there.take(BAKERY, 100, self.now)
-        self.waiting.append(self.there.notes(self.now))
+    def use_remote(self) -> None:
+        """Have the customer use its rate at the peer, which reports it."""
+        self.remote_quotas.take(BAKERY, 100, self.now)
+        self.queued.append(self.remote_quotas.notes(self.now))
         self.now += 0.1
 
-    def read_waiting(self) -> None:
-        """Read the messages that came, as the channel does."""
-        for notes in self.waiting:
-            if not self.watch.is_behind():
-                for customer, note in notes.items():  # type: ignore[attr-defined]
-                    self.here.take_note('there', customer, note, self.now)
-        self.waiting.clear()
+    def read_queued(self) -> None:
+        """Apply the queued messages, as the channel does."""
+        for reports in self.queued:
+            if not self.detector.is_behind():
+                for customer, report in reports.items():  # type: ignore[attr-defined]
+                    self.local_quotas.take_note('remote', customer, report, self.now)
+        self.queued.clear()
 
 
-class TestWaking:
-    def test_what_peers_did_in_a_freeze_is_not_taken_as_done_at_once(self) -> None:
+class TestResume:
+    def test_peer_usage_during_a_freeze_is_not_applied_all_at_once(self) -> None:
         # An instance freezes for five seconds while a customer uses its rate elsewhere.
-        # It wakes and reads fifty messages in one moment; all that they tell was taken
-        # from the account without what filled it meanwhile, and the customer's next
-        # requests were refused for three seconds.
-        scene = Frozen()
+        # On resuming it reads fifty messages in one moment; all that they report was
+        # subtracted from the bucket without the units accrued meanwhile, and the
+        # customer's next requests were refused for three seconds.
+        daemon = FrozenDaemon()
         for _ in range(20):
-            scene.use_there()
-            scene.watch.tick()
-            scene.read_waiting()
+            daemon.use_remote()
+            daemon.detector.tick()
+            daemon.read_queued()
         for _ in range(50):
-            scene.use_there()
-        scene.read_waiting()
-        scene.watch.tick()
-        scene.now += DROP_SECONDS
-        scene.use_there()
-        scene.read_waiting()
-        assert scene.here.take(BAKERY, 800, scene.now) is None
+            daemon.use_remote()
+        daemon.read_queued()
+        daemon.detector.tick()
+        daemon.now += DROP_SECONDS
+        daemon.use_remote()
+        daemon.read_queued()
+        assert daemon.local_quotas.take(BAKERY, 800, daemon.now) is None
 
     def test_a_busy_loop_drops_nothing(self) -> None:
-        scene = Frozen()
-        scene.now = 0.8
-        assert not scene.watch.is_behind()
+        daemon = FrozenDaemon()
+        daemon.now = 0.8
+        assert not daemon.detector.is_behind()
 
-    def test_messages_are_taken_again_soon_after(self) -> None:
-        scene = Frozen()
-        scene.now = 5.0
-        assert scene.watch.is_behind()
-        scene.watch.tick()
-        scene.now = 5.0 + DROP_SECONDS
-        assert not scene.watch.is_behind()
+    def test_messages_are_accepted_again_soon_after(self) -> None:
+        daemon = FrozenDaemon()
+        daemon.now = 5.0
+        assert daemon.detector.is_behind()
+        daemon.detector.tick()
+        daemon.now = 5.0 + DROP_SECONDS
+        assert not daemon.detector.is_behind()
 
 
 class TestChannel:
-    def test_a_channel_drops_what_waited(self) -> None:
-        # The first message that is read after a freeze comes before the loop's turn.
+    def test_a_channel_drops_queued_messages(self) -> None:
+        # The first message after a freeze is read before the loop's next iteration.
         seconds = [0.0]
-        taken: list[object] = []
+        received: list[object] = []
         book = PeerBook('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
         channel = PeerChannel(
             book,
             Hubs(book, ManualClock()),
             NewsHandlers(
                 None,  # type: ignore[arg-type]
-                taken.append,
-                lambda data: bool(taken.append(data)),
+                received.append,
+                lambda data: bool(received.append(data)),
                 lambda: None,
             ),
             StallWatch(lambda: seconds[0], list),
@@ -96,4 +96,4 @@
         )
         seconds[0] = 5.0
         channel.datagram_received(b'\x01', ('127.0.0.1', 1))
-        assert not taken
+        assert not received
--- a/libs/serving/tests/test_workloads.py
+++ b/libs/serving/tests/test_workloads.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned of engines' work, and how many servers follow from it."""
+"""Tests of the learned engine speed, and of the number of servers that follows."""
 
 import random
 
@@ -12,73 +12,73 @@
 FIRST_SECONDS = 0.08
 
 
-def answer(
+def simulate_answers(
     workloads: Workloads,
     seconds_per_token: float,
     *,
-    read_part: float,
+    uncached_fraction: float,
     answers: int = 400,
 ) -> None:
-    """Let engines answer requests of all sizes, as fast as they read."""
+    """Let engines answer requests of all sizes at a given speed."""
     draw = random.Random(5)  # noqa: S311
     for _ in range(answers):
         units = draw.randrange(500, 40_000)
-        tokens = int(units * read_part)
+        tokens = int(units * uncached_fraction)
         workloads.note_units(units)
         workloads.note_read(SERVICE, tokens)
         seconds = FIRST_SECONDS + tokens * seconds_per_token
         workloads.pace_of(SERVICE).note(tokens, seconds * draw.uniform(0.9, 1.1))
 
 
-class TestPace:
+class TestPrefillModel:
     def test_it_is_learned_from_answers(self) -> None:
         for seconds_per_token in (FAST, SLOW):
             workloads = Workloads()
-            answer(workloads, seconds_per_token, read_part=1)
+            simulate_answers(workloads, seconds_per_token, uncached_fraction=1)
             learned = workloads.pace_of(SERVICE).seconds_per_token
             assert abs(learned / seconds_per_token - 1) < 0.15
 
-    def test_answers_that_a_fault_held_up_count_little(self) -> None:
+    def test_answers_delayed_by_a_fault_count_little(self) -> None:
         workloads = Workloads()
-        answer(workloads, FAST, read_part=1)
+        simulate_answers(workloads, FAST, uncached_fraction=1)
         for _ in range(4):
             workloads.pace_of(SERVICE).note(20_000, 8)
         assert workloads.pace_of(SERVICE).seconds_per_token < 1.3 * FAST
 
-    def test_engines_that_turn_slow_are_known_as_slow(self) -> None:
+    def test_engines_that_become_slow_are_detected(self) -> None:
         workloads = Workloads()
-        answer(workloads, FAST, read_part=1)
-        answer(workloads, SLOW, read_part=1, answers=1500)
+        simulate_answers(workloads, FAST, uncached_fraction=1)
+        simulate_answers(workloads, SLOW, uncached_fraction=1, answers=1500)
         assert workloads.pace_of(SERVICE).seconds_per_token > 0.8 * SLOW
 
-    def test_equal_prompts_leave_it_within_bounds(self) -> None:
-        pace = ReadingPace()
+    def test_equal_prompts_keep_it_within_bounds(self) -> None:
+        model = ReadingPace()
         for _ in range(1000):
-            pace.note(1000, 0.1)
-        assert 0 < pace.seconds_per_token < 1 / 5_000
+            model.note(1000, 0.1)
+        assert 0 < model.seconds_per_token < 1 / 5_000
 
 
 class TestBusySeconds:
     def test_fast_engines_with_cached_prompts_need_fewer_servers(self) -> None:
-        # The load of a customer whose engines read twice as fast as assumed and have
-        # half of each prompt: by a fixed number of tokens a server, three times as
-        # many servers were paid for.
+        # A customer's engines read twice as fast as assumed and have half of each
+        # prompt cached: with a fixed number of tokens per server, three times as many
+        # servers were paid for.
         workloads = Workloads()
         before = workloads.find_busy_seconds(SERVICE, 200_000)
-        answer(workloads, FAST, read_part=0.5)
+        simulate_answers(workloads, FAST, uncached_fraction=0.5)
         assert workloads.find_busy_seconds(SERVICE, 200_000) < 0.45 * before
 
     def test_slow_engines_need_more(self) -> None:
-        # Before, callers of slow engines waited behind prompts for which there were
-        # too few servers.
+        # Callers of slow engines waited behind queued prompts because too few servers
+        # ran.
         workloads = Workloads()
         before = workloads.find_busy_seconds(SERVICE, 200_000)
-        answer(workloads, SLOW, read_part=0.7)
+        simulate_answers(workloads, SLOW, uncached_fraction=0.7)
         assert workloads.find_busy_seconds(SERVICE, 200_000) > 2 * before
 
-    def test_each_service_has_its_part_of_the_units(self) -> None:
+    def test_each_service_has_its_share_of_the_units(self) -> None:
         workloads = Workloads()
-        answer(workloads, FAST, read_part=1)
+        simulate_answers(workloads, FAST, uncached_fraction=1)
         for _ in range(400):
             workloads.note_units(10_000)
             workloads.note_read(OTHER, 10_000)
