--- a/libs/serving/fireflyhitch_serving/health.py
+++ b/libs/serving/fireflyhitch_serving/health.py
@@ -1,6 +1,6 @@
-"""Whether a server is given work, by how its answers have been.
+"""Ejects servers from load balancing by the results of their requests.
 
-Only requests tell: a server may say that it is well and fail, or the reverse.
+Only requests count: a server may report that it is healthy and fail, or the reverse.
 """
 
 from dataclasses import dataclass
@@ -8,17 +8,19 @@
 
 # Weight of the newest answer in the failure rate: about the last six count.
 NEWEST_WEIGHT = 0.16
-# A server is left out when its rate is this much above its service's usual one;
-# with six answers in the rate, less would leave out good servers by chance.
-EXCESS = 0.45
-# In a row; one connection refused is enough, since nothing listens there.
-MOST_BROKEN_IN_A_ROW = 3
+# A server is ejected when its failure rate exceeds the service's median by this much;
+# with about six answers in the rate, a smaller margin would eject good servers by
+# chance.
+EXCESS_FAILURE_RATE = 0.45
+# Broken answers in a row. A single refused connection is enough, since nothing listens
+# there.
+MAX_CONSECUTIVE_BROKEN = 3
 FIRST_EJECTION_SECONDS = 1.0
-LONGEST_EJECTION_SECONDS = 8.0
+MAX_EJECTION_SECONDS = 8.0
 
 
 class Ending(Enum):
-    """How an attempt ended, as evidence on its server."""
+    """How an attempt ended, for the failure statistics of its server."""
 
     GOOD = 'good'
     FAILED = 'failed'
@@ -30,38 +32,40 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """Evidence on one server.
+    """Failure statistics and ejection state of one server.
 
-    :param rate: share of the last answers that failed.
-    :param ejected_until: monotonic seconds until which it gets no work.
+    :param rate: weighted fraction of the latest answers that failed.
+    :param ejected_until: monotonic seconds until which it gets no requests.
     """
 
     rate: float = 0
     answers: int = 0
-    in_a_row: int = 0
+    consecutive_broken: int = 0
     ejected_until: float = 0
     ejections: int = 0
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether it is left out now."""
+        """Tell whether the server is ejected now."""
         return now < self.ejected_until
 
-    def record(self, ending: Ending, usual_rate: float, now: float) -> bool:
-        """Take in an attempt's end.
+    def record(self, ending: Ending, median_rate: float, now: float) -> bool:
+        """Record the result of an attempt.
 
-        :param usual_rate: failure rate of its service as a whole.
-        :returns: whether the server is left out from now on.
+        :param median_rate: median failure rate of the service's servers.
+        :returns: whether this ejects the server.
         """
         if ending in {Ending.CANCELLED, Ending.REFUSED}:
             return False
         if ending is Ending.GOOD:
             self._count(0)
-            self.in_a_row = 0
-            self.ejections = 0 if self.rate < EXCESS / 2 else self.ejections
+            self.consecutive_broken = 0
+            self.ejections = (
+                0 if self.rate < EXCESS_FAILURE_RATE / 2 else self.ejections
+            )
             return False
         self._count(1)
-        self.in_a_row += ending is not Ending.FAILED
-        if self.is_ejected(now) or not self._is_bad(ending, usual_rate):
+        self.consecutive_broken += ending is not Ending.FAILED
+        if self.is_ejected(now) or not self._should_eject(ending, median_rate):
             return False
         self._eject(now)
         return True
@@ -70,17 +74,18 @@
         self.answers += 1
         self.rate += (failed - self.rate) * NEWEST_WEIGHT
 
-    def _is_bad(self, ending: Ending, usual_rate: float) -> bool:
+    def _should_eject(self, ending: Ending, median_rate: float) -> bool:
         if ending is Ending.UNREACHED:
             return True
-        if self.in_a_row >= MOST_BROKEN_IN_A_ROW:
+        if self.consecutive_broken >= MAX_CONSECUTIVE_BROKEN:
             return True
-        return self.rate > usual_rate + EXCESS
+        return self.rate > median_rate + EXCESS_FAILURE_RATE
 
     def _eject(self, now: float) -> None:
         seconds = FIRST_EJECTION_SECONDS * 2**self.ejections
         self.ejections += 1
-        self.ejected_until = now + min(seconds, LONGEST_EJECTION_SECONDS)
-        self.in_a_row = 0
-        # It comes back on trial: the next failures count for more than the old.
+        self.ejected_until = now + min(seconds, MAX_EJECTION_SECONDS)
+        self.consecutive_broken = 0
+        # After the ejection the server is on probation: new failures outweigh the old
+        # ones.
         self.rate /= 2
--- a/libs/serving/fireflyhitch_serving/server_ends.py
+++ b/libs/serving/fireflyhitch_serving/server_ends.py
@@ -1,7 +1,8 @@
-"""Whether a server that broke off an answer has ended, and under which requests.
+"""Detects server crashes and records the requests that ran at the time.
 
-An answer may be cut off by a server that lives on. One whose process has ended refuses
-connections, or, where its whole instance is gone, is silent until it is listed no more.
+A server can abort a response and stay up. If its process exited, it refuses
+connections; if its whole instance is gone, it does not respond until it is removed from
+the list.
 """
 
 import asyncio
@@ -17,83 +18,91 @@
 from fireflyhitch_serving.connections import Reach, reach
 from fireflyhitch_serving.servers import ServerRecord
 
-# Between looks: a process that ends closes its sockets one after the other. An instance that is
-# gone is listed for some heartbeats more.
-LOOK_SECONDS = (0.05, 0.2, 0.8, 1.0, 1.0, 1.0, 2.0)
-REACH_SECONDS = 0.3
+# Delays between probes. An exiting process closes its sockets one after the other, and
+# an instance that is gone stays listed for some more heartbeats.
+PROBE_DELAYS = (0.05, 0.2, 0.8, 1.0, 1.0, 1.0, 2.0)
+PROBE_TIMEOUT_SECONDS = 0.3
 
 FindServer = Callable[[BackendServerId], ServerRecord | None]
 
 
 @dataclass(slots=True)
-class _BrokenRuns:
-    """Requests whose answers one server's process broke off, with their begin."""
+class _AbortedRequests:
+    """Requests whose responses one server process aborted, with their start times."""
 
-    at: float
+    detected_at: float
     began: dict[ContentId, float] = field(default_factory=dict)
 
 
 class ServerEndWatch:
-    """Looks after servers that broke off answers, and keeps the evidence."""
+    """Probes servers that aborted responses, and records crashes."""
 
-    def __init__(self, clock: Clock, find_server: FindServer, book: CrashBook) -> None:
-        """Make a watch that looks after none.
+    def __init__(
+        self, clock: Clock, find_server: FindServer, tracker: CrashBook
+    ) -> None:
+        """Create a detector without servers to probe.
 
         :param find_server: returns a server's record while it is listed.
         """
         self._clock = clock
         self._find_server = find_server
-        self._book = book
-        self._broken: dict[int, _BrokenRuns] = {}
-        self._looks: set[asyncio.Task[None]] = set()
+        self._tracker = tracker
+        self._aborted: dict[int, _AbortedRequests] = {}
+        self._probes: set[asyncio.Task[None]] = set()
 
     def note_broken(
         self, record: ServerRecord, content: ContentId, began: float
     ) -> None:
-        """Take in that a server broke off the answer to a request.
+        """Record that a server aborted the response to a request.
 
         :param began: monotonic seconds at which the request was sent.
         """
         if not record.server.ready:
-            # It was leaving, and ends by order.
+            # It was leaving, so its exit is expected.
             return
-        runs = self._broken.get(id(record))
-        if runs is None:
-            runs = _BrokenRuns(self._clock.monotonic())
-            self._broken[id(record)] = runs
-            self._start_look(record, runs)
-        runs.began.setdefault(content, began)
-
-    def _start_look(self, record: ServerRecord, runs: _BrokenRuns) -> None:
-        look = asyncio.get_running_loop().create_task(self._look(record, runs))
-        self._looks.add(look)
-        look.add_done_callback(self._looks.discard)
-
-    async def _look(self, record: ServerRecord, runs: _BrokenRuns) -> None:
+        aborted = self._aborted.get(id(record))
+        if aborted is None:
+            aborted = _AbortedRequests(self._clock.monotonic())
+            self._aborted[id(record)] = aborted
+            self._start_probe(record, aborted)
+        aborted.began.setdefault(content, began)
+
+    def _start_probe(self, record: ServerRecord, aborted: _AbortedRequests) -> None:
+        probe = asyncio.get_running_loop().create_task(
+            self._probe_server(record, aborted)
+        )
+        self._probes.add(probe)
+        probe.add_done_callback(self._probes.discard)
+
+    async def _probe_server(
+        self, record: ServerRecord, aborted: _AbortedRequests
+    ) -> None:
         try:
-            if await self._has_ended(record):
-                self._note_end(record, runs)
+            if await self._has_crashed(record):
+                self._record_crashes(record, aborted)
         finally:
-            del self._broken[id(record)]
+            del self._aborted[id(record)]
 
-    async def _has_ended(self, record: ServerRecord) -> bool:
-        for seconds in LOOK_SECONDS:
-            await asyncio.sleep(seconds)
+    async def _has_crashed(self, record: ServerRecord) -> bool:
+        for delay in PROBE_DELAYS:
+            await asyncio.sleep(delay)
             if self._find_server(record.server.server_id) is not record:
                 return True
-            found = await reach(record.server.address, REACH_SECONDS)
-            if found is not Reach.SILENT:
-                return found is Reach.REFUSED
+            result = await reach(record.server.address, PROBE_TIMEOUT_SECONDS)
+            if result is not Reach.SILENT:
+                return result is Reach.REFUSED
         return False
 
-    def _note_end(self, record: ServerRecord, runs: _BrokenRuns) -> None:
+    def _record_crashes(self, record: ServerRecord, aborted: _AbortedRequests) -> None:
         server = record.server
         process = identify_process(server.server_id, server.born)
         now = self._clock.monotonic()
-        for content, began in runs.began.items():
-            self._book.note_end(content, process, ServerEnd(runs.at, began), now)
+        for content, began in aborted.began.items():
+            self._tracker.note_end(
+                content, process, ServerEnd(aborted.detected_at, began), now
+            )
         logger.bind(
             server=server.server_id,
             born=server.born,
-            contents=sorted(runs.began),
+            contents=sorted(aborted.began),
         ).warning('server ended under requests')
--- a/libs/serving/fireflyhitch_serving/server_evidence.py
+++ b/libs/serving/fireflyhitch_serving/server_evidence.py
@@ -1,8 +1,8 @@
-"""How servers have answered lately, by what all daemons have seen of them.
+"""Failure and latency statistics of servers, shared by all daemons.
 
-One of many daemons meets a server once in many seconds, and would learn from its own
-callers' failures that it hangs, fails or is slow, when it is well again. Together they
-know after a few requests.
+With many daemons, each reaches one server only every many seconds. Alone, it would
+learn from its own callers' failures that a server hangs, fails or is slow when the
+server has recovered already. Together the daemons know after a few requests.
 """
 
 import math
@@ -12,60 +12,62 @@
 
 from fireflyhitch_model.ids import BackendServerId
 
-# Answers count for about this long.
-FADE_SECONDS = 3.0
-# What a peer told counts for this long; it tells several times a second.
-TOLD_SECONDS = 2.0
-# A server of which little is known is taken for a usual one with so many answers.
+# Time constant of the exponential decay of answer counts.
+DECAY_SECONDS = 3.0
+# Lifetime of a peer's counts; peers send them several times a second.
+PEER_COUNTS_SECONDS = 2.0
+# Weight of the prior: a server with few answers is taken for an average one with this
+# many.
 ASSUMED_ANSWERS = 2.0
-# Less than this is not worth telling.
+# Counts below this are not sent.
 LEAST_TOLD = 0.05
-# A server is left out when its failure rate is this much above its service's usual one,
-# and more the fewer answers there are: two of four that failed may be chance.
-EXCESS = 0.25
-FEWEST_ANSWERS = 3.0
-# An answer counts as no later than this many times what was expected, and no sooner.
+# A server is excluded when its failure rate exceeds the service's median by this much
+# plus 1/answers; with few answers the margin is wider, since two failures of four may
+# be chance.
+EXCESS_FAILURE_RATE = 0.25
+MIN_ANSWERS = 3.0
+# Bounds of one answer's time as a multiple of the expected time.
 LATEST = 4.0
-SOONEST = 0.5
-# A server counts as slow from this many times the usual lateness on. Less is chance, and
-# a server that others avoid for that leaves them the more to wait for.
-NOTICED_LATENESS = 1.3
-# Beside this, an answer to a short prompt that is some ms late is not late.
-UNNOTICED_SECONDS = 0.05
+MIN_RELATIVE_LATENCY = 0.5
+# A server counts as slow from this multiple of the median on. Less is chance, and if
+# others avoided a server for that, they would only queue more elsewhere.
+SLOW_THRESHOLD = 1.3
+# Added to both times, so that a few ms of delay on a short prompt do not count as late.
+LATENCY_TOLERANCE_SECONDS = 0.05
 
 
 class AnswerCounts(NamedTuple):
-    """Answers of a server, older ones counted less.
+    """Exponentially decayed counts of a server's answers.
 
-    :param failed: those that its caller could not use.
-    :param lateness: sum of their times, each as a multiple of what was expected.
+    :param failed: answers that the caller could not use.
+    :param lateness: sum of the answers' times, each as a multiple of the expected time.
     """
 
     answers: float = 0
     failed: float = 0
     lateness: float = 0
 
-    def fade(self, seconds: float) -> 'AnswerCounts':
-        """Return what they count for after some seconds."""
-        part = math.exp(-max(seconds, 0) / FADE_SECONDS)
+    def decay(self, seconds: float) -> 'AnswerCounts':
+        """Return the counts decayed by some seconds."""
+        factor = math.exp(-max(seconds, 0) / DECAY_SECONDS)
         return AnswerCounts(
-            self.answers * part, self.failed * part, self.lateness * part
+            self.answers * factor, self.failed * factor, self.lateness * factor
         )
 
     def add(self, other: 'AnswerCounts') -> 'AnswerCounts':
-        """Return both together."""
+        """Return the sum of both counts."""
         return AnswerCounts(
             self.answers + other.answers,
             self.failed + other.failed,
             self.lateness + other.lateness,
         )
 
-    def take_off(self, part: 'AnswerCounts') -> 'AnswerCounts':
-        """Return what is left without a part."""
+    def take_off(self, other: 'AnswerCounts') -> 'AnswerCounts':
+        """Return these counts without others."""
         return AnswerCounts(
-            max(self.answers - part.answers, 0),
-            max(self.failed - part.failed, 0),
-            max(self.lateness - part.lateness, 0),
+            max(self.answers - other.answers, 0),
+            max(self.failed - other.failed, 0),
+            max(self.lateness - other.lateness, 0),
         )
 
 
@@ -73,89 +75,93 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _TimedCounts:
     counts: AnswerCounts
     at: float
 
 
 @dataclass(slots=True)
 class ServerEvidence:
-    """What this daemon and its peers have seen of one server."""
+    """What this daemon and its peers have observed of one server."""
 
-    own: _Told = field(default_factory=lambda: _Told(AnswerCounts(), 0))
-    peers: dict[str, _Told] = field(default_factory=dict)
+    own: _TimedCounts = field(default_factory=lambda: _TimedCounts(AnswerCounts(), 0))
+    peers: dict[str, _TimedCounts] = field(default_factory=dict)
 
     def note_answer(self, now: float, *, failed: bool, lateness: float) -> None:
-        """Take in an answer of this daemon's, or that there was none."""
-        counted = AnswerCounts(1, failed, min(max(lateness, SOONEST), LATEST))
-        self.own = _Told(self.read_own(now).add(counted), now)
+        """Count a local answer, or the lack of one."""
+        counted = AnswerCounts(
+            1, failed, min(max(lateness, MIN_RELATIVE_LATENCY), LATEST)
+        )
+        self.own = _TimedCounts(self.read_own(now).add(counted), now)
 
     def read_own(self, now: float) -> AnswerCounts:
-        """Return what this daemon has seen, for its peers."""
-        return self.own.counts.fade(now - self.own.at)
+        """Return the local counts, decayed to now."""
+        return self.own.counts.decay(now - self.own.at)
 
     def note_peer(self, peer: str, counts: AnswerCounts, now: float) -> None:
-        """Take in what a peer has seen, or some of them together."""
-        self.peers[peer] = _Told(counts, now)
+        """Replace the counts received from a peer, or from several summed up."""
+        self.peers[peer] = _TimedCounts(counts, now)
 
     @property
     def has_own(self) -> bool:
-        """Tell whether this daemon has ever had an answer of it."""
+        """Tell whether this daemon ever had an answer from the server."""
         return bool(self.own.counts.answers)
 
     def sum_all(self, now: float) -> AnswerCounts:
-        """Return what all have seen."""
+        """Return the counts of all daemons."""
         answers, failed, lateness = self.read_own(now) if self.has_own else (0, 0, 0)
-        for told in self.peers.values():
-            age = now - told.at
-            if age < TOLD_SECONDS:
-                part = math.exp(-age / FADE_SECONDS)
-                counts = told.counts
-                answers += counts.answers * part
-                failed += counts.failed * part
-                lateness += counts.lateness * part
+        for timed in self.peers.values():
+            age = now - timed.at
+            if age < PEER_COUNTS_SECONDS:
+                factor = math.exp(-age / DECAY_SECONDS)
+                counts = timed.counts
+                answers += counts.answers * factor
+                failed += counts.failed * factor
+                lateness += counts.lateness * factor
         return AnswerCounts(answers, failed, lateness)
 
 
-def find_lateness(counts: AnswerCounts) -> float:
-    """Return how many times as late as expected a server's answers come."""
+def find_relative_latency(counts: AnswerCounts) -> float:
+    """Return the server's mean answer time as a multiple of the expected time."""
     answers = counts.answers + ASSUMED_ANSWERS
     return (counts.lateness + ASSUMED_ANSWERS) / answers
 
 
-def find_slowness(lateness: float, usual: float) -> float:
-    """Return how many times as long as at others a request takes at a server.
+def find_slowness(lateness: float, median: float) -> float:
+    """Return the factor by which a request takes longer than at other servers.
 
-    :param usual: median lateness of the service's servers; all are late under load.
+    :param median: of the service's servers; under load all of them are slower.
     """
-    return max(lateness / usual / NOTICED_LATENESS, 1)
+    return max(lateness / median / SLOW_THRESHOLD, 1)
 
 
 def find_failure_rate(counts: AnswerCounts) -> float:
-    """Return the part of a server's answers that failed."""
+    """Return the fraction of a server's answers that failed."""
     return counts.failed / (counts.answers + ASSUMED_ANSWERS)
 
 
-def is_failing(counts: AnswerCounts, usual_rate: float) -> bool:
-    """Tell whether a server fails so much more than others that it is left out.
+def is_failing(counts: AnswerCounts, median_rate: float) -> bool:
+    """Tell whether a server fails so much more than others that it is excluded.
 
-    Left out it gives no answers, what is known of it fades, and it is tried again.
+    While excluded it gives no answers, so its counts decay, and it is tried again.
     """
-    if counts.answers < FEWEST_ANSWERS:
+    if counts.answers < MIN_ANSWERS:
         return False
-    excess = find_failure_rate(counts) - usual_rate
-    return excess > EXCESS + 1 / counts.answers
+    excess = find_failure_rate(counts) - median_rate
+    return excess > EXCESS_FAILURE_RATE + 1 / counts.answers
 
 
 def compare_times(seconds: float, expected: float) -> float:
-    """Return an answer's time as a multiple of what was expected."""
-    return (seconds + UNNOTICED_SECONDS) / (expected + UNNOTICED_SECONDS)
+    """Return an answer's time as a multiple of the expected time."""
+    return (seconds + LATENCY_TOLERANCE_SECONDS) / (
+        expected + LATENCY_TOLERANCE_SECONDS
+    )
 
 
-def add_answers(told: Iterable[Answers]) -> dict[BackendServerId, AnswerCounts]:
-    """Return the answers that daemons have seen together, by server."""
+def add_answers(reports: Iterable[Answers]) -> dict[BackendServerId, AnswerCounts]:
+    """Return the summed counts of several daemons, by server."""
     total: dict[BackendServerId, AnswerCounts] = {}
-    for answers in told:
+    for answers in reports:
         for server, counts in answers.items():
             total[server] = total.get(server, AnswerCounts()).add(counts)
     return total
--- a/libs/serving/fireflyhitch_serving/servers.py
+++ b/libs/serving/fireflyhitch_serving/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that this daemon knows, and what it learned of each."""
+"""The backend servers that this daemon knows, with their load and statistics."""
 
 from collections import OrderedDict
 from collections.abc import Container, Iterable, Mapping
@@ -25,34 +25,35 @@
     AnswerCounts,
     ServerEvidence,
     find_failure_rate,
-    find_lateness,
+    find_relative_latency,
     find_slowness,
     is_failing,
 )
 
 # Prompt parts remembered for each server; an engine's cache holds some hundreds.
-MOST_PARTS = 2048
-# A note of what a peer has in flight counts for this long; peers tell each other
-# several times a second, and a peer that is gone has nothing in flight.
-PEER_NOTE_SECONDS = 2.0
-# What is known of all servers changes with the peers' news, not with each request.
-JUDGED_SECONDS = 0.4
-# A prompt's parts belong to so many servers by hash: choosing among all servers, each
-# daemon sends to the one that was idle by its late news, and reads shared parts once
-# more there. Some more are ranked, as the first ones may be leaving or left out.
-AGREED_SERVERS = 2
-MOST_RANKED = 8
+MAX_CACHED_PARTS = 2048
+# Lifetime of a peer's in-flight counts. Peers send them several times a second, and a
+# peer that is gone has nothing in flight.
+PEER_WORK_SECONDS = 2.0
+# Statistics change with the peers' reports, not with each request.
+EVALUATION_INTERVAL_SECONDS = 0.4
+# A prompt part maps to this many servers by rendezvous hashing. Choosing among all
+# servers, each daemon would send to the server that was idle by its outdated state, and
+# shared parts would be read there once more. More servers are ranked, since the first
+# ones may be leaving or excluded.
+AFFINITY_SERVERS = 2
+MAX_RANKED = 8
 
 
 @immutable
 class ServerEntry:
     """A server as the platform lists it.
 
-    :param slots: requests that it works on at once.
-    :param ready: whether it may be given work; a leaving one may not.
-    :param cold_seconds: for how much longer it is slow after its start.
-    :param born: milliseconds since 1970 of its start; tells two starts apart.
-    :param reclaimable: whether the platform may take it away.
+    :param slots: requests that it processes concurrently.
+    :param ready: whether it may get requests; a leaving server may not.
+    :param cold_seconds: remaining time for which it is slow after its start.
+    :param born: start time in milliseconds since 1970; identifies the process.
+    :param reclaimable: whether the platform may reclaim it.
     :param leaves_seconds: until it is gone, where that is known.
     """
 
@@ -70,11 +71,11 @@
 
 
 class InFlight(NamedTuple):
-    """Work that a daemon has at a server.
+    """Work that a daemon has in flight at a server.
 
-    :param requests: without a whole answer yet.
-    :param prompt_tokens: of those whose first token has not come, less what the
-        server is thought to have cached.
+    :param requests: requests without a complete response.
+    :param prompt_tokens: of requests without a first token yet, less the tokens that
+        the server probably has cached.
     """
 
     requests: int = 0
@@ -82,18 +83,18 @@
 
 
 @dataclass(slots=True)
-class _PeerNote:
+class _PeerWork:
     work: InFlight
     at: float
 
 
 @dataclass(slots=True)
 class ServerRecord:
-    """A server, the work that it has, and how its answers have been.
+    """A server with its load and statistics.
 
-    :param evidence: how it has answered all daemons.
-    :param slowness: how many times as long as at others a request takes, by that.
-    :param failing: whether it fails much more than others do.
+    :param evidence: its answers to all daemons.
+    :param slowness: factor by which a request takes longer than at other servers.
+    :param failing: whether it fails much more often than others.
     """
 
     server: ServerEntry
@@ -103,7 +104,7 @@
     prompt_tokens: int = 0
     load: ServerLoadNote | None = None
     load_at: float = 0
-    peers: dict[str, _PeerNote] = field(default_factory=dict)
+    peers: dict[str, _PeerWork] = field(default_factory=dict)
     evidence: ServerEvidence = field(default_factory=ServerEvidence)
     slowness: float = 1
     failing: bool = False
@@ -111,76 +112,76 @@
     process: ProcessId = field(init=False)
 
     def __post_init__(self) -> None:
-        """Name the server's process."""
+        """Set the id of the server's process."""
         self.process = identify_process(self.server.server_id, self.server.born)
 
     @property
     def own(self) -> InFlight:
-        """Return what this daemon has in flight there."""
+        """Return the work that this daemon has in flight there."""
         return InFlight(self.requests, self.prompt_tokens)
 
     def total(self, now: float) -> InFlight:
-        """Return what all daemons are known to have in flight there."""
+        """Return the known work of all daemons in flight there."""
         requests = self.requests
         tokens = self.prompt_tokens
-        for note in self.peers.values():
-            if now - note.at < PEER_NOTE_SECONDS:
-                requests += note.work.requests
-                tokens += note.work.prompt_tokens
+        for reported in self.peers.values():
+            if now - reported.at < PEER_WORK_SECONDS:
+                requests += reported.work.requests
+                tokens += reported.work.prompt_tokens
         return InFlight(requests, tokens)
 
     def note_peer(self, peer: str, work: InFlight, now: float) -> None:
-        """Take in what a peer has in flight there; nothing is kept of one that has none."""
+        """Replace a peer's work in flight; a peer without any is removed."""
         if any(work):
-            self.peers[peer] = _PeerNote(work, now)
+            self.peers[peer] = _PeerWork(work, now)
         else:
             self.peers.pop(peer, None)
 
     def note_load(self, load: ServerLoadNote, now: float) -> None:
-        """Take in the server's own account."""
+        """Set the load that the server reported."""
         self.load = load
         self.load_at = now
 
-    def mark(self, *, failing: bool, by: AnswerCounts) -> None:
-        """Note whether it fails much more than others do."""
+    def set_failing(self, *, failing: bool, counts: AnswerCounts) -> None:
+        """Set whether it fails much more often than others."""
         if failing == self.failing:
             return
         self.failing = failing
         logger.bind(
             server=self.server.server_id,
-            answers=round(by.answers, 1),
-            failed=round(by.failed, 1),
+            answers=round(counts.answers, 1),
+            failed=round(counts.failed, 1),
             failing=failing,
         ).info('server judged')
 
     def note_parts(self, parts: Iterable[PromptPart], now: float) -> None:
-        """Note that a prompt's parts are, or will soon be, in its cache."""
+        """Record that a prompt's parts are, or will soon be, in its cache."""
         self.note_part_ids((part.part_id for part in parts), now)
 
     def note_part_ids(self, part_ids: Iterable[str], now: float) -> None:
-        """Note parts by their ids."""
+        """Record parts as cached, by their ids."""
         for part_id in part_ids:
             self.note_part(part_id, now)
 
     def note_part(self, part_id: str, now: float) -> None:
-        """Note one part as cached."""
+        """Record one part as cached."""
         self.parts[part_id] = now
         self.parts.move_to_end(part_id)
-        if len(self.parts) > MOST_PARTS:
+        if len(self.parts) > MAX_CACHED_PARTS:
             self.parts.popitem(last=False)
 
 
 class ServerBook:
-    """All servers; changed by the platform's list, read by choices."""
+    """All known servers, updated from the platform's list."""
 
     def __init__(self) -> None:
-        """Make a book without servers."""
+        """Create an empty registry."""
         self._records: dict[BackendServerId, ServerRecord] = {}
         self._by_service: dict[DeploymentId, list[ServerRecord]] = {}
-        self._judged_at: dict[DeploymentId, float] = {}
-        self._usual_rates: dict[DeploymentId, float] = {}
+        self._evaluated_at: dict[DeploymentId, float] = {}
+        self._median_rates: dict[DeploymentId, float] = {}
         self._ranked: LRUCache[tuple[DeploymentId, str], list[BackendServerId]] = (
-            LRUCache(MOST_PARTS)
+            LRUCache(MAX_CACHED_PARTS)
         )
 
     def find(self, server_id: BackendServerId) -> ServerRecord | None:
@@ -188,65 +189,78 @@
         return self._records.get(server_id)
 
     def of_service(self, service: DeploymentId) -> list[ServerRecord]:
-        """Return the servers of a service, those that are leaving included."""
+        """Return the servers of a service, leaving ones included."""
         return self._by_service.get(service, [])
 
     def judge(self, service: DeploymentId, now: float) -> None:
-        """Work out which servers of a service are slow or failing, now and again."""
-        if now - self._judged_at.get(service, float('-inf')) < JUDGED_SECONDS:
+        """Update which servers of a service are slow or failing, if that is due."""
+        if (
+            now - self._evaluated_at.get(service, float('-inf'))
+            < EVALUATION_INTERVAL_SECONDS
+        ):
             return
-        self._judged_at[service] = now
+        self._evaluated_at[service] = now
         records = self.of_service(service)
         if not records:
             return
-        self._usual_rates[service] = median_high(
+        self._median_rates[service] = median_high(
             [record.health.rate for record in records]
         )
         counts = [record.evidence.sum_all(now) for record in records]
-        usual_rate = median_high([find_failure_rate(found) for found in counts])
-        usual_lateness = median_high([find_lateness(found) for found in counts])
-        for record, found in zip(records, counts, strict=True):
-            record.slowness = find_slowness(find_lateness(found), usual_lateness)
-            record.mark(failing=is_failing(found, usual_rate), by=found)
+        median_rate = median_high(
+            [find_failure_rate(server_counts) for server_counts in counts]
+        )
+        median_latency = median_high(
+            [find_relative_latency(server_counts) for server_counts in counts]
+        )
+        for record, server_counts in zip(records, counts, strict=True):
+            record.slowness = find_slowness(
+                find_relative_latency(server_counts), median_latency
+            )
+            record.set_failing(
+                failing=is_failing(server_counts, median_rate), counts=server_counts
+            )
 
     def find_usual_failure_rate(self, service: DeploymentId) -> float:
-        """Return the median rate of a service's servers, as judged last."""
-        return self._usual_rates.get(service, 0)
+        """Return the median failure rate of a service at the last evaluation."""
+        return self._median_rates.get(service, 0)
 
     def find_agreed(
-        self, service: DeploymentId, part_id: str, among: Container[BackendServerId]
+        self, service: DeploymentId, part_id: str, eligible: Container[BackendServerId]
     ) -> list[BackendServerId]:
-        """Return the servers that all daemons would choose among for a prompt's part.
+        """Return the servers that all daemons prefer for a prompt part.
 
-        :param among: those that may be chosen.
+        :param eligible: the servers to choose from.
         """
         key = (service, part_id)
         ranked = self._ranked.get(key)
         if ranked is None:
-            listed = (record.server.server_id for record in self.of_service(service))
-            ranked = rank_by_hash(part_id, listed)[:MOST_RANKED]
+            server_ids = (
+                record.server.server_id for record in self.of_service(service)
+            )
+            ranked = rank_by_hash(part_id, server_ids)[:MAX_RANKED]
             self._ranked[key] = ranked
-        return [server for server in ranked if server in among][:AGREED_SERVERS]
+        return [server for server in ranked if server in eligible][:AFFINITY_SERVERS]
 
     def all(self) -> Mapping[BackendServerId, ServerRecord]:
         """Return all records."""
         return self._records
 
     def put(self, server: ServerEntry) -> bool:
-        """Take in a server as it is listed now.
+        """Add or update a server as it is listed now.
 
-        A new start or address is another process: what was learned of the old
-        one is forgotten with its connections.
+        A new start time or address is another process: the statistics and connections
+        of the old one are dropped.
 
-        :returns: whether this changes who may be given work.
+        :returns: whether this changes which servers may get requests.
         """
-        known = self._records.get(server.server_id)
-        if known is not None and _is_same(known.server, server):
-            changed = known.server.ready != server.ready
-            known.server = server
+        current = self._records.get(server.server_id)
+        if current is not None and _is_same_process(current.server, server):
+            changed = current.server.ready != server.ready
+            current.server = server
             return changed
-        if known is not None:
-            known.pool.close()
+        if current is not None:
+            current.pool.close()
         self._records[server.server_id] = ServerRecord(
             server, ConnectionPool(), ServerHealth()
         )
@@ -254,12 +268,12 @@
         return True
 
     def remove(self, server_id: BackendServerId) -> ServerRecord | None:
-        """Forget a server that is gone."""
+        """Remove a server that is gone."""
         record = self._records.pop(server_id, None)
         if record is None:
             return None
         record.pool.close()
-        # Requests still being prepared for it see that it has left.
+        # Requests still being prepared for it see that it is leaving.
         record.server = _as_leaving(record.server)
         self._index()
         return record
@@ -272,7 +286,7 @@
             self._by_service.setdefault(service, []).append(record)
 
 
-def _is_same(old: ServerEntry, new: ServerEntry) -> bool:
+def _is_same_process(old: ServerEntry, new: ServerEntry) -> bool:
     return (old.born, old.address, old.service, old.version) == (
         new.born,
         new.address,
--- a/libs/serving/tests/test_named_limits.py
+++ b/libs/serving/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what a server's answer says of its limit."""
+"""Tests of the limits that servers report in their responses."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 from fireflyhitch_standins.scripted_server import SeenRequest
 
 
-class Answers:
-    """A server's script: one head after the other, each with an empty body."""
+class ScriptedResponses:
+    """A server's script: one response head after the other, with empty bodies."""
 
     def __init__(self, *heads: str) -> None:
         self._heads = list(heads)
 
     async def answer(self, request: SeenRequest, writer: asyncio.StreamWriter) -> None:
-        """Answer with the next head."""
+        """Send the next head."""
         head = self._heads.pop(0)
         writer.write(
             f'HTTP/1.1 {head}\r\nX-Id: {request.request_id}\r\n'
@@ -24,48 +24,50 @@
         )
 
 
-NAMED = '200 OK\r\nX-Signed: 1\r\nX-Limit: 50'
+WITH_LIMIT = '200 OK\r\nX-Signed: 1\r\nX-Limit: 50'
 SIGNED = '200 OK\r\nX-Signed: 1'
-ANOTHER = '421 Misdirected Request\r\nX-Not-Run: 1'
+OTHER_SERVER = '421 Misdirected Request\r\nX-Not-Run: 1'
 
 
-def find_named(*heads: str) -> bool:
-    """Return whether a limit stands after answers with these heads."""
-    named: list[bool] = []
+def has_limit_after(*heads: str) -> bool:
+    """Return whether a limit is in effect after responses with these heads."""
+    has_limit: list[bool] = []
 
     async def script(scene: Scene) -> None:
-        await scene.add('i-1', Answers(*heads).answer)
+        await scene.add('i-1', ScriptedResponses(*heads).answer)
         for number, _ in enumerate(heads):
             await scene.ask(request_id=f'r{number}')
-        named.append(scene.limits.are_named)
+        has_limit.append(scene.limits.are_named)
 
     play(Scene(), script)
-    return named[0]
+    return has_limit[0]
 
 
-class TestRequestsThatWaitForTurns:
-    """Guards against a promise that a request has not run, though a server had it."""
+class TestQueuedRequests:
+    """Guards against a request reported as not run although a server had it."""
 
-    def test_one_that_a_server_had_is_not_refused_as_not_run(self) -> None:
+    def test_a_request_that_reached_a_server_is_not_refused_as_not_run(self) -> None:
         async def script(scene: Scene) -> None:
             await scene.add('a', close_connection())
-            await scene.add('b', Answers().answer)
+            await scene.add('b', ScriptedResponses().answer)
             limited = scene.book.all()[BackendServerId('b')]
             now = scene.clock.monotonic()
             server_id = limited.server.server_id
             scene.limits.note_answer(limited.process, server_id, 0.0, now, now)
             while scene.limits.may_send(limited.process):
                 scene.limits.note_sent(limited.process)
-            got = await scene.ask()
-            assert (got.status, got.headers['x-outcome']) == (502, 'unknown')
+            response = await scene.ask()
+            assert (response.status, response.headers['x-outcome']) == (502, 'unknown')
 
         play(Scene(), script)
 
 
-class TestNamedLimits:
-    def test_an_answer_names_a_limit_and_one_without_it_ends_it(self) -> None:
-        assert find_named(NAMED)
-        assert not find_named(NAMED, SIGNED)
+class TestReportedLimits:
+    def test_a_response_sets_a_limit_and_one_without_it_removes_it(self) -> None:
+        assert has_limit_after(WITH_LIMIT)
+        assert not has_limit_after(WITH_LIMIT, SIGNED)
 
-    def test_what_another_server_says_at_its_address_does_not_end_it(self) -> None:
-        assert find_named(NAMED, ANOTHER)
+    def test_a_response_of_another_server_at_its_address_does_not_remove_it(
+        self,
+    ) -> None:
+        assert has_limit_after(WITH_LIMIT, OTHER_SERVER)
--- a/libs/serving/tests/test_server_ends.py
+++ b/libs/serving/tests/test_server_ends.py
@@ -1,4 +1,4 @@
-"""Tests of what counts as a server's end under a request."""
+"""Tests of which aborted responses count as server crashes."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 from fireflyhitch_routing.quarantine import Hold
 from fireflyhitch_standins.scripted_server import Script, ScriptedServer, SeenRequest
 
-# The watch looks first after some hundredths of a second, and again after some tenths.
-LOOK_SECONDS = 0.5
+# The first probes are some hundredths and some tenths of a second after the abort.
+DETECTION_SECONDS = 0.5
 
 
-def end_server(servers: list[ScriptedServer]) -> Script:
-    """Return a script of the last server, whose process ends under any request."""
+def crash_server(servers: list[ScriptedServer]) -> Script:
+    """Return a script with which the last server exits on any request."""
 
     async def script(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
         servers[-1].stop()
@@ -22,37 +22,37 @@
     return script
 
 
-async def cut_answer_off(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
-    """End a connection in the middle of an answer, and live on."""
+async def abort_response(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
+    """Close the connection in the middle of a response, and stay up."""
     writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf')
     writer.close()
 
 
-def count_ends(scene: Scene) -> int:
-    """Return how many servers have ended under the one request."""
+def count_crashes(scene: Scene) -> int:
+    """Return how many servers have crashed under the only request."""
     return sum(len(suspect.ends) for suspect in scene.crashes.book.all().values())
 
 
-class TestServerEnds:
-    def test_a_server_that_listens_no_more_has_ended_under_its_request(self) -> None:
+class TestCrashDetection:
+    def test_a_server_that_stops_listening_has_crashed_under_its_request(self) -> None:
         async def script(scene: Scene) -> None:
-            await scene.add('i-1', end_server(scene.servers))
+            await scene.add('i-1', crash_server(scene.servers))
             assert (await scene.ask()).status == 502
-            await asyncio.sleep(LOOK_SECONDS)
-            assert count_ends(scene) == 1
+            await asyncio.sleep(DETECTION_SECONDS)
+            assert count_crashes(scene) == 1
 
         play(Scene(), script)
 
-    def test_a_server_that_cuts_an_answer_off_and_lives_on_has_not(self) -> None:
+    def test_a_server_that_aborts_a_response_and_stays_up_has_not_crashed(self) -> None:
         async def script(scene: Scene) -> None:
-            await scene.add('i-1', cut_answer_off)
+            await scene.add('i-1', abort_response)
             assert (await scene.ask()).status == 502
-            await asyncio.sleep(LOOK_SECONDS)
-            assert not count_ends(scene)
+            await asyncio.sleep(DETECTION_SECONDS)
+            assert not count_crashes(scene)
 
         play(Scene(), script)
 
-    def test_a_server_that_was_leaving_ends_by_order(self) -> None:
+    def test_the_exit_of_a_leaving_server_is_not_a_crash(self) -> None:
         async def script(scene: Scene) -> None:
             async def leave(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
                 scene.book.remove(BackendServerId('i-1'))
@@ -61,23 +61,23 @@
 
             await scene.add('i-1', leave)
             assert (await scene.ask()).status == 502
-            await asyncio.sleep(LOOK_SECONDS)
-            assert not count_ends(scene)
+            await asyncio.sleep(DETECTION_SECONDS)
+            assert not count_crashes(scene)
 
         play(Scene(), script)
 
     def test_a_held_request_is_refused_at_once_and_reaches_no_server(self) -> None:
         async def script(scene: Scene) -> None:
-            server = await scene.add('i-1', end_server(scene.servers))
+            server = await scene.add('i-1', crash_server(scene.servers))
             await scene.ask()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(DETECTION_SECONDS)
             content = list(scene.crashes.book.all())[0]
             hold = Hold(scene.clock.monotonic() + 30, frozenset())
             scene.crashes.quarantine.take_hold(content, hold)
-            got = await scene.ask(request_id='r2')
-            assert got.status == 503
-            assert got.headers['x-outcome'] == 'not-run'
-            assert 29 < float(got.headers['retry-after']) <= 30
+            response = await scene.ask(request_id='r2')
+            assert response.status == 503
+            assert response.headers['x-outcome'] == 'not-run'
+            assert 29 < float(response.headers['retry-after']) <= 30
             assert len(server.seen) == 1
 
         play(Scene(), script)
--- a/libs/serving/tests/test_server_evidence.py
+++ b/libs/serving/tests/test_server_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of what daemons learn together of servers that are slow, hang or fail."""
+"""Tests of the shared statistics of servers that are slow, hang or fail."""
 
 import heapq
 import random
@@ -15,21 +15,21 @@
     AnswerCounts,
     ServerEvidence,
     compare_times,
-    find_lateness,
+    find_relative_latency,
     find_slowness,
     is_failing,
 )
 from fireflyhitch_serving.servers import InFlight, ServerBook, ServerRecord
 
 HERE = FailureDomainId('gent')
-USUAL_RATE = 0.1
+MEDIAN_RATE = 0.1
 ENGINES = 20
 DAEMONS = 60
 SLOW_ENGINES = 4
 SLOWNESS = 4.0
-NEWS_SECONDS = 0.5
+EXCHANGE_SECONDS = 0.5
 PROMPTS_PER_SECOND = 60
-PLAYED_SECONDS = 12
+SIMULATED_SECONDS = 12
 SLOW_FROM = 2.0
 SECONDS_PER_TOKEN = 1 / 60_000
 TARGET_SECONDS = 0.5
@@ -37,80 +37,80 @@
 Parts = tuple[PromptPart, ...]
 
 
-def see(answers: int, failed: int) -> AnswerCounts:
-    """Return answers, some of which failed and the others came in time."""
+def make_counts(answers: int, failed: int) -> AnswerCounts:
+    """Return counts of answers, some of which failed; the others came in time."""
     return AnswerCounts(answers, failed, answers)
 
 
 class TestFailing:
-    def test_a_server_that_hangs_is_known_by_what_all_have_seen(self) -> None:
-        """Guards against each of many daemons that has to find it out by itself."""
+    def test_a_hanging_server_is_detected_by_all_daemons_statistics(self) -> None:
+        """Guards against many daemons that each have to detect it on their own."""
         evidence = ServerEvidence()
         evidence.note_answer(0, failed=True, lateness=4)
-        assert not is_failing(evidence.sum_all(0), USUAL_RATE)
+        assert not is_failing(evidence.sum_all(0), MEDIAN_RATE)
         for number in range(8):
-            evidence.note_peer(f'd{number}', see(1, 1), 0)
-        assert is_failing(evidence.sum_all(0.1), USUAL_RATE)
+            evidence.note_peer(f'd{number}', make_counts(1, 1), 0)
+        assert is_failing(evidence.sum_all(0.1), MEDIAN_RATE)
 
-    def test_it_is_tried_again_once_that_was_a_while_ago(self) -> None:
-        """Guards against a server that is well again and gets nothing for good."""
+    def test_it_is_tried_again_after_its_failures_decay(self) -> None:
+        """Guards against a recovered server that never gets requests again."""
         evidence = ServerEvidence()
         for second in range(10):
             evidence.note_answer(second / 10, failed=True, lateness=4)
-        assert is_failing(evidence.sum_all(1), USUAL_RATE)
-        assert not is_failing(evidence.sum_all(6), USUAL_RATE)
+        assert is_failing(evidence.sum_all(1), MEDIAN_RATE)
+        assert not is_failing(evidence.sum_all(6), MEDIAN_RATE)
 
-    def test_failures_that_all_servers_have_leave_out_none(self) -> None:
-        """Guards against good servers left out by chance, one after the other."""
+    def test_failures_that_all_servers_have_exclude_none(self) -> None:
+        """Guards against healthy servers excluded by chance, one after the other."""
         draw = random.Random(6)  # noqa: S311
         evidence = ServerEvidence()
-        left_out = 0
+        excluded = 0
         for number in range(3000):
             now = number / 4
             failed = draw.random() < 0.14
             evidence.note_answer(now, failed=failed, lateness=1)
-            left_out += is_failing(evidence.sum_all(now), 0.14)
-        assert left_out < 30
+            excluded += is_failing(evidence.sum_all(now), 0.14)
+        assert excluded < 30
 
-    def test_a_peer_that_is_silent_tells_nothing(self) -> None:
+    def test_counts_of_an_unresponsive_peer_expire(self) -> None:
         evidence = ServerEvidence()
-        evidence.note_peer('d1', see(20, 20), 0)
+        evidence.note_peer('d1', make_counts(20, 20), 0)
         assert not evidence.sum_all(3).answers
 
 
-class TestJudging:
-    def test_a_failing_server_is_marked_in_the_book(self) -> None:
-        book = ServerBook()
+class TestEvaluation:
+    def test_a_failing_server_is_marked_in_the_registry(self) -> None:
+        registry = ServerBook()
         for number in range(3):
-            book.put(make_server(f's{number}', HERE, 12).server)
-        bad, *good = book.all().values()
+            registry.put(make_server(f's{number}', HERE, 12).server)
+        bad, *good = registry.all().values()
         for record in good:
-            record.evidence.note_peer('d1', see(10, 1), 0)
-        bad.evidence.note_peer('d1', see(10, 9), 0)
-        book.judge(DeploymentId(bad.server.service), 0.1)
+            record.evidence.note_peer('d1', make_counts(10, 1), 0)
+        bad.evidence.note_peer('d1', make_counts(10, 9), 0)
+        registry.judge(DeploymentId(bad.server.service), 0.1)
         assert bad.failing
         assert not any(record.failing for record in good)
 
 
-class Sent(NamedTuple):
-    """A prompt that an engine reads, and its time as a multiple of what was expected."""
+class SentPrompt(NamedTuple):
+    """A prompt sent to an engine, and its time as a multiple of the expected time."""
 
     daemon: int
     tokens: int
     lateness: float
 
 
-class Fleet:
-    """Daemons that each see a small part of what engines do; some engines turn slow."""
+class Simulation:
+    """Daemons that each see a small part of the traffic; some engines become slow."""
 
-    def __init__(self, *, shares: bool) -> None:
+    def __init__(self, *, exchanging: bool) -> None:
         self.views = [
             [make_server(f'e{number}', HERE, 48) for number in range(ENGINES)]
             for _ in range(DAEMONS)
         ]
-        self._shares = shares
+        self._exchanging = exchanging
         self._free_at = [0.0 for _ in range(ENGINES)]
-        self._ends: list[tuple[float, int, Sent]] = []
+        self._ends: list[tuple[float, int, SentPrompt]] = []
         self._waiting = [0 for _ in range(ENGINES)]
 
     def send(self, daemon: int, parts: Parts, now: float) -> float:
@@ -131,12 +131,12 @@
         self._waiting[engine] += tokens
         expected = (placement.queued_tokens + tokens) * SECONDS_PER_TOKEN
         lateness = compare_times(end - now, expected)
-        sent = Sent(daemon, tokens, lateness)
+        sent = SentPrompt(daemon, tokens, lateness)
         heapq.heappush(self._ends, (end, engine, sent))
         return end - now
 
     def end_until(self, now: float) -> None:
-        """Note the prompts that were read by then."""
+        """Complete the prompts that were read by then."""
         while self._ends and self._ends[0][0] <= now:
             end, engine, sent = heapq.heappop(self._ends)
             record = self.views[sent.daemon][engine]
@@ -145,7 +145,7 @@
             record.evidence.note_answer(end, failed=False, lateness=sent.lateness)
 
     def tell_all(self, now: float) -> None:
-        """Let each daemon hear of the others' work, and what they have seen."""
+        """Send each daemon the work and the statistics of the others."""
         for engine in range(ENGINES):
             records = [view[engine] for view in self.views]
             seen = [record.evidence.read_own(now) for record in records]
@@ -153,39 +153,41 @@
             for counts in seen:
                 total = total.add(counts)
             for record, own in zip(records, seen, strict=True):
-                self._tell(record, engine, total.take_off(own), now)
+                self._exchange_record(record, engine, total.take_off(own), now)
         for view in self.views:
-            late = [find_lateness(seen.evidence.sum_all(now)) for seen in view]
-            usual = median_high(late)
-            for found, judged in zip(late, view, strict=True):
-                judged.slowness = find_slowness(found, usual)
-
-    def _tell(
+            latencies = [
+                find_relative_latency(seen.evidence.sum_all(now)) for seen in view
+            ]
+            median = median_high(latencies)
+            for found, record in zip(latencies, view, strict=True):
+                record.slowness = find_slowness(found, median)
+
+    def _exchange_record(
         self, record: ServerRecord, engine: int, others: AnswerCounts, now: float
     ) -> None:
         waiting = self._waiting[engine] - record.prompt_tokens
         record.note_peer('others', InFlight(0, waiting), now)
-        if self._shares:
+        if self._exchanging:
             record.evidence.note_peer('others', others, now)
 
 
-def play(*, shares: bool) -> float:
-    """Return the part of first tokens in time while some engines are slow."""
+def simulate(*, exchanging: bool) -> float:
+    """Return the fraction of first tokens in time while some engines are slow."""
     draw = random.Random(7)  # noqa: S311
-    fleet = Fleet(shares=shares)
+    simulation = Simulation(exchanging=exchanging)
     asked = 0
     in_time = 0
-    moments = pass_moments(
-        fleet,
+    arrivals = pass_moments(
+        simulation,
         draw,
         a_second=PROMPTS_PER_SECOND,
-        news_seconds=NEWS_SECONDS,
-        seconds=PLAYED_SECONDS,
+        news_seconds=EXCHANGE_SECONDS,
+        seconds=SIMULATED_SECONDS,
     )
-    for now in moments:
+    for now in arrivals:
         topic = PromptPart(f'p{draw.randrange(TOPICS)}', 2_000)
         own = PromptPart(f'o{now}', draw.randrange(500, 8_000))
-        seconds = fleet.send(draw.randrange(DAEMONS), (topic, own), now)
+        seconds = simulation.send(draw.randrange(DAEMONS), (topic, own), now)
         if now > SLOW_FROM:
             asked += 1
             in_time += seconds <= TARGET_SECONDS
@@ -193,9 +195,9 @@
 
 
 class TestSlowEngines:
-    def test_callers_are_kept_from_engines_that_others_found_slow(self) -> None:
-        """Guards against late first tokens at engines that only some know to be slow."""
-        together = play(shares=True)
-        alone = play(shares=False)
-        assert together >= 0.9
-        assert together >= alone + 0.02
+    def test_prompts_avoid_engines_that_other_daemons_found_slow(self) -> None:
+        """Guards against late first tokens at engines that few daemons know as slow."""
+        shared = simulate(exchanging=True)
+        isolated = simulate(exchanging=False)
+        assert shared >= 0.9
+        assert shared >= isolated + 0.02
--- a/libs/serving/tests/test_state.py
+++ b/libs/serving/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of budgets, usage, health and events, without a network."""
+"""Tests of retry budgets, usage, health and events, without a network."""
 
 import random
 
@@ -7,22 +7,22 @@
 from fireflyhitch_model.ids import CustomerId, DeploymentId
 from fireflyhitch_serving.budgets import RepeatBounds, RepeatBudget
 from fireflyhitch_serving.events import EventCutter, EventOrderError
-from fireflyhitch_serving.health import EXCESS, Ending, ServerHealth
+from fireflyhitch_serving.health import EXCESS_FAILURE_RATE, Ending, ServerHealth
 from fireflyhitch_serving.usage import UsageBook
 
 SERVICE = DeploymentId('bookings')
 BAKERY = CustomerId('bakery')
 
 
-class TestRepeatBudget:
+class TestRetryBudget:
     @pytest.mark.parametrize('daemons', [1, 7, 75])
     def test_the_sum_over_all_daemons_holds_in_an_outage(self, daemons: int) -> None:
-        # Every request fails and would be repeated. The daemons do not talk, and each
-        # gets a random part of the traffic.
+        # Every request fails and would be retried. The daemons do not communicate, and
+        # each gets a random part of the traffic.
         draw = random.Random(5)  # noqa: S311
         bounds = RepeatBounds(ratio=0.2, slack=54, window=10)
         budgets = [RepeatBudget(bounds) for _ in range(daemons)]
-        repeats: list[float] = []
+        retries: list[float] = []
         requests = 0
         now = 0.0
         while now < 10:
@@ -32,10 +32,10 @@
             budget.record_request(SERVICE, now)
             requests += 1
             if budget.take(SERVICE, now):
-                repeats.append(now)
-        assert len(repeats) <= bounds.ratio * requests + bounds.slack
+                retries.append(now)
+        assert len(retries) <= bounds.ratio * requests + bounds.slack
 
-    def test_old_repeats_are_forgotten(self) -> None:
+    def test_old_retries_expire(self) -> None:
         budget = RepeatBudget(RepeatBounds(ratio=0, slack=4, window=10))
         taken = [budget.take(SERVICE, 0) for _ in range(5)]
         assert not taken[-1]
@@ -43,23 +43,23 @@
 
 
 class TestUsage:
-    def test_news_that_come_twice_or_late_count_once(self) -> None:
-        book = UsageBook('here', 5)
-        book.count(BAKERY, 12)
-        book.take_in('there', {2: {BAKERY: 5}})
-        book.take_in('there', {2: {BAKERY: 3}})
-        book.take_in('there', {2: {BAKERY: 5}})
-        assert book.sum_window(2) == {BAKERY: 6}
+    def test_repeated_or_late_counts_are_counted_once(self) -> None:
+        tracker = UsageBook('local', 5)
+        tracker.count(BAKERY, 12)
+        tracker.take_in('remote', {2: {BAKERY: 5}})
+        tracker.take_in('remote', {2: {BAKERY: 3}})
+        tracker.take_in('remote', {2: {BAKERY: 5}})
+        assert tracker.sum_window(2) == {BAKERY: 6}
 
-    def test_a_process_that_starts_again_adds_to_what_it_told_before(self) -> None:
-        book = UsageBook('here', 5)
-        book.take_in('d2/1', {2: {BAKERY: 5}})
-        book.take_in('d2/2', {2: {BAKERY: 1}})
-        assert book.sum_window(2) == {BAKERY: 6}
+    def test_a_restarted_process_adds_to_its_earlier_counts(self) -> None:
+        tracker = UsageBook('local', 5)
+        tracker.take_in('d2/1', {2: {BAKERY: 5}})
+        tracker.take_in('d2/2', {2: {BAKERY: 1}})
+        assert tracker.sum_window(2) == {BAKERY: 6}
 
 
 class TestHealth:
-    def test_a_failing_server_is_left_out_and_comes_back_on_trial(self) -> None:
+    def test_a_failing_server_is_ejected_and_comes_back_on_probation(self) -> None:
         health = ServerHealth()
         ejected = [health.record(Ending.FAILED, 0.1, now) for now in range(12)]
         assert any(ejected)
@@ -67,8 +67,8 @@
         assert not health.is_ejected(ejected.index(True) + 10)
 
     def test_failures_that_all_servers_have_eject_none(self) -> None:
-        # A service fails 14 requests in 100 by itself. Ejecting for that would leave
-        # out one good server after the other.
+        # A service fails 14 requests in 100 on its own. Ejecting servers for that would
+        # exclude one healthy server after the other.
         draw = random.Random(6)  # noqa: S311
         health = ServerHealth()
         ejected = 0
@@ -77,12 +77,12 @@
             ending = Ending.FAILED if failed else Ending.GOOD
             ejected += health.record(ending, 0.14, float(now))
         assert ejected <= 5
-        assert EXCESS > 0.14
+        assert EXCESS_FAILURE_RATE > 0.14
 
-    def test_a_server_that_cannot_be_reached_is_left_out_at_once(self) -> None:
+    def test_an_unreachable_server_is_ejected_at_once(self) -> None:
         assert ServerHealth().record(Ending.UNREACHED, 0, 0)
 
-    def test_callers_that_leave_say_nothing_of_a_server(self) -> None:
+    def test_cancelled_requests_do_not_count(self) -> None:
         health = ServerHealth()
         for now in range(20):
             health.record(Ending.CANCELLED, 0, now)
@@ -90,20 +90,20 @@
 
 
 class TestEvents:
-    def test_events_cut_anywhere_come_out_whole(self) -> None:
+    def test_events_split_anywhere_come_out_complete(self) -> None:
         data = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(1, 30))
         for size in (1, 2, 7, 100):
-            cutter = EventCutter()
+            splitter = EventCutter()
             out = [
-                cutter.cut(data[start : start + size])
+                splitter.cut(data[start : start + size])
                 for start in range(0, len(data), size)
             ]
             assert b''.join(out) == data
             assert all(not part or part.endswith(b'\n\n') for part in out)
-            assert not cutter.torn
+            assert not splitter.torn
 
-    def test_a_missing_event_is_an_error_and_a_repeated_one_is_left_out(self) -> None:
-        cutter = EventCutter(last_id=4)
-        assert cutter.cut(b'id: 4\n\nid: 5\n\n') == b'id: 5\n\n'
+    def test_a_missing_event_is_an_error_and_a_repeated_one_is_dropped(self) -> None:
+        splitter = EventCutter(last_id=4)
+        assert splitter.cut(b'id: 4\n\nid: 5\n\n') == b'id: 5\n\n'
         with pytest.raises(EventOrderError):
-            cutter.cut(b'id: 7\n\n')
+            splitter.cut(b'id: 7\n\n')
