--- a/libs/serving/fireflyhitch_serving/duty_calls.py
+++ b/libs/serving/fireflyhitch_serving/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls that one daemon at a time makes for all."""
+"""Platform calls that only the leader makes, for all daemons."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class CallResult(Enum):
-    """What became of a duty's call."""
+    """The result of a leader's call."""
 
     DONE = 'done'
     UNAVAILABLE = 'unavailable'
@@ -19,7 +19,7 @@
 
 @immutable
 class ServerOrder:
-    """How many servers of a kind there are to be in a failure domain."""
+    """The desired number of servers of one kind in a failure domain."""
 
     service: DeploymentId
     failure_domain: FailureDomainId
@@ -28,7 +28,7 @@
 
 
 class DutyCalls(Protocol):
-    """The platform's side of the duties; no method raises."""
+    """The platform's side of the leader's duties; no method raises."""
 
     async def report_usage(
         self, leadership: Leadership, window: int, counts: Mapping[CustomerId, int]
@@ -38,4 +38,4 @@
     async def order_servers(
         self, leadership: Leadership, order: ServerOrder
     ) -> CallResult:
-        """Order servers; ``UNAVAILABLE`` if there are none to be had now."""
+        """Order servers; ``UNAVAILABLE`` if there are none available now."""
--- a/libs/serving/fireflyhitch_serving/holds.py
+++ b/libs/serving/fireflyhitch_serving/holds.py
@@ -1,8 +1,8 @@
-"""Keeps requests that are held back in the store, for daemons that start or were cut off.
+"""Persists holds in the store, for daemons that start or were partitioned.
 
-Daemons tell each other what they have seen, and come to the same verdict. One that did not
-hear them then learns it from the store, and so do all when all of them have started anew.
-The leader writes; the keys go with their lease.
+Daemons exchange crash records and come to the same holds. One that missed them reads
+the holds from the store, and so do all daemons after a restart of all of them. The
+leader writes; the keys expire with their lease.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 from fireflyhitch_serving.store_health import StoreHealth
 
 HOLDS_PREFIX = f'{OWN_PREFIX}holds/'
-LOOK_SECONDS = 0.2
-# Turns of news after which all have told what speaks for a request.
-SETTLED_TURNS = 2
+CHECK_INTERVAL_SECONDS = 0.2
+# Exchange rounds after which all daemons have sent the evidence in a request's favour.
+SETTLED_ROUNDS = 2
 RETRY_SECONDS = 0.5
 
 
 class HoldKeeper:
-    """Takes in the holds in the store, and writes them while this daemon leads."""
+    """Applies the holds in the store, and writes them while this daemon leads."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         clock: Clock,
         peers: PeerBook,
     ) -> None:
-        """Make a keeper that knows of none."""
+        """Create a manager that knows no stored holds."""
         self._quarantine = quarantine
         self._store = store
         self._lease = lease
@@ -47,39 +47,41 @@
         self._peers = peers
         self._stored: set[ContentId] = set()
 
-    def take(self, rest: str, value: bytes | None) -> None:
-        """Take in what stands under a request's key.
+    def take(self, key_suffix: str, value: bytes | None) -> None:
+        """Apply a change of a hold's key.
 
-        A key that is gone releases nothing: its lease may have ended while the store was
-        down. Each daemon counts the time itself.
+        A deleted key releases nothing: its lease may have expired while the store was
+        down. Each daemon tracks the hold's expiry itself.
         """
-        content = ContentId(rest)
+        content = ContentId(key_suffix)
         if value is None:
             self._stored.discard(content)
             return
         try:
-            hold = self._read(value)
+            hold = self._parse(value)
         except (ValueError, KeyError, TypeError) as error:
-            logger.bind(content=content, error=repr(error)).error('hold not readable')
+            logger.bind(content=content, error=repr(error)).error(
+                'malformed hold in the store'
+            )
             return
         self._stored.add(content)
         self._quarantine.take_hold(content, hold)
 
     async def run(self) -> None:
-        """Judge, write and delete until cancelled."""
+        """Review, write and delete holds until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            settled = SETTLED_TURNS * self._peers.turn_seconds()
-            self._quarantine.review(self._clock.monotonic(), settled)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            settle_seconds = SETTLED_ROUNDS * self._peers.turn_seconds()
+            self._quarantine.review(self._clock.monotonic(), settle_seconds)
             if self._lease.lead() is None or not self._health.answers:
                 continue
             try:
-                await self._write_all()
+                await self._sync()
             except PlatformError as error:
                 self._health.note_failure(error)
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _write_all(self) -> None:
+    async def _sync(self) -> None:
         held = dict(self._quarantine.held())
         for content in held.keys() - self._stored:
             await self._write(content, held[content])
@@ -90,23 +92,25 @@
             self._stored -= released
 
     async def _write(self, content: ContentId, hold: Hold) -> None:
-        left = hold.until - self._clock.monotonic()
-        if left <= 0:
+        remaining = hold.until - self._clock.monotonic()
+        if remaining <= 0:
             return
-        lease = await self._health.hear(self._store.grant_lease(left))
+        lease = await self._health.hear(self._store.grant_lease(remaining))
         put = Put(f'{HOLDS_PREFIX}{content}', self._render(hold), ABSENT, lease)
         await self._health.hear(self._store.put([put]))
-        # If another has written it, the view of the store tells what.
+        # If another daemon has written it, the store's watch delivers that value.
         self._stored.add(content)
-        logger.bind(content=content, seconds=round(left)).info('hold kept')
+        logger.bind(content=content, seconds=round(remaining)).info('hold kept')
 
     def _render(self, hold: Hold) -> bytes:
         until = self._peers.wall() + hold.until - self._clock.monotonic()
         fields = {'until': until, 'processes': sorted(hold.processes)}
         return json.dumps(fields).encode()
 
-    def _read(self, value: bytes) -> Hold:
+    def _parse(self, value: bytes) -> Hold:
         fields = json.loads(value)
-        left = min(float(fields['until']) - self._peers.wall(), HOLD_SECONDS)
-        processes = frozenset(ProcessId(int(told)) for told in fields['processes'])
-        return Hold(self._clock.monotonic() + left, processes)
+        remaining = min(float(fields['until']) - self._peers.wall(), HOLD_SECONDS)
+        processes = frozenset(
+            ProcessId(int(process)) for process in fields['processes']
+        )
+        return Hold(self._clock.monotonic() + remaining, processes)
--- a/libs/serving/fireflyhitch_serving/leases.py
+++ b/libs/serving/fireflyhitch_serving/leases.py
@@ -1,11 +1,11 @@
-"""The lease under which one daemon at a time acts for all.
+"""The lease that makes one daemon at a time the leader.
 
-The one leads whose process stands under the leader's key. The key's creation revision
-is the fencing number. A leader stops a margin before its lease can have ended by any
-clock, and never ends it early: so two turns of one instance, with another's between
+The leader is the process named in the leader's key. The key's creation revision is the
+fencing number. A leader stops a margin before its lease can have expired by any clock,
+and never ends the lease early: so two terms of one instance, with another's between
 them, are at least a whole lease apart.
 
-Only the leader, and those that claim its place, have a lease.
+Only the leader and the candidates have a lease.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 
 OWN_PREFIX = 'fireflyhitch/'
 LEADER_KEY = f'{OWN_PREFIX}leader'
-# Longer than the 3 s in which two holders may not act by turns.
+# Longer than the 3 s in which two holders must not act alternately.
 LEASE_SECONDS = 4.0
-# Four renewals fit into a lease, so that one lost answer or two do not end it.
+# Four renewals fit into a lease, so one or two lost responses do not end it.
 RENEW_SECONDS = 1.0
-# A call begun under the lease must have ended before a successor may act; calls
-# that the leader makes are bounded by what is left beyond this.
+# A call made under the lease must have ended before a successor may act; the leader's
+# calls are bounded by the time left beyond this margin.
 MARGIN_SECONDS = 0.7
-# A claim has been seen by the next candidate when this has passed.
-CLAIM_SECONDS = 0.3
+# Time in which a claim becomes visible to the next candidate.
+CLAIM_INTERVAL_SECONDS = 0.3
 RETRY_SECONDS = 0.5
 
 
@@ -39,7 +39,7 @@
     """The right to act for all daemons.
 
     :param fencing: grows with each new leader.
-    :param seconds_left: for which it may still act.
+    :param seconds_left: time for which the leader may still act.
     """
 
     fencing: FencingNumber
@@ -47,7 +47,7 @@
 
 
 class LeaderLease:
-    """Claims the lead in turn; ``lead`` tells whether this daemon may act now."""
+    """Renews or claims the leader's lease; ``lead`` tells whether this daemon leads."""
 
     def __init__(
         self,
@@ -56,13 +56,13 @@
         process: str,
         draw: random.Random,
         health: StoreHealth,
-        find_turn: Callable[[], int | None],
+        find_claim_rank: Callable[[], int | None],
     ) -> None:
-        """Make a lease that is not held.
+        """Create a lease that is not held.
 
         :param boot_clock: seconds that also pass while the instance is suspended.
-        :param find_turn: how many daemons claim the lead before this one; ``None`` if
-            it does not claim.
+        :param find_claim_rank: returns how many daemons claim before this one; ``None``
+            if this one does not claim.
         """
         self.stopping = False
         self._store = store
@@ -70,52 +70,52 @@
         self._process = process
         self._draw = draw
         self._health = health
-        self._find_turn = find_turn
+        self._find_claim_rank = find_claim_rank
         self._lease: LeaseId | None = None
-        self._until = float('-inf')
+        self._expires_at = float('-inf')
         self._fencing: FencingNumber | None = None
         self._leader: bytes | None = None
-        self._listed = False
+        self._keys_listed = False
         self._wake = asyncio.Event()
 
     def lead(self) -> Leadership | None:
         """Return the right to act, if this daemon has it now."""
-        if self._fencing is None or self.stopping or self._leader != self._mark():
+        if self._fencing is None or self.stopping or self._leader != self._own_value():
             return None
-        left = self._until - MARGIN_SECONDS - self._clock()
-        return Leadership(self._fencing, left) if left > 0 else None
+        remaining = self._expires_at - MARGIN_SECONDS - self._clock()
+        return Leadership(self._fencing, remaining) if remaining > 0 else None
 
     def find_leader(self) -> str | None:
-        """Return the name of the daemon that leads, as far as is known."""
+        """Return the name of the leading daemon, as far as known."""
         if self._leader is None:
             return None
         process = self._leader.decode().split(' ')[0]
         return process.rpartition('/')[0]
 
     def take_listed(self) -> None:
-        """Note that the store's keys are known now."""
-        self._listed = True
+        """Record that the store's keys have been listed."""
+        self._keys_listed = True
         self._wake.set()
 
     def take_leader(self, value: bytes | None, revision: Revision) -> None:
-        """Take in who stands under the leader's key."""
-        was = self._leader
+        """Apply the value of the leader's key."""
+        previous = self._leader
         self._leader = value
         self._fencing = None
-        if value is not None and value == self._mark():
+        if value is not None and value == self._own_value():
             self._fencing = FencingNumber(revision)
             logger.bind(fencing=revision).info('leading')
-        elif was is not None and was == self._mark():
+        elif previous is not None and previous == self._own_value():
             logger.info('no longer leading')
         self._wake.set()
 
     async def run(self) -> None:
-        """Keep the lead, or claim it when it is free, until cancelled."""
+        """Renew the lease, or claim it when it is free, until cancelled."""
         while not self.stopping:
             try:
                 await self._step()
             except PlatformError as error:
-                # Logged there once for each outage, with what failed.
+                # Logged once per outage by the store health, with the cause.
                 self._health.note_failure(error)
                 await asyncio.sleep(RETRY_SECONDS * (0.5 + self._draw.random()))
 
@@ -123,7 +123,7 @@
         self._wake.clear()
         if self._is_leader():
             await self._renew()
-        elif self._leader is None and self._listed:
+        elif self._leader is None and self._keys_listed:
             await self._claim()
         try:
             async with asyncio.timeout(RENEW_SECONDS):
@@ -132,33 +132,33 @@
             return
 
     def _is_leader(self) -> bool:
-        return self._lease is not None and self._leader == self._mark()
+        return self._lease is not None and self._leader == self._own_value()
 
     async def _renew(self) -> None:
-        asked = self._clock()
-        if asked < self._until - LEASE_SECONDS + RENEW_SECONDS / 2:
+        sent_at = self._clock()
+        if sent_at < self._expires_at - LEASE_SECONDS + RENEW_SECONDS / 2:
             return
         assert self._lease is not None
         if await self._health.hear(self._store.keep_lease(self._lease)):
-            self._until = asked + LEASE_SECONDS
+            self._expires_at = sent_at + LEASE_SECONDS
             return
-        logger.warning('lease lapsed')
+        logger.warning('lease expired')
         self._lease = None
 
     async def _claim(self) -> None:
-        turn = self._find_turn()
-        if turn is None:
+        rank = self._find_claim_rank()
+        if rank is None:
             return
-        await asyncio.sleep(CLAIM_SECONDS * (turn + self._draw.random() / 2))
+        await asyncio.sleep(CLAIM_INTERVAL_SECONDS * (rank + self._draw.random() / 2))
         if self._leader is not None or not self._health.answers:
             return
-        asked = self._clock()
+        sent_at = self._clock()
         self._lease = await self._health.hear(self._store.grant_lease(LEASE_SECONDS))
-        self._until = asked + LEASE_SECONDS
-        # Whether this won is learned from the key, as anyone else learns it.
-        put = Put(LEADER_KEY, self._mark(), ABSENT, self._lease)
+        self._expires_at = sent_at + LEASE_SECONDS
+        # The daemon learns from the key whether its claim succeeded, like all others.
+        put = Put(LEADER_KEY, self._own_value(), ABSENT, self._lease)
         await self._health.hear(self._store.put([put]))
-        await asyncio.sleep(CLAIM_SECONDS)
+        await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
 
-    def _mark(self) -> bytes:
+    def _own_value(self) -> bytes:
         return f'{self._process} {self._lease}'.encode()
--- a/libs/serving/fireflyhitch_serving/moves.py
+++ b/libs/serving/fireflyhitch_serving/moves.py
@@ -1,8 +1,8 @@
-"""Moves of a service's traffic to another version, as daemons follow and lead them.
+"""Moves a service's traffic to another version, on all daemons and by the leader.
 
-An order and the record of its begin lie in the store; answers of both versions are
-told between daemons. Each daemon judges by itself and stops giving an untried version
-requests at once when the evidence is against it; only the leader ends a move.
+Orders and the records of begun moves are in the store; daemons exchange the results of
+both versions. Each daemon evaluates them on its own and stops sending requests to an
+untried version at once when the results are against it; only the leader ends a move.
 """
 
 import asyncio
@@ -30,24 +30,24 @@
 from fireflyhitch_serving.versions import VersionShare, VersionShares
 
 MOVES_PREFIX = f'{OWN_PREFIX}moves/'
-# A verdict is in force everywhere within a second or two: evidence is told ten times a
-# second, and looked at this often.
-LOOK_SECONDS = 0.25
-# An answer this many times as late as the old version's usual one is slow; batches and
-# queues make good ones up to twice as late.
+# A withdrawal takes effect everywhere within a second or two: results are sent ten
+# times a second, and evaluated this often.
+CHECK_INTERVAL_SECONDS = 0.25
+# An answer is slow if it takes this many times the old version's baseline; batches and
+# queues delay good answers up to a factor of two.
 SLOW_FACTOR = 3.0
-USUAL_WEIGHT = 0.1
+BASELINE_WEIGHT = 0.1
 
-# calls, failed, slow
+# The numbers of calls, failed calls and slow calls.
 Counts = list[int]
 
 
 @immutable
 class MoveOrder:
-    """An operator's order.
+    """An operator's order to move a service to a version.
 
-    :param revision: of the order in the store; a later order has a higher one.
-    :param seconds: by which the move is done or taken back.
+    :param revision: revision of the order in the store; a later order has a higher one.
+    :param seconds: time after which the move is completed or rolled back.
     """
 
     service: DeploymentId
@@ -58,10 +58,10 @@
 
 @immutable
 class StatusForm:
-    """How the platform wants a move's state to be written.
+    """The platform's format of a move's state in the store.
 
-    :param key: of a service's state.
-    :param render: a state's value; ``None`` while the move runs.
+    :param key: returns the key of a service's state.
+    :param render: returns a state's value; the end is ``None`` while the move runs.
     """
 
     key: Callable[[DeploymentId], str]
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """A move's begin and end, as the store has them.
+    """A move's begin and end in the store.
 
     :param began: seconds since 1970.
     """
@@ -89,29 +89,29 @@
 
     @property
     def has_ended(self) -> bool:
-        """Tell whether the newest order has its end."""
+        """Tell whether the newest order has ended."""
         order = self.order
         ended = self.record.end is not None
         return ended and order is not None and self.record.order == order.revision
 
 
 class MoveBook:
-    """All moves, the answers of their versions, and the shares that follow."""
+    """All moves, the results of their versions, and the resulting traffic shares."""
 
     def __init__(self, shares: VersionShares, exposure_part: float) -> None:
-        """Make a book without moves.
+        """Create a tracker without moves.
 
-        :param exposure_part: of the requests, that an untried version may get.
+        :param exposure_part: fraction of the requests that an untried version may get.
         """
         self._shares = shares
         self._exposure_part = exposure_part
         self._moves: dict[DeploymentId, _Move] = {}
-        self._told: dict[str, Mapping[str, Counts]] = {}
+        self._peer_counts: dict[str, Mapping[str, Counts]] = {}
         self._counts: dict[str, Counts] = {}
-        self._usual: dict[tuple[DeploymentId, str], float] = {}
+        self._baselines: dict[tuple[DeploymentId, str], float] = {}
 
     def services(self) -> Iterable[DeploymentId]:
-        """Return the services that a move was ordered for."""
+        """Return the services for which a move was ordered."""
         return tuple(self._moves)
 
     def find(self, service: DeploymentId) -> _Move:
@@ -119,7 +119,7 @@
         return self._moves.setdefault(service, _Move())
 
     def take_order(self, order: MoveOrder) -> None:
-        """Take in an order."""
+        """Apply an order."""
         move = self.find(order.service)
         if move.order is None or order.revision > move.order.revision:
             move.order = order
@@ -130,7 +130,7 @@
     def take_record(
         self, service: DeploymentId, value: bytes | None, revision: Revision
     ) -> None:
-        """Take in a move's begin or end from the store."""
+        """Apply a move's begin or end from the store."""
         move = self.find(service)
         if value is None:
             move.record = _Record()
@@ -151,20 +151,22 @@
         failed: bool,
         seconds: float,
     ) -> None:
-        """Count an answer; of services under a move only."""
+        """Count an answer; only for services with a move in progress."""
         move = self._moves.get(service)
         untried = move is not None and move.order and move.order.target == version
-        slow = self._is_slow(service, route, seconds, learn=not (untried or failed))
+        slow = self._is_slow(
+            service, route, seconds, update_baseline=not (untried or failed)
+        )
         if move is None or move.order is None or move.has_ended:
             return
-        key = _name(service, move.order, version, route)
+        key = _make_key(service, move.order, version, route)
         counts = self._counts.setdefault(key, [0, 0, 0])
         counts[0] += 1
         counts[1] += failed
         counts[2] += slow
         if untried:
-            # Judged with each of its answers: by the next look a busy daemon would
-            # have given a bad version dozens more.
+            # Evaluated after each of its answers: by the next check a busy daemon would
+            # have sent dozens more requests to a bad version.
             self.apply(service)
 
     def evidence(self) -> dict[str, Counts]:
@@ -172,40 +174,42 @@
         return self._counts
 
     def take_evidence(self, process: str, counts: Mapping[str, Counts]) -> None:
-        """Take in a peer's counts; none are kept of a process that has none."""
+        """Replace a peer process's counts; a process without any is removed."""
         if counts:
-            self._told[process] = counts
+            self._peer_counts[process] = counts
         else:
-            self._told.pop(process, None)
+            self._peer_counts.pop(process, None)
 
     def count_tellers(self) -> int:
-        """Return how many peers' counts are kept."""
-        return len(self._told)
+        """Return the number of peer processes with counts."""
+        return len(self._peer_counts)
 
     def sum_evidence(self, order: MoveOrder) -> MoveEvidence:
-        """Return what all daemons saw of a move."""
+        """Return the results of all daemons for a move."""
         old: dict[str, Answers] = {}
         new: dict[str, Answers] = {}
         prefix = f'{order.service}|{order.revision}|'
-        told = [self._counts, *self._told.values()]
-        for key, numbers in chain.from_iterable(counts.items() for counts in told):
+        all_counts = [self._counts, *self._peer_counts.values()]
+        for key, numbers in chain.from_iterable(
+            counts.items() for counts in all_counts
+        ):
             if not key.startswith(prefix):
                 continue
             _, _, version, route = key.split('|', 3)
-            side = new if version == order.target else old
-            side[route] = side.get(route, Answers()).add(Answers(*numbers))
+            results = new if version == order.target else old
+            results[route] = results.get(route, Answers()).add(Answers(*numbers))
         return MoveEvidence(old, new)
 
     def apply(self, service: DeploymentId) -> None:
-        """Set the shares that a move's state and evidence stand for."""
+        """Set the traffic share that follows from a move's state and results."""
         move = self.find(service)
         order = move.order
         if order is None:
             return
-        self._shares.put(service, VersionShare(order.target, self._find_part(move)))
+        self._shares.put(service, VersionShare(order.target, self._find_share(move)))
 
     def _drop_counts(self, service: DeploymentId) -> None:
-        """Forget this daemon's evidence on a service, which each message carries."""
+        """Remove this daemon's counts of a service, which each message carries."""
         prefix = f'{service}|'
         self._counts = {
             key: counts
@@ -213,7 +217,7 @@
             if not key.startswith(prefix)
         }
 
-    def _find_part(self, move: _Move) -> float:
+    def _find_share(self, move: _Move) -> float:
         order = move.order
         assert order is not None
         record = move.record
@@ -232,17 +236,22 @@
         return find_share(evidence, self._exposure_part)
 
     def _is_slow(
-        self, service: DeploymentId, route: str, seconds: float, *, learn: bool
+        self,
+        service: DeploymentId,
+        route: str,
+        seconds: float,
+        *,
+        update_baseline: bool,
     ) -> bool:
         key = (service, route)
-        usual = self._usual.get(key)
-        if usual is None:
-            if learn:
-                self._usual[key] = seconds
+        baseline = self._baselines.get(key)
+        if baseline is None:
+            if update_baseline:
+                self._baselines[key] = seconds
             return False
-        if learn:
-            self._usual[key] = usual + (seconds - usual) * USUAL_WEIGHT
-        return seconds > usual * SLOW_FACTOR
+        if update_baseline:
+            self._baselines[key] = baseline + (seconds - baseline) * BASELINE_WEIGHT
+        return seconds > baseline * SLOW_FACTOR
 
 
 class MoveLeader:
@@ -250,47 +259,47 @@
 
     def __init__(
         self,
-        book: MoveBook,
+        tracker: MoveBook,
         lease: LeaderLease,
         store: AsyncStore,
-        form: StatusForm,
-        wall: Callable[[], float],
+        status_format: StatusForm,
+        wall_clock: Callable[[], float],
     ) -> None:
-        """Make a leader that has done nothing."""
-        self._book = book
+        """Create a coordinator that has done nothing."""
+        self._tracker = tracker
         self._lease = lease
         self._store = store
-        self._form = form
-        self._wall = wall
+        self._status_format = status_format
+        self._wall_clock = wall_clock
 
     async def run(self) -> None:
-        """Follow all moves until cancelled."""
+        """Apply and advance all moves until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            for service in self._book.services():
-                self._book.apply(service)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            for service in self._tracker.services():
+                self._tracker.apply(service)
                 if self._lease.lead() is None:
                     continue
                 try:
-                    await self._lead(service)
+                    await self._advance(service)
                 except PlatformError as error:
                     logger.bind(service=service, error=str(error)).warning(
                         'move not recorded'
                     )
 
-    async def _lead(self, service: DeploymentId) -> None:
-        move = self._book.find(service)
+    async def _advance(self, service: DeploymentId) -> None:
+        move = self._tracker.find(service)
         order = move.order
         if order is None:
             return
         record = move.record
         if record.order != order.revision:
-            await self._write(move, order, self._wall(), None)
+            await self._write(move, order, self._wall_clock(), None)
             return
         if record.end is not None:
             return
-        evidence = self._book.sum_evidence(order)
-        end = find_end(evidence, self._wall() - record.began, order.seconds)
+        evidence = self._tracker.sum_evidence(order)
+        end = find_end(evidence, self._wall_clock() - record.began, order.seconds)
         if move.withdrawn == order.revision:
             end = MoveEnd.TAKEN_BACK
         if end is not None:
@@ -299,14 +308,14 @@
     async def _write(
         self, move: _Move, order: MoveOrder, began: float, end: MoveEnd | None
     ) -> None:
-        """Write record and state together, on the revisions that are known.
+        """Write record and state together, conditional on their known revisions.
 
-        Another leader's write in between makes this one fail, and what it wrote is
-        learned from the store; so a move has one end.
+        If another leader wrote in between, this write fails and the watch delivers what
+        that leader wrote; so a move has one end.
         """
-        status_key = self._form.key(order.service)
+        status_key = self._status_format.key(order.service)
         listing = await self._store.list(status_key)
-        known = {item.key: item.revision for item in listing.items}
+        revisions = {item.key: item.revision for item in listing.items}
         record = {
             'order': order.revision,
             'began': began,
@@ -321,8 +330,8 @@
                 ),
                 Put(
                     status_key,
-                    self._form.render(order, end),
-                    known.get(status_key, ABSENT),
+                    self._status_format.render(order, end),
+                    revisions.get(status_key, ABSENT),
                 ),
             ]
         )
@@ -334,8 +343,8 @@
         ).info('move recorded')
         if isinstance(result, Written):
             move.record = _Record(order.revision, began, end, result.revision)
-            self._book.apply(order.service)
+            self._tracker.apply(order.service)
 
 
-def _name(service: DeploymentId, order: MoveOrder, version: str, route: str) -> str:
+def _make_key(service: DeploymentId, order: MoveOrder, version: str, route: str) -> str:
     return f'{service}|{order.revision}|{version}|{route}'
--- a/libs/serving/fireflyhitch_serving/scale_orders.py
+++ b/libs/serving/fireflyhitch_serving/scale_orders.py
@@ -1,4 +1,4 @@
-"""Keeps each service's servers at the number that its load needs, while leading."""
+"""Scales each service to the number of servers that its load needs, while leading."""
 
 import asyncio
 import math
@@ -22,41 +22,41 @@
 from fireflyhitch_serving.servers import ServerBook
 from fireflyhitch_serving.workloads import Workloads
 
-LOOK_SECONDS = 0.5
-# An order that could not be met is given again after this, and one whose servers are
-# not listed so long after they should have started.
-REPEAT_SECONDS = 2.5
-# Reclaims come domain by domain, and others may come before the first domain's servers
-# are replaced. Reclaimable servers to spare cost less than those bought on demand for
-# the last of them, and do not have to start first.
-DOMAINS_LOST = 3
-LEAST_NEEDED = 3
-# A peak is forgotten by half in 23 s: bursts come again, and reclaimable servers given
-# back may not be had again for some time after a reclaim.
-PEAK_KEPT = 0.985
-# Part of the time for which an engine may be busy reading: requests come in clumps, and
-# with more the queue of prompts grows.
-BUSY_PART = 0.5
-
-# A leader that has seen no load yet takes the servers that there are for what is needed,
-# but for this part: orders by a load of nothing would leave the first callers a few.
-KNOWN_PART = 0.6
-# The same for a leader that takes over while there is load: the former one knew it, and
-# what is given back now may not be had again.
-HANDED_PART = 0.85
-
-# Servers that run when the daemons start are listed one after the other, as each writes
-# its entry, once in 1.2 s; a number that stood for this long is taken for all of them.
-# Orders by what is listed first would have the others given back.
-LISTED_SECONDS = 1.5
-# Where none is listed by then there may be none.
-EMPTY_SECONDS = 6.0
-# Servers of one kind listed first that tell the kind of all.
-FIRST_LISTED = 2
-
-# Part of an engine's batch that is planned to be in use: a full one makes requests wait
-# for a place, and steps longer.
-BATCH_PART = 0.5
+CHECK_INTERVAL_SECONDS = 0.5
+# An unavailable order is repeated after this, and so is one whose servers are not
+# listed this long after they should have started.
+REORDER_SECONDS = 2.5
+# Failure domains are reclaimed one by one, and others may follow before the first one's
+# servers are replaced. Spare reclaimable servers cost less than on-demand servers
+# bought for the last domains, and need no start first.
+TOLERATED_DOMAIN_LOSSES = 3
+MIN_NEEDED = 3
+# Decay of a peak per check, half in 23 s: bursts come again, and reclaimable servers
+# that were released may be unavailable for some time after a reclaim.
+PEAK_DECAY = 0.985
+# Fraction of the time for which an engine may be busy with prefill: requests come in
+# bursts, and above this the prompt queue grows.
+TARGET_UTILIZATION = 0.5
+
+# A leader that has seen no load yet assumes that this fraction of the present servers is
+# needed: orders for no load would leave the first callers only a few servers.
+INITIAL_FLOOR_FRACTION = 0.6
+# The same for a leader that takes over under load: the previous leader knew the load,
+# and servers released now may be unavailable later.
+TAKEOVER_FLOOR_FRACTION = 0.85
+
+# Servers that run when the daemons start are listed one by one, as each writes its
+# entry, once in 1.2 s; a count unchanged for this long is taken as complete. Orders
+# based on the first entries would release the other servers.
+STABLE_LIST_SECONDS = 1.5
+# If none is listed by then, there may be none.
+EMPTY_LIST_SECONDS = 6.0
+# The first listed servers that determine whether all are on demand.
+MIN_LISTED_ON_DEMAND = 2
+
+# Fraction of an engine's batch that is planned to be in use: a full batch makes
+# requests wait for a slot, and steps longer.
+TARGET_BATCH_FRACTION = 0.5
 
 _OrderKey = tuple[DeploymentId, FailureDomainId, bool]
 
@@ -69,48 +69,48 @@
 
 
 @dataclass(slots=True)
-class _Given:
-    """An order that was given.
+class _PlacedOrder:
+    """An order that was placed.
 
-    :param present: the most servers of the kind that were there since.
-    :param wait: seconds until it may have to be given again.
+    :param present: the maximum number of servers of this kind listed since then.
+    :param wait: seconds until the order may have to be repeated.
     """
 
     count: int
-    at: float
+    placed_at: float
     present: int
     wait: float
 
-    def stands(self, order: ServerOrder, present: int, now: float) -> bool:
-        """Tell whether an order need not be given again.
+    def is_current(self, order: ServerOrder, present: int, now: float) -> bool:
+        """Tell whether the order need not be repeated.
 
-        Servers that were taken away are not replaced unasked.
+        Reclaimed servers are not replaced without a new order.
         """
         if self.count != order.count or present < self.present:
             return False
         self.present = present
-        return present == order.count or now - self.at < self.wait
+        return present == order.count or now - self.placed_at < self.wait
 
 
 @dataclass(slots=True)
 class _Peak:
-    """The most load of a service lately.
+    """The recent peak load of a service.
 
     :param busy: engines that its prompts keep busy all the time.
-    :param requests: in flight.
+    :param requests: requests in flight.
     """
 
     busy: float = 0
     requests: float = 0
 
-    def raise_to(self, busy: float, requests: float) -> None:
-        """Take in the present load; an earlier one that was higher fades."""
-        self.busy = max(self.busy * PEAK_KEPT, busy)
-        self.requests = max(self.requests * PEAK_KEPT, requests)
+    def update(self, busy: float, requests: float) -> None:
+        """Apply the current load; an earlier, higher load decays."""
+        self.busy = max(self.busy * PEAK_DECAY, busy)
+        self.requests = max(self.requests * PEAK_DECAY, requests)
 
 
 class ScaleKeeper:
-    """Orders servers; a new leader begins from what there is."""
+    """Orders servers; a new leader starts from the servers listed."""
 
     def __init__(
         self,
@@ -122,9 +122,9 @@
         calls: DutyCalls,
         clock: Clock,
     ) -> None:
-        """Make a keeper that has ordered nothing.
+        """Create an autoscaler that has placed no orders.
 
-        :param demand: tokens a second that customers ask for, of all daemons.
+        :param demand: returns the tokens a second requested of all daemons.
         """
         self._catalog = catalog
         self._servers = servers
@@ -133,7 +133,7 @@
         self._lease = lease
         self._calls = calls
         self._clock = clock
-        self._given: dict[_OrderKey, _Given] = {}
+        self._placed_orders: dict[_OrderKey, _PlacedOrder] = {}
         self._peaks: dict[DeploymentId, _Peak] = {}
         self._floors: dict[DeploymentId, float] = {}
         self._listings: dict[DeploymentId, _Listing] = {}
@@ -141,71 +141,74 @@
     async def run(self) -> None:
         """Order servers until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             catalog = self._catalog()
             if catalog is not None:
-                await self._look(catalog.services.values())
+                await self._reconcile_all(catalog.services.values())
 
-    async def _look(self, services: Collection[Service]) -> None:
+    async def _reconcile_all(self, services: Collection[Service]) -> None:
         for service in services:
-            self._note_load(service.name)
+            self._update_peak(service.name)
         if self._lease.lead() is None:
-            self._given.clear()
+            self._placed_orders.clear()
             self._floors.clear()
             return
         for service in services:
             if service.scale is not None:
-                await self._keep(service, service.scale)
+                await self._reconcile_service(service, service.scale)
 
-    async def _keep(self, service: Service, scale: ScaleBounds) -> None:
-        present = self._count(service.name, scale)
-        settled = self._note_listing(service.name, present)
-        if not settled and not _seem_on_demand(present):
+    async def _reconcile_service(self, service: Service, scale: ScaleBounds) -> None:
+        present = self._count_ready(service.name, scale)
+        settled = self._update_listing(service.name, present)
+        if not settled and not _seem_all_on_demand(present):
             return
         floor = self._find_floor(service.name, present)
         if not settled:
             # More servers may be listed yet.
             self._floors.pop(service.name)
         needed = max(self._count_needed(service), math.ceil(floor))
-        need = SpreadNeed(needed, DOMAINS_LOST)
+        need = SpreadNeed(needed, TOLERATED_DOMAIN_LOSSES)
         target = spread_servers(
             need,
             SpreadBounds(scale.least, scale.most),
             scale.domain_prices,
             present,
         )
-        for domain, wanted in target.items():
-            here = present[domain]
+        for domain, desired in target.items():
+            domain_servers = present[domain]
             await self._order(
-                ServerOrder(service.name, domain, True, wanted.reclaimable),
-                here.reclaimable,
+                ServerOrder(service.name, domain, True, desired.reclaimable),
+                domain_servers.reclaimable,
                 scale.start_seconds,
             )
             if not settled:
-                # Those on demand that are not listed yet must not be given back.
+                # On-demand servers that are not listed yet must not be released.
                 continue
             await self._order(
-                ServerOrder(service.name, domain, False, wanted.on_demand),
-                here.on_demand,
+                ServerOrder(service.name, domain, False, desired.on_demand),
+                domain_servers.on_demand,
                 scale.start_seconds,
             )
 
-    def _note_listing(
+    def _update_listing(
         self,
         service: DeploymentId,
         present: Mapping[FailureDomainId, DomainServers],
     ) -> bool:
-        """Note how many are listed; tell whether these seem to be all that run."""
+        """Update the listed count; tell whether all servers seem to be listed."""
         now = self._clock.monotonic()
-        count = sum(here.reclaimable + here.on_demand for here in present.values())
+        count = sum(
+            domain_servers.reclaimable + domain_servers.on_demand
+            for domain_servers in present.values()
+        )
         listing = self._listings.setdefault(service, _Listing(count, now))
         if listing.settled:
             return True
         if count > listing.count:
             listing.count = count
             listing.since = now
-        needed = LISTED_SECONDS if listing.count else EMPTY_SECONDS
-        # With load there is no time to wait, and what is there is in use.
+        needed = STABLE_LIST_SECONDS if listing.count else EMPTY_LIST_SECONDS
+        # Under load there is no time to wait, and the servers listed are in use.
         listing.settled = now - listing.since >= needed or self._demand() > 0
         return listing.settled
 
@@ -214,37 +217,40 @@
         service: DeploymentId,
         present: Mapping[FailureDomainId, DomainServers],
     ) -> float:
-        """Return what is needed as far as the servers tell that were there before."""
+        """Return the number of servers needed, judging by those that were present."""
         floor = self._floors.get(service)
         if floor is None:
-            part = HANDED_PART if self._demand() else KNOWN_PART
-            floor = part * count_lasting(present, DOMAINS_LOST)
+            fraction = (
+                TAKEOVER_FLOOR_FRACTION if self._demand() else INITIAL_FLOOR_FRACTION
+            )
+            floor = fraction * count_lasting(present, TOLERATED_DOMAIN_LOSSES)
         elif self._demand():
-            floor *= PEAK_KEPT
+            floor *= PEAK_DECAY
         self._floors[service] = floor
         return floor
 
-    def _note_load(self, service: DeploymentId) -> None:
-        """Take in the present load, also while another daemon leads.
+    def _update_peak(self, service: DeploymentId) -> None:
+        """Apply the current load, also while another daemon leads.
 
-        One that begins to lead in a burst would else order for less than there was.
+        A daemon that becomes leader during a burst would otherwise order for less than
+        the peak.
         """
         now = self._clock.monotonic()
         requests = sum(
             record.total(now).requests for record in self._servers.of_service(service)
         )
         busy = self._workloads.find_busy_seconds(service, self._demand())
-        self._peaks.setdefault(service, _Peak()).raise_to(busy, requests)
+        self._peaks.setdefault(service, _Peak()).update(busy, requests)
 
     def _count_needed(self, service: Service) -> int:
-        """Return how many servers carry the most load lately."""
+        """Return the number of servers that carry the recent peak load."""
         peak = self._peaks[service.name]
         batch = service.engine.batch if service.engine else 1
-        by_reading = math.ceil(peak.busy / BUSY_PART)
-        by_places = math.ceil(peak.requests / (batch * BATCH_PART))
-        return max(LEAST_NEEDED, by_reading, by_places)
+        for_prefill = math.ceil(peak.busy / TARGET_UTILIZATION)
+        for_slots = math.ceil(peak.requests / (batch * TARGET_BATCH_FRACTION))
+        return max(MIN_NEEDED, for_prefill, for_slots)
 
-    def _count(
+    def _count_ready(
         self, service: DeploymentId, scale: ScaleBounds
     ) -> dict[FailureDomainId, DomainServers]:
         counts = {domain: [0, 0] for domain in scale.domain_prices}
@@ -258,17 +264,17 @@
         self, order: ServerOrder, present: int, start_seconds: float
     ) -> None:
         key = (order.service, order.failure_domain, order.reclaimable)
-        given = self._given.get(key)
+        placed = self._placed_orders.get(key)
         now = self._clock.monotonic()
-        if given is None and present == order.count:
+        if placed is None and present == order.count:
             return
-        if given is not None and given.stands(order, present, now):
+        if placed is not None and placed.is_current(order, present, now):
             return
         leadership = self._lease.lead()
         if leadership is None:
             return
         result = await self._calls.order_servers(leadership, order)
-        self._note_given(key, order, present, result, start_seconds)
+        self._record_order(key, order, present, result, start_seconds)
         logger.bind(
             service=order.service,
             domain=order.failure_domain,
@@ -281,7 +287,7 @@
             result=result.value,
         ).info('servers ordered')
 
-    def _note_given(
+    def _record_order(
         self,
         key: _OrderKey,
         order: ServerOrder,
@@ -290,20 +296,22 @@
         start_seconds: float,
     ) -> None:
         if result is CallResult.FAILED:
-            self._given.pop(key, None)
+            self._placed_orders.pop(key, None)
             return
-        wait = REPEAT_SECONDS
+        wait = REORDER_SECONDS
         if result is CallResult.DONE:
             wait += start_seconds
-        self._given[key] = _Given(order.count, self._clock.monotonic(), present, wait)
+        self._placed_orders[key] = _PlacedOrder(
+            order.count, self._clock.monotonic(), present, wait
+        )
 
 
-def _seem_on_demand(present: Mapping[FailureDomainId, DomainServers]) -> bool:
+def _seem_all_on_demand(present: Mapping[FailureDomainId, DomainServers]) -> bool:
     """Tell whether the servers that run at the start are on demand, by the first ones.
 
-    Then reclaimable ones can be ordered beside them at once, and the dear ones given back
-    sooner.
+    Then reclaimable servers can be ordered at once, and the more expensive on-demand
+    ones released sooner.
     """
-    on_demand = sum(here.on_demand for here in present.values())
-    reclaimable = sum(here.reclaimable for here in present.values())
-    return on_demand >= FIRST_LISTED and not reclaimable
+    on_demand = sum(domain_servers.on_demand for domain_servers in present.values())
+    reclaimable = sum(domain_servers.reclaimable for domain_servers in present.values())
+    return on_demand >= MIN_LISTED_ON_DEMAND and not reclaimable
--- a/libs/serving/fireflyhitch_serving/usage_reports.py
+++ b/libs/serving/fireflyhitch_serving/usage_reports.py
@@ -1,7 +1,7 @@
-"""Reports each window's usage once: counts are fixed in the store before they are sent.
+"""Reports each window's usage; the counts are fixed in the store before they are sent.
 
-A successor that finds fixed counts sends just these again, so that the platform never
-gets two different reports of a window.
+A successor that finds fixed counts sends just these again, so the platform never gets
+two different reports of a window.
 """
 
 import asyncio
@@ -19,34 +19,35 @@
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.usage import UsageBook
 
-# Not below the watched prefix: only a new leader reads it.
+# Outside the watched prefix: only a new leader reads it.
 USAGE_PREFIX = 'fireflyhitch-usage/'
-# Peers' last counts of a window are here some turns of messages after its end, a lost one
-# included. With many daemons a turn takes seconds, and an earlier report lacks requests.
+# Peers' last counts of a window arrive some exchange rounds after its end, allowing for
+# a lost message. With many daemons a round takes seconds, and an earlier report would
+# lack requests.
 SETTLE_SECONDS = 1.5
-SETTLE_TURNS = 2.0
-# A daemon that is not heard may come back with its counts; longer than this the
-# report does not wait for it, so that there is time to send it again.
-LATEST_PART = 0.6
-LOOK_SECONDS = 0.5
-# All daemons may be killed at once, and their counts with them. The leader keeps what it
-# has heard in the store this often, or a window's report would lack most of its requests.
-# Only a new leader reads it, so nobody's watch wakes up.
+SETTLE_ROUNDS = 2.0
+# An unresponsive daemon may come back with its counts. The report waits for it at most
+# this fraction of the time until it is due, which leaves time to send it again.
+MAX_WAIT_FRACTION = 0.6
+CHECK_INTERVAL_SECONDS = 0.5
+# All daemons may be killed at once, and their counts with them. The leader saves the
+# counts that it received this often; otherwise a window's report would lack most of its
+# requests. Only a new leader reads them, so no watch is triggered.
 SAVE_SECONDS = 1.0
 SAVED_PREFIX = 'fireflyhitch-counts/'
 SAVED_KEY = f'{SAVED_PREFIX}recent'
-# Fixed counts bear no lease: leases may run out while the store is away, and a window
-# must not be fixed twice. They are deleted once no leader can come back to them.
-KEPT_FIXED = 60
-KEPT_DONE = 64
+# Fixed counts have no lease: leases may expire during a store outage, and a window must
+# not be fixed twice. They are deleted once no leader can need them any more.
+RETAINED_FIXED_WINDOWS = 60
+RETAINED_REPORTED_WINDOWS = 64
 
 
 @immutable
 class UsageTerms:
-    """When usage is due.
+    """The windows of usage reports, and when a report is due.
 
     :param window_seconds: length of a window.
-    :param late_seconds: after a window's end, by when its report is due.
+    :param late_seconds: time after a window's end by which its report is due.
     """
 
     window_seconds: float
@@ -58,90 +59,92 @@
 
     def __init__(
         self,
-        book: UsageBook,
+        tracker: UsageBook,
         lease: LeaderLease,
         store: AsyncStore,
         calls: DutyCalls,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         all_heard: Callable[[], bool],
-        turn_seconds: Callable[[], float],
-        terms: UsageTerms,
+        propagation_seconds: Callable[[], float],
+        schedule: UsageTerms,
     ) -> None:
-        """Make a reporter that has reported nothing.
+        """Create a reporter that has reported nothing.
 
-        :param all_heard: whether every daemon there is has been heard just now.
-        :param turn_seconds: in which each daemon has told its counts.
+        :param all_heard: tells whether every daemon has been heard from recently.
+        :param propagation_seconds: returns the time in which each daemon has sent its
+            counts.
         """
-        self._book = book
+        self._tracker = tracker
         self._lease = lease
         self._store = store
         self._calls = calls
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._all_heard = all_heard
-        self._turn_seconds = turn_seconds
-        self._window_seconds = terms.window_seconds
-        self._late_seconds = terms.late_seconds
-        # Windows back from the newest whose reports are still due.
-        self._span = int(terms.late_seconds // terms.window_seconds) + 1
+        self._propagation_seconds = propagation_seconds
+        self._window_seconds = schedule.window_seconds
+        self._late_seconds = schedule.late_seconds
+        # Number of windows before the newest whose reports may still be due.
+        self._span = int(schedule.late_seconds // schedule.window_seconds) + 1
         self._fixed: dict[int, dict[CustomerId, int]] = {}
-        self._done: list[int] = []
-        self._saved = ABSENT
+        self._reported_windows: list[int] = []
+        self._saved_revision = ABSENT
         self._saved_at = 0.0
-        self._read_under: FencingNumber | None = None
+        self._loaded_under: FencingNumber | None = None
 
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self._forget_old()
             leadership = self._lease.lead()
             if leadership is None:
                 continue
             try:
-                await self._keep_counts(leadership)
+                await self._persist_counts(leadership)
             except PlatformError as error:
                 logger.bind(error=str(error)).warning('counts not kept')
-            if self._read_under == leadership.fencing:
-                # Without what a leader before kept, a report would lack it for good.
+            if self._loaded_under == leadership.fencing:
+                # Without the counts that an earlier leader saved, a report would lack
+                # them permanently.
                 await self._report_due()
 
-    async def _keep_counts(self, leadership: Leadership) -> None:
-        """Read what a leader before kept, then keep what is known now and again."""
-        if self._read_under != leadership.fencing:
-            await self._read_kept()
-            self._read_under = leadership.fencing
-        now = self._wall()
+    async def _persist_counts(self, leadership: Leadership) -> None:
+        """Load the saved counts on taking the lead, then save counts periodically."""
+        if self._loaded_under != leadership.fencing:
+            await self._load_persisted()
+            self._loaded_under = leadership.fencing
+        now = self._wall_clock()
         if now - self._saved_at < SAVE_SECONDS:
             return
-        recent = self._book.recent(now)
+        recent = self._tracker.recent(now)
         if not recent:
             return
         value = json.dumps(recent).encode()
-        result = await self._store.put([Put(SAVED_KEY, value, self._saved)])
+        result = await self._store.put([Put(SAVED_KEY, value, self._saved_revision)])
         if isinstance(result, Written):
-            self._saved = result.revision
+            self._saved_revision = result.revision
             self._saved_at = now
         else:
-            await self._read_kept()
+            await self._load_persisted()
 
-    async def _read_kept(self) -> None:
+    async def _load_persisted(self) -> None:
         listing = await self._store.list(SAVED_PREFIX)
-        self._saved = ABSENT
+        self._saved_revision = ABSENT
         for item in listing.items:
-            self._saved = item.revision
+            self._saved_revision = item.revision
             for process, windows in json.loads(item.value).items():
                 counts = {int(window): found for window, found in windows.items()}
-                self._book.take_in(process, counts)
+                self._tracker.take_in(process, counts)
         fixed = await self._store.list(USAGE_PREFIX)
         for item in fixed.items:
             window = int(item.key.removeprefix(USAGE_PREFIX))
             self._fixed[window] = json.loads(item.value)
 
     async def _report_due(self) -> None:
-        now = self._wall()
-        newest = self._book.find_window(now) - 1
+        now = self._wall_clock()
+        newest = self._tracker.find_window(now) - 1
         for due in range(newest - self._span, newest + 1):
-            if due in self._done or not self._is_settled(due, now):
+            if due in self._reported_windows or not self._is_settled(due, now):
                 continue
             try:
                 await self._report(due)
@@ -150,19 +153,19 @@
                 return
 
     def _forget_old(self) -> None:
-        """Drop windows that nobody can report any more, also while others lead."""
-        newest = self._book.find_window(self._wall()) - 1
+        """Drop windows that can no longer be reported, also while others lead."""
+        newest = self._tracker.find_window(self._wall_clock()) - 1
         oldest = newest - 2 * self._span
-        self._book.forget_before(oldest)
+        self._tracker.forget_before(oldest)
         self._fixed = {
             window: counts for window, counts in self._fixed.items() if window >= oldest
         }
 
     def _is_settled(self, window: int, now: float) -> bool:
-        past = now - (window + 1) * self._window_seconds
-        if past < SETTLE_SECONDS + SETTLE_TURNS * self._turn_seconds():
+        elapsed = now - (window + 1) * self._window_seconds
+        if elapsed < SETTLE_SECONDS + SETTLE_ROUNDS * self._propagation_seconds():
             return False
-        return self._all_heard() or past > self._late_seconds * LATEST_PART
+        return self._all_heard() or elapsed > self._late_seconds * MAX_WAIT_FRACTION
 
     async def _report(self, window: int) -> None:
         counts = self._fixed.get(window)
@@ -175,18 +178,23 @@
         logger.bind(
             window=window,
             requests=sum(counts.values()),
-            processes=self._book.count_tellers(window),
+            processes=self._tracker.count_tellers(window),
             all_heard=self._all_heard(),
             fencing=leadership.fencing,
             result=result.value,
         ).info('usage reported')
         if result is CallResult.DONE:
-            self._done = [*self._done[-KEPT_DONE:], window]
+            self._reported_windows = [
+                *self._reported_windows[-RETAINED_REPORTED_WINDOWS:],
+                window,
+            ]
 
     async def _fix(self, window: int) -> dict[CustomerId, int] | None:
-        counts = self._book.sum_window(window)
+        counts = self._tracker.sum_window(window)
         put = Put(_key(window), json.dumps(counts).encode(), ABSENT)
-        result = await self._store.put([put], deletes=[_key(window - KEPT_FIXED)])
+        result = await self._store.put(
+            [put], deletes=[_key(window - RETAINED_FIXED_WINDOWS)]
+        )
         if isinstance(result, Conflict):
             if result.current is None:
                 return None
--- a/libs/serving/tests/test_leases.py
+++ b/libs/serving/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon's lease and of what its calls say of the store."""
+"""Tests of a daemon's lease, and of its effect on the store's health."""
 
 import asyncio
 import random
@@ -13,8 +13,8 @@
 
 
 class TestHealth:
-    def test_a_lease_that_waits_does_not_vouch_for_the_store(self) -> None:
-        """Guards against a daemon that is cut off and tells that it hears the store."""
+    def test_a_waiting_lease_does_not_count_as_a_store_response(self) -> None:
+        """Guards against a partitioned daemon that reports it hears the store."""
 
         async def script() -> None:
             store = VirtualStore()
@@ -29,7 +29,7 @@
                 int,
             )
             lease.take_listed()
-            keeping = asyncio.create_task(lease.run())
+            task = asyncio.create_task(lease.run())
             await asyncio.sleep(0.3)
             assert health.answers
             store.silent_to.add('gent-1')
@@ -37,6 +37,6 @@
             for _ in range(30):
                 await asyncio.sleep(0.1)
                 assert not health.answers
-            keeping.cancel()
+            task.cancel()
 
         play(script())
--- a/libs/serving/tests/test_reports.py
+++ b/libs/serving/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of when a window's usage is reported, with a leader that has no network."""
+"""Tests of the time of usage reports, with a leader without a network."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,83 +20,83 @@
 BAKERY = CustomerId('bakery')
 
 
-class LeaderAlone:
-    """Lease, store and duty calls of a leader whose calls all succeed."""
+class FakeLeader:
+    """Lease, store and platform calls of a leader; all calls succeed."""
 
     def __init__(self) -> None:
         self.reported: dict[int, dict[CustomerId, int]] = {}
 
     def lead(self) -> Leadership:
-        """Lead."""
+        """Return a valid leadership."""
         return Leadership(FencingNumber(7), 3)
 
     async def list(self, prefix: str, *, stale: bool = False) -> Listing:
-        """Return nothing."""
+        """Return an empty listing."""
         return Listing(ABSENT, ())
 
     async def put(self, puts: object, deletes: object = ()) -> Written:
-        """Write."""
+        """Accept the write."""
         return Written(Revision(1))
 
     async def report_usage(
         self, leadership: Leadership, window: int, counts: dict[CustomerId, int]
     ) -> CallResult:
-        """Take a report."""
+        """Record a report."""
         self.reported[window] = dict(counts)
         return CallResult.DONE
 
 
 def make_reporter(
-    alone: LeaderAlone,
-    book: UsageBook,
-    wall: Callable[[], float],
-    turn_seconds: float = 0.1,
+    leader: FakeLeader,
+    tracker: UsageBook,
+    wall_clock: Callable[[], float],
+    propagation_seconds: float = 0.1,
 ) -> UsageReporter:
-    """Return a reporter that hears all daemons."""
+    """Return a reporter that has heard from all daemons."""
     return UsageReporter(
-        book,
-        alone,  # type: ignore[arg-type]
-        alone,  # type: ignore[arg-type]
-        alone,  # type: ignore[arg-type]
-        wall,
+        tracker,
+        leader,  # type: ignore[arg-type]
+        leader,  # type: ignore[arg-type]
+        leader,  # type: ignore[arg-type]
+        wall_clock,
         lambda: True,
-        lambda: turn_seconds,
+        lambda: propagation_seconds,
         UsageTerms(5, 10),
     )
 
 
 class TestSettling:
-    def test_a_window_waits_for_the_counts_of_far_daemons(self, monkeypatch) -> None:
-        # 75 daemons: a far one tells its counts each 1.9 s. Its last counts of a window
-        # come 2.5 s after the window's end; a report before that would lack them.
-        monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
-        alone = LeaderAlone()
-        book = UsageBook('here', 5)
+    def test_a_window_waits_for_counts_that_propagate_slowly(self, monkeypatch) -> None:
+        # With 75 daemons, counts are sent every 1.9 s. The last counts of a window
+        # arrive 2.5 s after its end; an earlier report would lack them.
+        monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        leader = FakeLeader()
+        tracker = UsageBook('local', 5)
         clock = [10.0]
-        reporter = make_reporter(alone, book, lambda: clock[0], 1.9)
+        reporter = make_reporter(leader, tracker, lambda: clock[0], 1.9)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
-            book.take_in('far', {1: {BAKERY: 30}})
-            for now, told in ((11.9, 34), (12.5, 40), (15.5, 40)):
+            tracker.take_in('remote', {1: {BAKERY: 30}})
+            for now, count in ((11.9, 34), (12.5, 40), (15.5, 40)):
                 clock[0] = now
                 await asyncio.sleep(0.01)
-                book.take_in('far', {1: {BAKERY: told}})
+                tracker.take_in('remote', {1: {BAKERY: count}})
             running.cancel()
 
         asyncio.run(script())
-        assert alone.reported[1] == {BAKERY: 40}
+        assert leader.reported[1] == {BAKERY: 40}
 
 
-class UnreadableOnce(LeaderAlone):
-    """A leader whose first reads of the store fail."""
+class UnreadableStoreLeader(FakeLeader):
+    """A leader that cannot read the store at first."""
 
     def __init__(self) -> None:
         super().__init__()
         self.readable = False
 
     async def list(self, prefix: str, *, stale: bool = False) -> Listing:
-        """Return what a leader before kept, or fail."""
+        """Return the saved counts, or fail."""
         if not self.readable:
             raise PlatformError('slow', step=Step.STORE_READ)
         if prefix != SAVED_PREFIX:
@@ -106,57 +106,57 @@
         return Listing(Revision(3), (kept,))
 
 
-class TestTakingOver:
-    def test_nothing_is_reported_before_kept_counts_are_read(self, monkeypatch) -> None:
-        # All daemons were killed; the first leader after that cannot read the store for
-        # a moment. What it reported then lacked all that the daemons before had
-        # counted, and the first report of a window is the only one that counts.
-        monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
-        alone = UnreadableOnce()
-        reporter = make_reporter(alone, UsageBook('here', 5), lambda: 13.0)
+class TestTakeover:
+    def test_nothing_is_reported_before_saved_counts_are_loaded(
+        self, monkeypatch
+    ) -> None:
+        # All daemons were killed, and the first leader after that cannot read the store
+        # for a moment. Its report lacked all counts of the earlier daemons, and only
+        # the first report of a window is accepted.
+        monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        leader = UnreadableStoreLeader()
+        reporter = make_reporter(leader, UsageBook('local', 5), lambda: 13.0)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
             await asyncio.sleep(0.01)
-            assert not alone.reported
-            alone.readable = True
+            assert not leader.reported
+            leader.readable = True
             for _ in range(100):
                 await asyncio.sleep(0.001)
             running.cancel()
 
         asyncio.run(script())
-        assert alone.reported[1] == {BAKERY: 9}
+        assert leader.reported[1] == {BAKERY: 9}
 
 
-class NoLeader(LeaderAlone):
+class Follower(FakeLeader):
     """A daemon that does not lead."""
 
     def lead(self) -> None:  # type: ignore[override]
-        """Do not lead."""
+        """Return no leadership."""
 
 
-class TestForgetting:
-    def test_a_daemon_that_never_leads_forgets_old_windows_too(
-        self, monkeypatch
-    ) -> None:
-        # Most daemons never lead. Their books grew with each window and each process
-        # that ever told counts, until the process ended.
-        monkeypatch.setattr(f'{UsageReporter.__module__}.LOOK_SECONDS', 0)
-        alone = NoLeader()
-        book = UsageBook('here', 5)
+class TestRetention:
+    def test_a_daemon_that_never_leads_drops_old_windows_too(self, monkeypatch) -> None:
+        # Most daemons never lead. Their trackers grew with each window and each process
+        # that ever sent counts, until the process ended.
+        monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        leader = Follower()
+        tracker = UsageBook('local', 5)
         clock = [10.0]
-        reporter = make_reporter(alone, book, lambda: clock[0])
+        reporter = make_reporter(leader, tracker, lambda: clock[0])
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
             for number in range(20):
                 clock[0] = 10.0 + 5 * number
-                window = book.find_window(clock[0])
-                book.take_in(f'process-{number}', {window: {BAKERY: 1}})
+                window = tracker.find_window(clock[0])
+                tracker.take_in(f'process-{number}', {window: {BAKERY: 1}})
                 await asyncio.sleep(0.005)
             running.cancel()
 
         asyncio.run(script())
-        assert not book.sum_window(2)
-        # Eight windows back at the most, and this process itself.
-        assert book.count_processes() <= 9
+        assert not tracker.sum_window(2)
+        # At most eight windows back, and this process itself.
+        assert tracker.count_processes() <= 9
--- a/libs/serving/tests/test_scale.py
+++ b/libs/serving/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Tests of the orders for servers, with calls that are only noted."""
+"""Tests of server orders, with platform calls that are only recorded."""
 
 import asyncio
 from dataclasses import replace
@@ -22,36 +22,36 @@
 )
 
 
-class Leader:
-    """A leader whose orders are kept and always accepted."""
+class FakeLeader:
+    """A leader that records its orders; all of them are accepted."""
 
     def __init__(self) -> None:
         self.orders: list[ServerOrder] = []
-        self.leads = True
+        self.is_leading = True
 
     def lead(self) -> Leadership | None:
-        """Lead, unless another daemon does."""
-        return Leadership(FencingNumber(7), 3) if self.leads else None
+        """Return a leadership, unless another daemon leads."""
+        return Leadership(FencingNumber(7), 3) if self.is_leading else None
 
     async def order_servers(
         self, leadership: Leadership, order: ServerOrder
     ) -> CallResult:
-        """Keep an order."""
+        """Record an order."""
         self.orders.append(order)
         return CallResult.DONE
 
 
-class Start:
-    """A leader before the first request, at a service whose servers are listed."""
+class ScalingHarness:
+    """A leader before the first request, with a service whose servers are listed."""
 
     def __init__(self, demand: float = 0) -> None:
-        self.book = ServerBook()
-        self.leader = Leader()
+        self.registry = ServerBook()
+        self.leader = FakeLeader()
         self.clock = ManualClock()
         catalog = replace(make_catalog(), services={SERVICE: SCALED})
-        self.keeper = ScaleKeeper(
+        self.autoscaler = ScaleKeeper(
             lambda: catalog,
-            self.book,
+            self.registry,
             lambda: demand,
             Workloads(),
             self.leader,  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
         )
 
     def list_servers(self, numbers: range) -> None:
-        """List servers on demand, one domain after the other."""
+        """List on-demand servers, spread over the domains."""
         for number in numbers:
             domain = sorted(DOMAINS)[number % len(DOMAINS)]
             entry = ServerEntry(
@@ -72,7 +72,7 @@
                 12,
                 ready=True,
             )
-            self.book.put(entry)
+            self.registry.put(entry)
 
     def list_reclaimable(self, name: str) -> None:
         """List a reclaimable server of the first domain."""
@@ -86,16 +86,16 @@
             ready=True,
             reclaimable=True,
         )
-        self.book.put(entry)
+        self.registry.put(entry)
 
-    def take_away_reclaimable(self) -> None:
-        """Have the platform take all reclaimable servers."""
-        for server_id, record in list(self.book.all().items()):
+    def reclaim_all(self) -> None:
+        """Remove all reclaimable servers, as the platform does."""
+        for server_id, record in list(self.registry.all().items()):
             if record.server.reclaimable:
-                self.book.remove(server_id)
+                self.registry.remove(server_id)
 
     def count_reclaimable(self) -> int:
-        """Return the reclaimable servers by the newest order of each domain."""
+        """Return the sum of the latest reclaimable orders of all domains."""
         newest = {
             order.failure_domain: order.count
             for order in self.leader.orders
@@ -103,9 +103,9 @@
         }
         return sum(newest.values())
 
-    async def pass_seconds(self, seconds: float) -> None:
-        """Let the keeper look some times, over as many seconds."""
-        running = asyncio.create_task(self.keeper.run())
+    async def advance_time(self, seconds: float) -> None:
+        """Run the autoscaler for so many seconds."""
+        running = asyncio.create_task(self.autoscaler.run())
         for _ in range(20):
             self.clock.advance(timedelta(seconds=seconds / 20))
             await asyncio.sleep(0.002)
@@ -113,158 +113,159 @@
 
 
 def order_at_start(on_demand: int, monkeypatch) -> int:  # type: ignore[no-untyped-def]
-    """Return the reclaimable servers that are ordered before any request came."""
-    monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-    start = Start()
-    start.list_servers(range(on_demand))
-    asyncio.run(start.pass_seconds(4))
-    return start.count_reclaimable()
+    """Return the reclaimable servers ordered before the first request."""
+    monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+    harness = ScalingHarness()
+    harness.list_servers(range(on_demand))
+    asyncio.run(harness.advance_time(4))
+    return harness.count_reclaimable()
 
 
 class TestStart:
-    def test_a_large_service_is_not_cut_down_before_its_load_is_known(
+    def test_a_large_service_is_not_scaled_down_before_its_load_is_known(
         self, monkeypatch
     ) -> None:
-        # 56 servers run, and no request has come yet. With orders for a load of
-        # nothing, 8 were left when the first requests came.
+        # 56 servers run, and no request has arrived yet. With orders for no load, 8
+        # were left when the first requests came.
         assert order_at_start(56, monkeypatch) >= 56
 
-    def test_servers_that_are_listed_one_by_one_are_all_waited_for(
-        self, monkeypatch
-    ) -> None:
+    def test_servers_listed_one_by_one_are_all_waited_for(self, monkeypatch) -> None:
         # 56 servers run when the daemons start, and write their entries over the next
-        # three seconds. Orders by the first two of them had all others given back, and
-        # the first callers found eight.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        start = Start()
+        # three seconds. Orders based on the first two released all others, and the
+        # first callers found eight.
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        harness = ScalingHarness()
 
         async def script() -> None:
             for first in range(0, 56, 14):
-                start.list_servers(range(first, first + 14))
-                await start.pass_seconds(0.8)
-            assert all(order.reclaimable for order in start.leader.orders)
-            await start.pass_seconds(4)
+                harness.list_servers(range(first, first + 14))
+                await harness.advance_time(0.8)
+            assert all(order.reclaimable for order in harness.leader.orders)
+            await harness.advance_time(4)
 
         asyncio.run(script())
-        assert start.count_reclaimable() >= 56
+        assert harness.count_reclaimable() >= 56
 
     def test_a_small_service_gets_no_more_than_it_needs(self, monkeypatch) -> None:
         assert order_at_start(5, monkeypatch) == 12
 
 
 class TestLongAnswers:
-    def test_servers_are_ordered_for_the_places_that_answers_take(
+    def test_servers_are_ordered_for_the_slots_that_answers_occupy(
         self, monkeypatch
     ) -> None:
-        # Prompts of a few tokens with answers of many: engines read nothing, and their
-        # batches are full. Orders by reading alone would leave callers waiting for a
-        # place; 120 requests in batches of 12, half full, need 20 servers.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        start = Start(demand=1)
-        start.list_servers(range(4))
-        for record in start.book.all().values():
+        # Prompts of a few tokens with long answers: engines have no prefill work, but
+        # their batches are full. Orders by prefill alone would leave callers waiting
+        # for a slot; 120 requests in batches of 12, half full, need 20 servers.
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        harness = ScalingHarness(demand=1)
+        harness.list_servers(range(4))
+        for record in harness.registry.all().values():
             record.requests = 30
-        asyncio.run(start.pass_seconds(1))
+        asyncio.run(harness.advance_time(1))
         ordered = {
             order.failure_domain: order.count
-            for order in start.leader.orders
+            for order in harness.leader.orders
             if order.reclaimable
         }
         assert min(ordered.values()) >= 20
 
 
-class Orders:
-    """When reclaimable servers were ordered for one failure domain."""
+class OrderLog:
+    """Records when reclaimable servers were ordered for one failure domain."""
 
     def __init__(self, result: CallResult) -> None:
-        self.start = Start()
-        self.start.list_servers(range(8))
-        self.start.leader.order_servers = self._order  # type: ignore[method-assign]
-        self.given: list[float] = []
+        self.harness = ScalingHarness()
+        self.harness.list_servers(range(8))
+        self.harness.leader.order_servers = self._order  # type: ignore[method-assign]
+        self.placed_at: list[float] = []
         self.count = 0
         self._result = result
 
-    def fill(self) -> None:
+    def list_ordered(self) -> None:
         """List as many reclaimable servers as were ordered."""
         for number in range(self.count):
-            self.start.list_reclaimable(f'r{number}')
+            self.harness.list_reclaimable(f'r{number}')
 
     async def _order(self, leadership: Leadership, order: ServerOrder) -> CallResult:
         if order.reclaimable and order.failure_domain == 'a':
-            self.given.append(self.start.clock.monotonic())
+            self.placed_at.append(self.harness.clock.monotonic())
             self.count = order.count
         return self._result
 
 
-class TestRepeats:
-    """An order stands until its servers are late, refused, or taken away."""
+class TestReordering:
+    """An order is not repeated until its servers are late, unavailable or reclaimed."""
 
-    def test_servers_that_are_starting_are_not_ordered_again(self, monkeypatch) -> None:
-        """Guards against a paid call each few seconds for what is on its way."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        orders = Orders(CallResult.DONE)
-        asyncio.run(orders.start.pass_seconds(9))
-        assert len(orders.given) == 2
-        assert orders.given[1] - orders.given[0] >= SCALED.scale.start_seconds
+    def test_starting_servers_are_not_ordered_again(self, monkeypatch) -> None:
+        """Guards against a paid call every few seconds for servers that are starting."""
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        orders = OrderLog(CallResult.DONE)
+        asyncio.run(orders.harness.advance_time(9))
+        assert len(orders.placed_at) == 2
+        assert orders.placed_at[1] - orders.placed_at[0] >= SCALED.scale.start_seconds
 
-    def test_what_is_not_to_be_had_is_asked_for_sooner(self, monkeypatch) -> None:
-        """Guards against seconds without servers that may be had again by now."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        orders = Orders(CallResult.UNAVAILABLE)
-        asyncio.run(orders.start.pass_seconds(9))
-        assert len(orders.given) >= 3
+    def test_unavailable_servers_are_reordered_sooner(self, monkeypatch) -> None:
+        """Guards against a delayed retry when servers may be available again."""
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        orders = OrderLog(CallResult.UNAVAILABLE)
+        asyncio.run(orders.harness.advance_time(9))
+        assert len(orders.placed_at) >= 3
 
-    def test_what_was_taken_away_is_ordered_at_once(self, monkeypatch) -> None:
-        """Guards against reclaimed servers that are missed until an order is old."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        orders = Orders(CallResult.DONE)
+    def test_reclaimed_servers_are_reordered_at_once(self, monkeypatch) -> None:
+        """Guards against reclaimed servers that are replaced only after a delay."""
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        orders = OrderLog(CallResult.DONE)
 
         async def script() -> None:
-            await orders.start.pass_seconds(2)
-            assert len(orders.given) == 1
-            orders.fill()
-            await orders.start.pass_seconds(1)
-            orders.start.take_away_reclaimable()
-            await orders.start.pass_seconds(0.5)
+            await orders.harness.advance_time(2)
+            assert len(orders.placed_at) == 1
+            orders.list_ordered()
+            await orders.harness.advance_time(1)
+            orders.harness.reclaim_all()
+            await orders.harness.advance_time(0.5)
 
         asyncio.run(script())
-        assert len(orders.given) == 2
+        assert len(orders.placed_at) == 2
 
 
-class TestTakingOver:
-    def test_a_new_leader_keeps_what_the_former_one_ordered(self, monkeypatch) -> None:
-        # The leader is killed under load. The next has seen less of the day's load, and
-        # gave back half of the servers; none were to be had when callers came again.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        taking_over = Start(demand=100_000)
-        taking_over.list_servers(range(56))
-        for record in taking_over.book.all().values():
+class TestTakeover:
+    def test_a_new_leader_keeps_the_servers_that_its_predecessor_ordered(
+        self, monkeypatch
+    ) -> None:
+        # The leader is killed under load. The next one has seen less of the day's load
+        # and released half of the servers; none were available when requests came
+        # again.
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        harness = ScalingHarness(demand=100_000)
+        harness.list_servers(range(56))
+        for record in harness.registry.all().values():
             record.server = replace(record.server, reclaimable=True)
-        asyncio.run(taking_over.pass_seconds(1))
+        asyncio.run(harness.advance_time(1))
         first = {
             order.failure_domain: order.count
-            for order in reversed(taking_over.leader.orders)
+            for order in reversed(harness.leader.orders)
             if order.reclaimable
         }
         assert sum(first.values()) >= 0.8 * 56
 
-    def test_it_orders_by_the_load_that_it_saw_before_it_led(self, monkeypatch) -> None:
-        """Guards against servers given back right after a burst, as the leader ended."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.LOOK_SECONDS', 0)
-        start = Start(demand=1)
-        start.list_servers(range(4))
-        start.leader.leads = False
-        for record in start.book.all().values():
+    def test_it_orders_for_the_load_seen_before_it_led(self, monkeypatch) -> None:
+        """Guards against servers released after a burst because the leader changed."""
+        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        harness = ScalingHarness(demand=1)
+        harness.list_servers(range(4))
+        harness.leader.is_leading = False
+        for record in harness.registry.all().values():
             record.requests = 30
 
         async def script() -> None:
-            await start.pass_seconds(1)
-            assert not start.leader.orders
-            for record in start.book.all().values():
+            await harness.advance_time(1)
+            assert not harness.leader.orders
+            for record in harness.registry.all().values():
                 record.requests = 0
-            start.leader.leads = True
-            await start.pass_seconds(0.01)
+            harness.leader.is_leading = True
+            await harness.advance_time(0.01)
 
         asyncio.run(script())
-        ordered = [order.count for order in start.leader.orders if order.reclaimable]
+        ordered = [order.count for order in harness.leader.orders if order.reclaimable]
         assert max(ordered) >= 15
