--- a/libs/serving/fireflyhitch_serving/server_ends.py
+++ b/libs/serving/fireflyhitch_serving/crash_detection.py
@@ -14,8 +14,8 @@
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.identity import identify_process
 from fireflyhitch_model.ids import BackendServerId, ContentId
-from fireflyhitch_routing.crashes import CrashBook, ServerEnd
-from fireflyhitch_serving.connections import Reach, reach
+from fireflyhitch_routing.crashes import CrashTracker, ServerCrash
+from fireflyhitch_serving.connections import ConnectResult, try_connect
 from fireflyhitch_serving.servers import ServerRecord
 
 # Delays between probes. An exiting process closes its sockets one after the other, and
@@ -34,11 +34,11 @@
     began: dict[ContentId, float] = field(default_factory=dict)
 
 
-class ServerEndWatch:
+class CrashDetector:
     """Probes servers that aborted responses, and records crashes."""
 
     def __init__(
-        self, clock: Clock, find_server: FindServer, tracker: CrashBook
+        self, clock: Clock, find_server: FindServer, tracker: CrashTracker
     ) -> None:
         """Create a detector without servers to probe.
 
@@ -50,7 +50,7 @@
         self._aborted: dict[int, _AbortedRequests] = {}
         self._probes: set[asyncio.Task[None]] = set()
 
-    def note_broken(
+    def record_broken_response(
         self, record: ServerRecord, content: ContentId, began: float
     ) -> None:
         """Record that a server aborted the response to a request.
@@ -88,9 +88,9 @@
             await asyncio.sleep(delay)
             if self._find_server(record.server.server_id) is not record:
                 return True
-            result = await reach(record.server.address, PROBE_TIMEOUT_SECONDS)
-            if result is not Reach.SILENT:
-                return result is Reach.REFUSED
+            result = await try_connect(record.server.address, PROBE_TIMEOUT_SECONDS)
+            if result is not ConnectResult.UNREACHABLE:
+                return result is ConnectResult.REFUSED
         return False
 
     def _record_crashes(self, record: ServerRecord, aborted: _AbortedRequests) -> None:
@@ -98,8 +98,8 @@
         process = identify_process(server.server_id, server.born)
         now = self._clock.monotonic()
         for content, began in aborted.began.items():
-            self._tracker.note_end(
-                content, process, ServerEnd(aborted.detected_at, began), now
+            self._tracker.record_crash(
+                content, process, ServerCrash(aborted.detected_at, began), now
             )
         logger.bind(
             server=server.server_id,
--- a/libs/serving/fireflyhitch_serving/holds.py
+++ b/libs/serving/fireflyhitch_serving/holds.py
@@ -14,19 +14,19 @@
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import ABSENT, ContentId, ProcessId
 from fireflyhitch_routing.quarantine import HOLD_SECONDS, Hold, Quarantine
-from fireflyhitch_serving.leases import OWN_PREFIX, LeaderLease
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LeaderLease
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.store_health import StoreHealth
 
-HOLDS_PREFIX = f'{OWN_PREFIX}holds/'
+HOLDS_PREFIX = f'{FIREFLYHITCH_PREFIX}holds/'
 CHECK_INTERVAL_SECONDS = 0.2
 # Exchange rounds after which all daemons have sent the evidence in a request's favour.
 SETTLED_ROUNDS = 2
 RETRY_SECONDS = 0.5
 
 
-class HoldKeeper:
+class HoldManager:
     """Applies the holds in the store, and writes them while this daemon leads."""
 
     def __init__(
@@ -36,7 +36,7 @@
         lease: LeaderLease,
         health: StoreHealth,
         clock: Clock,
-        peers: PeerBook,
+        peers: PeerRegistry,
     ) -> None:
         """Create a manager that knows no stored holds."""
         self._quarantine = quarantine
@@ -65,20 +65,20 @@
             )
             return
         self._stored.add(content)
-        self._quarantine.take_hold(content, hold)
+        self._quarantine.add_hold(content, hold)
 
     async def run(self) -> None:
         """Review, write and delete holds until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
-            settle_seconds = SETTLED_ROUNDS * self._peers.turn_seconds()
+            settle_seconds = SETTLED_ROUNDS * self._peers.propagation_seconds()
             self._quarantine.review(self._clock.monotonic(), settle_seconds)
-            if self._lease.lead() is None or not self._health.answers:
+            if self._lease.current_leadership() is None or not self._health.answers:
                 continue
             try:
                 await self._sync()
             except PlatformError as error:
-                self._health.note_failure(error)
+                self._health.record_failure(error)
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _sync(self) -> None:
@@ -88,16 +88,16 @@
         released = self._stored - held.keys()
         if released:
             keys = [f'{HOLDS_PREFIX}{name}' for name in released]
-            await self._health.hear(self._store.put([], deletes=keys))
+            await self._health.track(self._store.put([], deletes=keys))
             self._stored -= released
 
     async def _write(self, content: ContentId, hold: Hold) -> None:
         remaining = hold.until - self._clock.monotonic()
         if remaining <= 0:
             return
-        lease = await self._health.hear(self._store.grant_lease(remaining))
+        lease = await self._health.track(self._store.grant_lease(remaining))
         put = Put(f'{HOLDS_PREFIX}{content}', self._render(hold), ABSENT, lease)
-        await self._health.hear(self._store.put([put]))
+        await self._health.track(self._store.put([put]))
         # If another daemon has written it, the store's watch delivers that value.
         self._stored.add(content)
         logger.bind(content=content, seconds=round(remaining)).info('hold kept')
--- a/libs/serving/fireflyhitch_serving/leases.py
+++ b/libs/serving/fireflyhitch_serving/leases.py
@@ -20,8 +20,8 @@
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.store_health import StoreHealth
 
-OWN_PREFIX = 'fireflyhitch/'
-LEADER_KEY = f'{OWN_PREFIX}leader'
+FIREFLYHITCH_PREFIX = 'fireflyhitch/'
+LEADER_KEY = f'{FIREFLYHITCH_PREFIX}leader'
 # Longer than the 3 s in which two holders must not act alternately.
 LEASE_SECONDS = 4.0
 # Four renewals fit into a lease, so one or two lost responses do not end it.
@@ -47,14 +47,14 @@
 
 
 class LeaderLease:
-    """Renews or claims the leader's lease; ``lead`` tells whether this daemon leads."""
+    """Renews or claims the leader's lease; ``current_leadership`` tells whether this daemon leads."""
 
     def __init__(
         self,
         store: AsyncStore,
         boot_clock: Callable[[], float],
         process: str,
-        draw: random.Random,
+        rng: random.Random,
         health: StoreHealth,
         find_claim_rank: Callable[[], int | None],
     ) -> None:
@@ -68,7 +68,7 @@
         self._store = store
         self._clock = boot_clock
         self._process = process
-        self._draw = draw
+        self._rng = rng
         self._health = health
         self._find_claim_rank = find_claim_rank
         self._lease: LeaseId | None = None
@@ -78,7 +78,7 @@
         self._keys_listed = False
         self._wake = asyncio.Event()
 
-    def lead(self) -> Leadership | None:
+    def current_leadership(self) -> Leadership | None:
         """Return the right to act, if this daemon has it now."""
         if self._fencing is None or self.stopping or self._leader != self._own_value():
             return None
@@ -92,12 +92,12 @@
         process = self._leader.decode().split(' ')[0]
         return process.rpartition('/')[0]
 
-    def take_listed(self) -> None:
+    def mark_keys_listed(self) -> None:
         """Record that the store's keys have been listed."""
         self._keys_listed = True
         self._wake.set()
 
-    def take_leader(self, value: bytes | None, revision: Revision) -> None:
+    def apply_leader(self, value: bytes | None, revision: Revision) -> None:
         """Apply the value of the leader's key."""
         previous = self._leader
         self._leader = value
@@ -116,8 +116,8 @@
                 await self._step()
             except PlatformError as error:
                 # Logged once per outage by the store health, with the cause.
-                self._health.note_failure(error)
-                await asyncio.sleep(RETRY_SECONDS * (0.5 + self._draw.random()))
+                self._health.record_failure(error)
+                await asyncio.sleep(RETRY_SECONDS * (0.5 + self._rng.random()))
 
     async def _step(self) -> None:
         self._wake.clear()
@@ -139,7 +139,7 @@
         if sent_at < self._expires_at - LEASE_SECONDS + RENEW_SECONDS / 2:
             return
         assert self._lease is not None
-        if await self._health.hear(self._store.keep_lease(self._lease)):
+        if await self._health.track(self._store.keep_lease(self._lease)):
             self._expires_at = sent_at + LEASE_SECONDS
             return
         logger.warning('lease expired')
@@ -149,15 +149,15 @@
         rank = self._find_claim_rank()
         if rank is None:
             return
-        await asyncio.sleep(CLAIM_INTERVAL_SECONDS * (rank + self._draw.random() / 2))
+        await asyncio.sleep(CLAIM_INTERVAL_SECONDS * (rank + self._rng.random() / 2))
         if self._leader is not None or not self._health.answers:
             return
         sent_at = self._clock()
-        self._lease = await self._health.hear(self._store.grant_lease(LEASE_SECONDS))
+        self._lease = await self._health.track(self._store.grant_lease(LEASE_SECONDS))
         self._expires_at = sent_at + LEASE_SECONDS
         # The daemon learns from the key whether its claim succeeded, like all others.
         put = Put(LEADER_KEY, self._own_value(), ABSENT, self._lease)
-        await self._health.hear(self._store.put([put]))
+        await self._health.track(self._store.put([put]))
         await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
 
     def _own_value(self) -> bytes:
--- a/libs/serving/fireflyhitch_serving/moves.py
+++ b/libs/serving/fireflyhitch_serving/moves.py
@@ -17,19 +17,19 @@
 from fireflyhitch_model.ids import ABSENT, DeploymentId, Revision
 from fireflyhitch_model.records import immutable
 from fireflyhitch_platform.keyvalue import Written
-from fireflyhitch_rollout.brief import (
-    Answers,
+from fireflyhitch_rollout.short_moves import (
     MoveEnd,
     MoveEvidence,
+    RouteResults,
     find_end,
     find_fault,
     find_share,
 )
-from fireflyhitch_serving.leases import OWN_PREFIX, LeaderLease
+from fireflyhitch_serving.leases import FIREFLYHITCH_PREFIX, LeaderLease
 from fireflyhitch_serving.store import AsyncStore, Put
 from fireflyhitch_serving.versions import VersionShare, VersionShares
 
-MOVES_PREFIX = f'{OWN_PREFIX}moves/'
+MOVES_PREFIX = f'{FIREFLYHITCH_PREFIX}moves/'
 # A withdrawal takes effect everywhere within a second or two: results are sent ten
 # times a second, and evaluated this often.
 CHECK_INTERVAL_SECONDS = 0.25
@@ -57,7 +57,7 @@
 
 
 @immutable
-class StatusForm:
+class StatusFormat:
     """The platform's format of a move's state in the store.
 
     :param key: returns the key of a service's state.
@@ -95,16 +95,16 @@
         return ended and order is not None and self.record.order == order.revision
 
 
-class MoveBook:
+class MoveTracker:
     """All moves, the results of their versions, and the resulting traffic shares."""
 
-    def __init__(self, shares: VersionShares, exposure_part: float) -> None:
+    def __init__(self, shares: VersionShares, exposure_fraction: float) -> None:
         """Create a tracker without moves.
 
-        :param exposure_part: fraction of the requests that an untried version may get.
+        :param exposure_fraction: fraction of the requests that an untried version may get.
         """
         self._shares = shares
-        self._exposure_part = exposure_part
+        self._exposure_part = exposure_fraction
         self._moves: dict[DeploymentId, _Move] = {}
         self._peer_counts: dict[str, Mapping[str, Counts]] = {}
         self._counts: dict[str, Counts] = {}
@@ -118,7 +118,7 @@
         """Return a service's move."""
         return self._moves.setdefault(service, _Move())
 
-    def take_order(self, order: MoveOrder) -> None:
+    def apply_order(self, order: MoveOrder) -> None:
         """Apply an order."""
         move = self.find(order.service)
         if move.order is None or order.revision > move.order.revision:
@@ -127,7 +127,7 @@
             logger.bind(service=order.service, target=order.target).info('move ordered')
         self.apply(order.service)
 
-    def take_record(
+    def apply_record(
         self, service: DeploymentId, value: bytes | None, revision: Revision
     ) -> None:
         """Apply a move's begin or end from the store."""
@@ -173,21 +173,21 @@
         """Return this daemon's counts, for its peers."""
         return self._counts
 
-    def take_evidence(self, process: str, counts: Mapping[str, Counts]) -> None:
+    def update_peer_evidence(self, process: str, counts: Mapping[str, Counts]) -> None:
         """Replace a peer process's counts; a process without any is removed."""
         if counts:
             self._peer_counts[process] = counts
         else:
             self._peer_counts.pop(process, None)
 
-    def count_tellers(self) -> int:
+    def count_reporters(self) -> int:
         """Return the number of peer processes with counts."""
         return len(self._peer_counts)
 
     def sum_evidence(self, order: MoveOrder) -> MoveEvidence:
         """Return the results of all daemons for a move."""
-        old: dict[str, Answers] = {}
-        new: dict[str, Answers] = {}
+        old: dict[str, RouteResults] = {}
+        new: dict[str, RouteResults] = {}
         prefix = f'{order.service}|{order.revision}|'
         all_counts = [self._counts, *self._peer_counts.values()]
         for key, numbers in chain.from_iterable(
@@ -197,7 +197,9 @@
                 continue
             _, _, version, route = key.split('|', 3)
             results = new if version == order.target else old
-            results[route] = results.get(route, Answers()).add(Answers(*numbers))
+            results[route] = results.get(route, RouteResults()).add(
+                RouteResults(*numbers)
+            )
         return MoveEvidence(old, new)
 
     def apply(self, service: DeploymentId) -> None:
@@ -254,15 +256,15 @@
         return seconds > baseline * SLOW_FACTOR
 
 
-class MoveLeader:
+class MoveCoordinator:
     """Begins and ends moves while this daemon leads."""
 
     def __init__(
         self,
-        tracker: MoveBook,
+        tracker: MoveTracker,
         lease: LeaderLease,
         store: AsyncStore,
-        status_format: StatusForm,
+        status_format: StatusFormat,
         wall_clock: Callable[[], float],
     ) -> None:
         """Create a coordinator that has done nothing."""
@@ -278,7 +280,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             for service in self._tracker.services():
                 self._tracker.apply(service)
-                if self._lease.lead() is None:
+                if self._lease.current_leadership() is None:
                     continue
                 try:
                     await self._advance(service)
@@ -301,7 +303,7 @@
         evidence = self._tracker.sum_evidence(order)
         end = find_end(evidence, self._wall_clock() - record.began, order.seconds)
         if move.withdrawn == order.revision:
-            end = MoveEnd.TAKEN_BACK
+            end = MoveEnd.ROLLED_BACK
         if end is not None:
             await self._write(move, order, record.began, end)
 
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -45,7 +45,7 @@
 
 
 @immutable
-class CustomerNote:
+class QuotaReport:
     """One process's state of a customer's quota.
 
     :param taken: units taken since its start, less those refunded.
@@ -107,16 +107,16 @@
     """What the platform tolerates above limits, as far as the daemons use it.
 
     :param units: over all daemons, on top of a customer's burst.
-    :param part: fraction of a customer's rate, on top of it.
+    :param rate_fraction: fraction of a customer's rate, on top of it.
     :param window: seconds over which limits are counted; 0 if unknown.
     """
 
     units: float = 0
-    part: float = 0
+    rate_fraction: float = 0
     window: float = 0
 
 
-def find_slack_part(propagation_seconds: float) -> float:
+def find_slack_fraction(propagation_seconds: float) -> float:
     """Return the fraction of the tolerance above limits that the daemons may use.
 
     Requests within a limit come in bursts, and each refusal delays a response, so the
@@ -164,7 +164,7 @@
         self._quota_fraction = 1.0
         self._propagation_seconds = 0.0
 
-    def share_with(
+    def update_daemon_counts(
         self, daemons: int, reachable: int, propagation_seconds: float = 0
     ) -> None:
         """Set the number of daemons.
@@ -176,18 +176,18 @@
         self._propagation_seconds = propagation_seconds
         self._quota_fraction = min(1.0, max(reachable, 1) / max(daemons, 1))
 
-    def notes(self, now: float) -> dict[CustomerId, CustomerNote]:
+    def build_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
         """Return the reports for the peers in this failure domain."""
         for replica in self._buckets.values():
             self._refill(replica, now)
             replica.drop_stale_peers(now)
         return {
-            name: CustomerNote(bucket.taken, bucket.demand.read(now), bucket.left)
+            name: QuotaReport(bucket.taken, bucket.demand.read(now), bucket.left)
             for name, bucket in self._buckets.items()
             if bucket.taken
         }
 
-    def domain_notes(self, now: float) -> dict[CustomerId, CustomerNote]:
+    def build_domain_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
         """Return the reports of this failure domain for the other ones.
 
         ``taken`` is the sum of what this process took and saw its same-domain peers
@@ -198,7 +198,7 @@
         for replica in self._buckets.values():
             self._refill(replica, now)
         return {
-            name: CustomerNote(
+            name: QuotaReport(
                 bucket.taken + bucket.domain_peers_taken,
                 bucket.sum_demand(now, near=True),
                 bucket.left,
@@ -221,11 +221,11 @@
             return math.inf
         return self._find_rate(bucket.quota)
 
-    def take_note(
+    def apply_report(
         self,
         process: str,
         customer: CustomerId,
-        report: CustomerNote,
+        report: QuotaReport,
         now: float,
         *,
         near: bool = False,
@@ -269,7 +269,7 @@
         for bucket in self._buckets.values():
             bucket.peers.pop(process, None)
 
-    def note_stall(self) -> None:
+    def reset_peer_baselines(self) -> None:
         """Treat every process's next report as its first."""
         self._reported_totals.clear()
 
@@ -316,7 +316,7 @@
             'part': round(self._quota_fraction, 2),
         }
 
-    def give_back(self, customer: Customer, units: float) -> None:
+    def refund(self, customer: Customer, units: float) -> None:
         """Return the units of a request that did not run."""
         bucket = self._buckets.get(customer.name)
         if bucket is not None:
@@ -345,7 +345,7 @@
         bucket.updated_at = now
 
     def _find_rate(self, quota: Quota) -> float:
-        rate = quota.rate * (1 + self.slack.part)
+        rate = quota.rate * (1 + self.slack.rate_fraction)
         if self.slack.window:
             rate += (
                 SUSTAINED_FRACTION
--- a/libs/serving/fireflyhitch_serving/server_evidence.py
+++ b/libs/serving/fireflyhitch_serving/server_statistics.py
@@ -20,14 +20,14 @@
 # many.
 ASSUMED_ANSWERS = 2.0
 # Counts below this are not sent.
-LEAST_TOLD = 0.05
+MIN_REPORTED_ANSWERS = 0.05
 # A server is excluded when its failure rate exceeds the service's median by this much
 # plus 1/answers; with few answers the margin is wider, since two failures of four may
 # be chance.
 EXCESS_FAILURE_RATE = 0.25
 MIN_ANSWERS = 3.0
 # Bounds of one answer's time as a multiple of the expected time.
-LATEST = 4.0
+MAX_RELATIVE_LATENCY = 4.0
 MIN_RELATIVE_LATENCY = 0.5
 # A server counts as slow from this multiple of the median on. Less is chance, and if
 # others avoided a server for that, they would only queue more elsewhere.
@@ -40,18 +40,18 @@
     """Exponentially decayed counts of a server's answers.
 
     :param failed: answers that the caller could not use.
-    :param lateness: sum of the answers' times, each as a multiple of the expected time.
+    :param relative_latency: sum of the answers' times, each as a multiple of the expected time.
     """
 
     answers: float = 0
     failed: float = 0
-    lateness: float = 0
+    relative_latency: float = 0
 
     def decay(self, seconds: float) -> 'AnswerCounts':
         """Return the counts decayed by some seconds."""
         factor = math.exp(-max(seconds, 0) / DECAY_SECONDS)
         return AnswerCounts(
-            self.answers * factor, self.failed * factor, self.lateness * factor
+            self.answers * factor, self.failed * factor, self.relative_latency * factor
         )
 
     def add(self, other: 'AnswerCounts') -> 'AnswerCounts':
@@ -59,19 +59,19 @@
         return AnswerCounts(
             self.answers + other.answers,
             self.failed + other.failed,
-            self.lateness + other.lateness,
+            self.relative_latency + other.relative_latency,
         )
 
-    def take_off(self, other: 'AnswerCounts') -> 'AnswerCounts':
+    def subtract(self, other: 'AnswerCounts') -> 'AnswerCounts':
         """Return these counts without others."""
         return AnswerCounts(
             max(self.answers - other.answers, 0),
             max(self.failed - other.failed, 0),
-            max(self.lateness - other.lateness, 0),
+            max(self.relative_latency - other.relative_latency, 0),
         )
 
 
-Answers = Mapping[BackendServerId, AnswerCounts]
+AnswersByServer = Mapping[BackendServerId, AnswerCounts]
 
 
 @dataclass(slots=True)
@@ -81,35 +81,41 @@
 
 
 @dataclass(slots=True)
-class ServerEvidence:
+class ServerStatistics:
     """What this daemon and its peers have observed of one server."""
 
     own: _TimedCounts = field(default_factory=lambda: _TimedCounts(AnswerCounts(), 0))
     peers: dict[str, _TimedCounts] = field(default_factory=dict)
 
-    def note_answer(self, now: float, *, failed: bool, lateness: float) -> None:
+    def record_response(
+        self, now: float, *, failed: bool, relative_latency: float
+    ) -> None:
         """Count a local answer, or the lack of one."""
         counted = AnswerCounts(
-            1, failed, min(max(lateness, MIN_RELATIVE_LATENCY), LATEST)
+            1,
+            failed,
+            min(max(relative_latency, MIN_RELATIVE_LATENCY), MAX_RELATIVE_LATENCY),
         )
-        self.own = _TimedCounts(self.read_own(now).add(counted), now)
+        self.own = _TimedCounts(self.read_local(now).add(counted), now)
 
-    def read_own(self, now: float) -> AnswerCounts:
+    def read_local(self, now: float) -> AnswerCounts:
         """Return the local counts, decayed to now."""
         return self.own.counts.decay(now - self.own.at)
 
-    def note_peer(self, peer: str, counts: AnswerCounts, now: float) -> None:
+    def update_peer(self, peer: str, counts: AnswerCounts, now: float) -> None:
         """Replace the counts received from a peer, or from several summed up."""
         self.peers[peer] = _TimedCounts(counts, now)
 
     @property
-    def has_own(self) -> bool:
+    def has_local_answers(self) -> bool:
         """Tell whether this daemon ever had an answer from the server."""
         return bool(self.own.counts.answers)
 
     def sum_all(self, now: float) -> AnswerCounts:
         """Return the counts of all daemons."""
-        answers, failed, lateness = self.read_own(now) if self.has_own else (0, 0, 0)
+        answers, failed, relative_latency = (
+            self.read_local(now) if self.has_local_answers else (0, 0, 0)
+        )
         for timed in self.peers.values():
             age = now - timed.at
             if age < PEER_COUNTS_SECONDS:
@@ -117,22 +123,22 @@
                 counts = timed.counts
                 answers += counts.answers * factor
                 failed += counts.failed * factor
-                lateness += counts.lateness * factor
-        return AnswerCounts(answers, failed, lateness)
+                relative_latency += counts.relative_latency * factor
+        return AnswerCounts(answers, failed, relative_latency)
 
 
 def find_relative_latency(counts: AnswerCounts) -> float:
     """Return the server's mean answer time as a multiple of the expected time."""
     answers = counts.answers + ASSUMED_ANSWERS
-    return (counts.lateness + ASSUMED_ANSWERS) / answers
+    return (counts.relative_latency + ASSUMED_ANSWERS) / answers
 
 
-def find_slowness(lateness: float, median: float) -> float:
+def find_slowness(relative_latency: float, median: float) -> float:
     """Return the factor by which a request takes longer than at other servers.
 
     :param median: of the service's servers; under load all of them are slower.
     """
-    return max(lateness / median / SLOW_THRESHOLD, 1)
+    return max(relative_latency / median / SLOW_THRESHOLD, 1)
 
 
 def find_failure_rate(counts: AnswerCounts) -> float:
@@ -151,14 +157,16 @@
     return excess > EXCESS_FAILURE_RATE + 1 / counts.answers
 
 
-def compare_times(seconds: float, expected: float) -> float:
+def compute_relative_latency(seconds: float, expected: float) -> float:
     """Return an answer's time as a multiple of the expected time."""
     return (seconds + LATENCY_TOLERANCE_SECONDS) / (
         expected + LATENCY_TOLERANCE_SECONDS
     )
 
 
-def add_answers(reports: Iterable[Answers]) -> dict[BackendServerId, AnswerCounts]:
+def sum_answers(
+    reports: Iterable[AnswersByServer],
+) -> dict[BackendServerId, AnswerCounts]:
     """Return the summed counts of several daemons, by server."""
     total: dict[BackendServerId, AnswerCounts] = {}
     for answers in reports:
--- a/libs/serving/fireflyhitch_serving/servers.py
+++ b/libs/serving/fireflyhitch_serving/servers.py
@@ -20,10 +20,10 @@
 from fireflyhitch_model.records import immutable
 from fireflyhitch_serving.connections import Address, ConnectionPool
 from fireflyhitch_serving.health import ServerHealth
-from fireflyhitch_serving.messages import PromptPart, ServerLoadNote
-from fireflyhitch_serving.server_evidence import (
+from fireflyhitch_serving.messages import PromptPart, ReportedLoad
+from fireflyhitch_serving.server_statistics import (
     AnswerCounts,
-    ServerEvidence,
+    ServerStatistics,
     find_failure_rate,
     find_relative_latency,
     find_slowness,
@@ -102,10 +102,10 @@
     health: ServerHealth
     requests: int = 0
     prompt_tokens: int = 0
-    load: ServerLoadNote | None = None
-    load_at: float = 0
+    load: ReportedLoad | None = None
+    load_received_at: float = 0
     peers: dict[str, _PeerWork] = field(default_factory=dict)
-    evidence: ServerEvidence = field(default_factory=ServerEvidence)
+    evidence: ServerStatistics = field(default_factory=ServerStatistics)
     slowness: float = 1
     failing: bool = False
     parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
@@ -130,17 +130,17 @@
                 tokens += reported.work.prompt_tokens
         return InFlight(requests, tokens)
 
-    def note_peer(self, peer: str, work: InFlight, now: float) -> None:
+    def update_peer(self, peer: str, work: InFlight, now: float) -> None:
         """Replace a peer's work in flight; a peer without any is removed."""
         if any(work):
             self.peers[peer] = _PeerWork(work, now)
         else:
             self.peers.pop(peer, None)
 
-    def note_load(self, load: ServerLoadNote, now: float) -> None:
+    def update_load(self, load: ReportedLoad, now: float) -> None:
         """Set the load that the server reported."""
         self.load = load
-        self.load_at = now
+        self.load_received_at = now
 
     def set_failing(self, *, failing: bool, counts: AnswerCounts) -> None:
         """Set whether it fails much more often than others."""
@@ -154,16 +154,16 @@
             failing=failing,
         ).info('server judged')
 
-    def note_parts(self, parts: Iterable[PromptPart], now: float) -> None:
+    def add_cached_parts(self, parts: Iterable[PromptPart], now: float) -> None:
         """Record that a prompt's parts are, or will soon be, in its cache."""
-        self.note_part_ids((part.part_id for part in parts), now)
+        self.add_cached_part_ids((part.part_id for part in parts), now)
 
-    def note_part_ids(self, part_ids: Iterable[str], now: float) -> None:
+    def add_cached_part_ids(self, part_ids: Iterable[str], now: float) -> None:
         """Record parts as cached, by their ids."""
         for part_id in part_ids:
-            self.note_part(part_id, now)
+            self.add_cached_part(part_id, now)
 
-    def note_part(self, part_id: str, now: float) -> None:
+    def add_cached_part(self, part_id: str, now: float) -> None:
         """Record one part as cached."""
         self.parts[part_id] = now
         self.parts.move_to_end(part_id)
@@ -171,7 +171,7 @@
             self.parts.popitem(last=False)
 
 
-class ServerBook:
+class ServerRegistry:
     """All known servers, updated from the platform's list."""
 
     def __init__(self) -> None:
@@ -188,11 +188,11 @@
         """Return a server's record."""
         return self._records.get(server_id)
 
-    def of_service(self, service: DeploymentId) -> list[ServerRecord]:
+    def find_by_service(self, service: DeploymentId) -> list[ServerRecord]:
         """Return the servers of a service, leaving ones included."""
         return self._by_service.get(service, [])
 
-    def judge(self, service: DeploymentId, now: float) -> None:
+    def evaluate(self, service: DeploymentId, now: float) -> None:
         """Update which servers of a service are slow or failing, if that is due."""
         if (
             now - self._evaluated_at.get(service, float('-inf'))
@@ -200,7 +200,7 @@
         ):
             return
         self._evaluated_at[service] = now
-        records = self.of_service(service)
+        records = self.find_by_service(service)
         if not records:
             return
         self._median_rates[service] = median_high(
@@ -221,11 +221,11 @@
                 failing=is_failing(server_counts, median_rate), counts=server_counts
             )
 
-    def find_usual_failure_rate(self, service: DeploymentId) -> float:
+    def find_median_failure_rate(self, service: DeploymentId) -> float:
         """Return the median failure rate of a service at the last evaluation."""
         return self._median_rates.get(service, 0)
 
-    def find_agreed(
+    def find_affinity_servers(
         self, service: DeploymentId, part_id: str, eligible: Container[BackendServerId]
     ) -> list[BackendServerId]:
         """Return the servers that all daemons prefer for a prompt part.
@@ -236,7 +236,7 @@
         ranked = self._ranked.get(key)
         if ranked is None:
             server_ids = (
-                record.server.server_id for record in self.of_service(service)
+                record.server.server_id for record in self.find_by_service(service)
             )
             ranked = rank_by_hash(part_id, server_ids)[:MAX_RANKED]
             self._ranked[key] = ranked
--- a/libs/serving/fireflyhitch_serving/stalls.py
+++ b/libs/serving/fireflyhitch_serving/stalls.py
@@ -16,19 +16,19 @@
 DROP_SECONDS = 0.25
 
 
-class StallWatch:
+class StallDetector:
     """Detects missing iterations of a loop."""
 
     def __init__(
-        self, boot_clock: Callable[[], float], note_stall: Callable[[], None]
+        self, boot_clock: Callable[[], float], on_stall: Callable[[], None]
     ) -> None:
         """Create a detector for a running loop.
 
         :param boot_clock: seconds that also pass while the instance is suspended.
-        :param note_stall: called after each stall, before any message is processed.
+        :param on_stall: called after each stall, before any message is processed.
         """
         self._clock = boot_clock
-        self._on_stall = note_stall
+        self._on_stall = on_stall
         self._last_tick = boot_clock()
         self._discard_until = float('-inf')
 
@@ -37,7 +37,7 @@
         self._check()
         self._last_tick = self._clock()
 
-    def is_behind(self) -> bool:
+    def is_discarding(self) -> bool:
         """Tell whether a message read now may have been queued during a stall."""
         self._check()
         return self._clock() < self._discard_until
--- a/libs/serving/fireflyhitch_serving/usage.py
+++ b/libs/serving/fireflyhitch_serving/usage.py
@@ -16,7 +16,7 @@
 WindowCounts = dict[int, dict[CustomerId, int]]
 
 
-class UsageBook:
+class UsageTracker:
     """The counts of this daemon and those received from peers."""
 
     def __init__(self, own_process: str, window_seconds: float) -> None:
@@ -38,7 +38,7 @@
         counts = self._counts_by_process[self._own_process].setdefault(window, {})
         counts[customer] = counts.get(customer, 0) + 1
 
-    def own_counts(self, wall_seconds: float) -> WindowCounts:
+    def local_counts(self, wall_seconds: float) -> WindowCounts:
         """Return this daemon's counts of the latest windows."""
         oldest = self.find_window(wall_seconds) - SENT_WINDOWS
         return _since(self._counts_by_process[self._own_process], oldest)
@@ -53,7 +53,7 @@
                 recent_counts[process] = kept
         return recent_counts
 
-    def take_in(
+    def merge_counts(
         self, process: str, counts: Mapping[int, Mapping[CustomerId, int]]
     ) -> None:
         """Merge a process's counts; outdated counts change nothing."""
@@ -71,7 +71,7 @@
                 total[customer] = total.get(customer, 0) + number
         return total
 
-    def count_tellers(self, window: int) -> int:
+    def count_reporters(self, window: int) -> int:
         """Return the number of processes with counts of a window."""
         return sum(window in counts for counts in self._counts_by_process.values())
 
--- a/libs/serving/fireflyhitch_serving/usage_reports.py
+++ b/libs/serving/fireflyhitch_serving/usage_reports.py
@@ -17,7 +17,7 @@
 from fireflyhitch_serving.duty_calls import CallResult, DutyCalls
 from fireflyhitch_serving.leases import LeaderLease, Leadership
 from fireflyhitch_serving.store import AsyncStore, Put
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 
 # Outside the watched prefix: only a new leader reads it.
 USAGE_PREFIX = 'fireflyhitch-usage/'
@@ -43,7 +43,7 @@
 
 
 @immutable
-class UsageTerms:
+class UsageSchedule:
     """The windows of usage reports, and when a report is due.
 
     :param window_seconds: length of a window.
@@ -59,14 +59,14 @@
 
     def __init__(
         self,
-        tracker: UsageBook,
+        tracker: UsageTracker,
         lease: LeaderLease,
         store: AsyncStore,
         calls: DutyCalls,
         wall_clock: Callable[[], float],
         all_heard: Callable[[], bool],
         propagation_seconds: Callable[[], float],
-        schedule: UsageTerms,
+        schedule: UsageSchedule,
     ) -> None:
         """Create a reporter that has reported nothing.
 
@@ -96,7 +96,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self._forget_old()
-            leadership = self._lease.lead()
+            leadership = self._lease.current_leadership()
             if leadership is None:
                 continue
             try:
@@ -134,7 +134,7 @@
             self._saved_revision = item.revision
             for process, windows in json.loads(item.value).items():
                 counts = {int(window): found for window, found in windows.items()}
-                self._tracker.take_in(process, counts)
+                self._tracker.merge_counts(process, counts)
         fixed = await self._store.list(USAGE_PREFIX)
         for item in fixed.items:
             window = int(item.key.removeprefix(USAGE_PREFIX))
@@ -171,14 +171,14 @@
         counts = self._fixed.get(window)
         if counts is None:
             counts = await self._fix(window)
-        leadership = self._lease.lead()
+        leadership = self._lease.current_leadership()
         if counts is None or leadership is None:
             return
         result = await self._calls.report_usage(leadership, window, counts)
         logger.bind(
             window=window,
             requests=sum(counts.values()),
-            processes=self._tracker.count_tellers(window),
+            processes=self._tracker.count_reporters(window),
             all_heard=self._all_heard(),
             fencing=leadership.fencing,
             result=result.value,
--- a/libs/serving/fireflyhitch_serving/workloads.py
+++ b/libs/serving/fireflyhitch_serving/workloads.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class ReadingPace:
+class PrefillModel:
     """Linear model of the time to the first event over the tokens to prefill.
 
     The sums are those of a least squares fit in which older answers decay.
@@ -40,14 +40,14 @@
     squares: float = 0
     products: float = 0
 
-    def note(self, tokens: int, seconds: float) -> None:
+    def add_sample(self, tokens: int, seconds: float) -> None:
         """Add an observed answer.
 
         :param tokens: tokens that the server still had to prefill when the request was
             sent, its own prompt included.
         :param seconds: from then to its first event.
         """
-        max_seconds = MAX_DELAY_FACTOR * self.expect(tokens)
+        max_seconds = MAX_DELAY_FACTOR * self.predict(tokens)
         capped = min(seconds, max_seconds)
         self.answers = self.answers * _DECAY + 1
         self.tokens = self.tokens * _DECAY + tokens
@@ -55,7 +55,7 @@
         self.squares = self.squares * _DECAY + tokens * tokens
         self.products = self.products * _DECAY + tokens * capped
 
-    def expect(self, tokens: int) -> float:
+    def predict(self, tokens: int) -> float:
         """Return the predicted seconds to the first event.
 
         :param tokens: tokens to prefill before it, its own prompt included.
@@ -93,23 +93,23 @@
 
     def __init__(self) -> None:
         """Create an estimate without observations."""
-        self._prefill_models: defaultdict[DeploymentId, ReadingPace] = defaultdict(
-            ReadingPace
+        self._prefill_models: defaultdict[DeploymentId, PrefillModel] = defaultdict(
+            PrefillModel
         )
         self._prefill_tokens: defaultdict[DeploymentId, float] = defaultdict(float)
         self._units = 0.0
 
-    def note_units(self, units: float) -> None:
+    def record_units(self, units: float) -> None:
         """Add the units of an admitted request, of any service."""
         self._units = self._units * _DECAY + units
         for service in self._prefill_tokens:
             self._prefill_tokens[service] *= _DECAY
 
-    def note_read(self, service: DeploymentId, tokens: int) -> None:
+    def record_prompt_tokens(self, service: DeploymentId, tokens: int) -> None:
         """Add the prompt tokens that an engine of a service has to prefill."""
         self._prefill_tokens[service] += tokens
 
-    def pace_of(self, service: DeploymentId) -> ReadingPace:
+    def prefill_model(self, service: DeploymentId) -> PrefillModel:
         """Return the model of a service's engines."""
         return self._prefill_models[service]
 
--- a/libs/serving/tests/test_scale.py
+++ b/libs/serving/tests/test_autoscaler.py
@@ -8,17 +8,17 @@
 
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import BackendServerId, FailureDomainId, FencingNumber
-from fireflyhitch_serving.catalog import EngineTraits, ScaleBounds, Service
+from fireflyhitch_serving.autoscaler import Autoscaler
+from fireflyhitch_serving.catalog import EngineCapacity, ScaleBounds, Service
 from fireflyhitch_serving.connections import Address
 from fireflyhitch_serving.duty_calls import CallResult, ServerOrder
 from fireflyhitch_serving.leases import Leadership
-from fireflyhitch_serving.scale_orders import ScaleKeeper
-from fireflyhitch_serving.servers import ServerBook, ServerEntry
+from fireflyhitch_serving.servers import ServerEntry, ServerRegistry
 from fireflyhitch_serving.workloads import Workloads
 
 DOMAINS = {FailureDomainId(name): 1.0 for name in ('a', 'b', 'c', 'd')}
 SCALED = Service(
-    SERVICE, 100, EngineTraits(12, 400_000), ScaleBounds(1, 56, 4, 0.18, DOMAINS)
+    SERVICE, 100, EngineCapacity(12, 400_000), ScaleBounds(1, 56, 4, 0.18, DOMAINS)
 )
 
 
@@ -29,7 +29,7 @@
         self.orders: list[ServerOrder] = []
         self.is_leading = True
 
-    def lead(self) -> Leadership | None:
+    def current_leadership(self) -> Leadership | None:
         """Return a leadership, unless another daemon leads."""
         return Leadership(FencingNumber(7), 3) if self.is_leading else None
 
@@ -45,11 +45,11 @@
     """A leader before the first request, with a service whose servers are listed."""
 
     def __init__(self, demand: float = 0) -> None:
-        self.registry = ServerBook()
+        self.registry = ServerRegistry()
         self.leader = FakeLeader()
         self.clock = ManualClock()
         catalog = replace(make_catalog(), services={SERVICE: SCALED})
-        self.autoscaler = ScaleKeeper(
+        self.autoscaler = Autoscaler(
             lambda: catalog,
             self.registry,
             lambda: demand,
@@ -114,7 +114,7 @@
 
 def order_at_start(on_demand: int, monkeypatch) -> int:  # type: ignore[no-untyped-def]
     """Return the reclaimable servers ordered before the first request."""
-    monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+    monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
     harness = ScalingHarness()
     harness.list_servers(range(on_demand))
     asyncio.run(harness.advance_time(4))
@@ -133,7 +133,7 @@
         # 56 servers run when the daemons start, and write their entries over the next
         # three seconds. Orders based on the first two released all others, and the
         # first callers found eight.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         harness = ScalingHarness()
 
         async def script() -> None:
@@ -157,7 +157,7 @@
         # Prompts of a few tokens with long answers: engines have no prefill work, but
         # their batches are full. Orders by prefill alone would leave callers waiting
         # for a slot; 120 requests in batches of 12, half full, need 20 servers.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         harness = ScalingHarness(demand=1)
         harness.list_servers(range(4))
         for record in harness.registry.all().values():
@@ -199,7 +199,7 @@
 
     def test_starting_servers_are_not_ordered_again(self, monkeypatch) -> None:
         """Guards against a paid call every few seconds for servers that are starting."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         orders = OrderLog(CallResult.DONE)
         asyncio.run(orders.harness.advance_time(9))
         assert len(orders.placed_at) == 2
@@ -207,14 +207,14 @@
 
     def test_unavailable_servers_are_reordered_sooner(self, monkeypatch) -> None:
         """Guards against a delayed retry when servers may be available again."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         orders = OrderLog(CallResult.UNAVAILABLE)
         asyncio.run(orders.harness.advance_time(9))
         assert len(orders.placed_at) >= 3
 
     def test_reclaimed_servers_are_reordered_at_once(self, monkeypatch) -> None:
         """Guards against reclaimed servers that are replaced only after a delay."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         orders = OrderLog(CallResult.DONE)
 
         async def script() -> None:
@@ -236,7 +236,7 @@
         # The leader is killed under load. The next one has seen less of the day's load
         # and released half of the servers; none were available when requests came
         # again.
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         harness = ScalingHarness(demand=100_000)
         harness.list_servers(range(56))
         for record in harness.registry.all().values():
@@ -251,7 +251,7 @@
 
     def test_it_orders_for_the_load_seen_before_it_led(self, monkeypatch) -> None:
         """Guards against servers released after a burst because the leader changed."""
-        monkeypatch.setattr(f'{ScaleKeeper.__module__}.CHECK_INTERVAL_SECONDS', 0)
+        monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         harness = ScalingHarness(demand=1)
         harness.list_servers(range(4))
         harness.leader.is_leading = False
--- a/libs/serving/tests/test_quotas.py
+++ b/libs/serving/tests/test_quotas.py
@@ -9,10 +9,10 @@
 from fireflyhitch_serving.demand import DemandMeter
 from fireflyhitch_serving.quotas import (
     MAX_PROCESSES,
-    CustomerNote,
+    QuotaReport,
     Quotas,
     QuotaSlack,
-    find_slack_part,
+    find_slack_fraction,
 )
 
 BAKERY = CustomerId('bakery')
@@ -42,18 +42,18 @@
             for _ in range(daemons)
         ]
         for quotas in self.replicas:
-            quotas.share_with(daemons, daemons, propagation_seconds)
+            quotas.update_daemon_counts(daemons, daemons, propagation_seconds)
         self.taken: list[tuple[float, float]] = []
         self.refused = 0
 
     def exchange_reports(self, now: float) -> None:
         """Apply each daemon's reports to all others."""
-        report_sets = [quotas.notes(now) for quotas in self.replicas]
+        report_sets = [quotas.build_reports(now) for quotas in self.replicas]
         for place, quotas in enumerate(self.replicas):
             for other, reports in enumerate(report_sets):
                 if other != place:
                     for customer, report in reports.items():
-                        quotas.take_note(str(other), customer, report, now)
+                        quotas.apply_report(str(other), customer, report, now)
 
     def request(self, daemon: int, units: float, now: float) -> None:
         """Request units from a daemon."""
@@ -108,7 +108,7 @@
     def test_partitioned_daemons_enforce_the_limit(self) -> None:
         cluster = Cluster(4)
         for quotas in cluster.replicas:
-            quotas.share_with(daemons=4, reachable=1)
+            quotas.update_daemon_counts(daemons=4, reachable=1)
         now = 0.0
         for step in range(800):
             now += 0.02
@@ -124,7 +124,7 @@
         # 8 s with the slack fraction that few daemons use, where 13,800 are tolerated
         # (rate and burst plus a tenth, and the slack).
         slack = 2800
-        used = find_slack_part(0.7)
+        used = find_slack_fraction(0.7)
         cluster = Cluster(
             75, QuotaSlack(used * slack, used * 0.05, 8), propagation_seconds=0.7
         )
@@ -178,14 +178,14 @@
         old = Quotas(QuotaSlack())
         old.take(CUSTOMER, BURST, 0)
         new = Quotas(QuotaSlack())
-        for customer, report in old.notes(0).items():
-            new.take_note('old', customer, report, 0)
+        for customer, report in old.build_reports(0).items():
+            new.apply_report('old', customer, report, 0)
         assert new.take(CUSTOMER, 100, 0) is not None
 
     def test_refunded_units_may_be_taken_again(self) -> None:
         quotas = Quotas(QuotaSlack())
         quotas.take(CUSTOMER, BURST, 0)
-        quotas.give_back(CUSTOMER, 500)
+        quotas.refund(CUSTOMER, 500)
         assert quotas.take(CUSTOMER, 400, 0) is None
 
     def test_a_refusal_returns_the_time_until_units_are_available(self) -> None:
@@ -233,8 +233,8 @@
         remote = Quotas(QuotaSlack())
         for second in range(60):
             remote.take(CUSTOMER, RATE / 2, second)
-            for customer, report in remote.notes(second).items():
-                local.take_note('remote', customer, report, second)
+            for customer, report in remote.build_reports(second).items():
+                local.apply_report('remote', customer, report, second)
         assert local.take(CUSTOMER, RATE, 60) is None
 
     def test_a_bucket_created_before_the_first_configuration_fills_too(self) -> None:
@@ -250,8 +250,8 @@
             if second == 2:
                 configured.append(CUSTOMER.quota)
             remote.take(CUSTOMER, RATE / 2, second)
-            for customer, report in remote.notes(second).items():
-                local.take_note('remote', customer, report, second)
+            for customer, report in remote.build_reports(second).items():
+                local.apply_report('remote', customer, report, second)
         assert local.take(CUSTOMER, RATE, 60) is None
 
 
@@ -269,7 +269,7 @@
             cluster.request(1, 45, second)
             is_partitioned = 10 <= step < 70
             for quotas in cluster.replicas:
-                quotas.share_with(2, 1 if is_partitioned else 2)
+                quotas.update_daemon_counts(2, 1 if is_partitioned else 2)
             if not is_partitioned:
                 cluster.exchange_reports(second)
         assert cluster.refused == 0
@@ -283,14 +283,14 @@
         # name; the totals of each were kept forever.
         quotas = Quotas(QuotaSlack())
         for number in range(MAX_PROCESSES + 500):
-            quotas.take_note(f'p{number}', BAKERY, CustomerNote(1, 0, 5), 0)
+            quotas.apply_report(f'p{number}', BAKERY, QuotaReport(1, 0, 5), 0)
         assert quotas.count_processes() <= MAX_PROCESSES
 
     def test_their_demand_is_removed_too(self) -> None:
         quotas = Quotas(QuotaSlack())
         for number in range(500):
-            quotas.take_note(f'p{number}', BAKERY, CustomerNote(1, 7, 5), number)
-            quotas.notes(number)
+            quotas.apply_report(f'p{number}', BAKERY, QuotaReport(1, 7, 5), number)
+            quotas.build_reports(number)
         # One peer per second; only those of the last two seconds count.
         assert quotas.sum_demand(499) <= 2 * 7
         assert quotas.count_peers(BAKERY) <= 3
--- a/libs/serving/tests/test_server_evidence.py
+++ b/libs/serving/tests/test_server_statistics.py
@@ -5,21 +5,21 @@
 from statistics import median_high
 from typing import NamedTuple
 
-from asked_moments import pass_moments
-from test_placing import find_agreed, make_server
+from simulated_arrivals import simulate_arrivals
+from test_placement import find_affinity_servers, make_server
 
 from fireflyhitch_model.ids import DeploymentId, FailureDomainId
 from fireflyhitch_serving.messages import PromptPart
-from fireflyhitch_serving.placing import Place, PromptNeed, place_prompt
-from fireflyhitch_serving.server_evidence import (
+from fireflyhitch_serving.placement import Locality, PromptRequest, place_prompt
+from fireflyhitch_serving.server_statistics import (
     AnswerCounts,
-    ServerEvidence,
-    compare_times,
+    ServerStatistics,
+    compute_relative_latency,
     find_relative_latency,
     find_slowness,
     is_failing,
 )
-from fireflyhitch_serving.servers import InFlight, ServerBook, ServerRecord
+from fireflyhitch_serving.servers import InFlight, ServerRecord, ServerRegistry
 
 HERE = FailureDomainId('gent')
 MEDIAN_RATE = 0.1
@@ -45,49 +45,49 @@
 class TestFailing:
     def test_a_hanging_server_is_detected_by_all_daemons_statistics(self) -> None:
         """Guards against many daemons that each have to detect it on their own."""
-        evidence = ServerEvidence()
-        evidence.note_answer(0, failed=True, lateness=4)
+        evidence = ServerStatistics()
+        evidence.record_response(0, failed=True, relative_latency=4)
         assert not is_failing(evidence.sum_all(0), MEDIAN_RATE)
         for number in range(8):
-            evidence.note_peer(f'd{number}', make_counts(1, 1), 0)
+            evidence.update_peer(f'd{number}', make_counts(1, 1), 0)
         assert is_failing(evidence.sum_all(0.1), MEDIAN_RATE)
 
     def test_it_is_tried_again_after_its_failures_decay(self) -> None:
         """Guards against a recovered server that never gets requests again."""
-        evidence = ServerEvidence()
+        evidence = ServerStatistics()
         for second in range(10):
-            evidence.note_answer(second / 10, failed=True, lateness=4)
+            evidence.record_response(second / 10, failed=True, relative_latency=4)
         assert is_failing(evidence.sum_all(1), MEDIAN_RATE)
         assert not is_failing(evidence.sum_all(6), MEDIAN_RATE)
 
     def test_failures_that_all_servers_have_exclude_none(self) -> None:
         """Guards against healthy servers excluded by chance, one after the other."""
-        draw = random.Random(6)  # noqa: S311
-        evidence = ServerEvidence()
+        rng = random.Random(6)  # noqa: S311
+        evidence = ServerStatistics()
         excluded = 0
         for number in range(3000):
             now = number / 4
-            failed = draw.random() < 0.14
-            evidence.note_answer(now, failed=failed, lateness=1)
+            failed = rng.random() < 0.14
+            evidence.record_response(now, failed=failed, relative_latency=1)
             excluded += is_failing(evidence.sum_all(now), 0.14)
         assert excluded < 30
 
     def test_counts_of_an_unresponsive_peer_expire(self) -> None:
-        evidence = ServerEvidence()
-        evidence.note_peer('d1', make_counts(20, 20), 0)
+        evidence = ServerStatistics()
+        evidence.update_peer('d1', make_counts(20, 20), 0)
         assert not evidence.sum_all(3).answers
 
 
 class TestEvaluation:
     def test_a_failing_server_is_marked_in_the_registry(self) -> None:
-        registry = ServerBook()
+        registry = ServerRegistry()
         for number in range(3):
             registry.put(make_server(f's{number}', HERE, 12).server)
         bad, *good = registry.all().values()
         for record in good:
-            record.evidence.note_peer('d1', make_counts(10, 1), 0)
-        bad.evidence.note_peer('d1', make_counts(10, 9), 0)
-        registry.judge(DeploymentId(bad.server.service), 0.1)
+            record.evidence.update_peer('d1', make_counts(10, 1), 0)
+        bad.evidence.update_peer('d1', make_counts(10, 9), 0)
+        registry.evaluate(DeploymentId(bad.server.service), 0.1)
         assert bad.failing
         assert not any(record.failing for record in good)
 
@@ -97,7 +97,7 @@
 
     daemon: int
     tokens: int
-    lateness: float
+    relative_latency: float
 
 
 class Simulation:
@@ -117,9 +117,9 @@
         """Have a daemon place a prompt; return the seconds to its first token."""
         view = self.views[daemon]
         tokens = sum(part.tokens for part in parts)
-        need = PromptNeed(tokens, parts, TARGET_SECONDS, SECONDS_PER_TOKEN)
-        agreed = find_agreed(need, view)
-        placement = place_prompt(need, view, Place(HERE), now, agreed)
+        need = PromptRequest(tokens, parts, TARGET_SECONDS, SECONDS_PER_TOKEN)
+        agreed = find_affinity_servers(need, view)
+        placement = place_prompt(need, view, Locality(HERE), now, agreed)
         assert placement is not None
         engine = view.index(placement.record)
         pace = SECONDS_PER_TOKEN
@@ -130,30 +130,32 @@
         placement.record.prompt_tokens += tokens
         self._waiting[engine] += tokens
         expected = (placement.queued_tokens + tokens) * SECONDS_PER_TOKEN
-        lateness = compare_times(end - now, expected)
-        sent = SentPrompt(daemon, tokens, lateness)
+        relative_latency = compute_relative_latency(end - now, expected)
+        sent = SentPrompt(daemon, tokens, relative_latency)
         heapq.heappush(self._ends, (end, engine, sent))
         return end - now
 
-    def end_until(self, now: float) -> None:
+    def complete_until(self, now: float) -> None:
         """Complete the prompts that were read by then."""
         while self._ends and self._ends[0][0] <= now:
             end, engine, sent = heapq.heappop(self._ends)
             record = self.views[sent.daemon][engine]
             record.prompt_tokens -= sent.tokens
             self._waiting[engine] -= sent.tokens
-            record.evidence.note_answer(end, failed=False, lateness=sent.lateness)
+            record.evidence.record_response(
+                end, failed=False, relative_latency=sent.relative_latency
+            )
 
-    def tell_all(self, now: float) -> None:
+    def exchange_state(self, now: float) -> None:
         """Send each daemon the work and the statistics of the others."""
         for engine in range(ENGINES):
             records = [view[engine] for view in self.views]
-            seen = [record.evidence.read_own(now) for record in records]
+            seen = [record.evidence.read_local(now) for record in records]
             total = AnswerCounts()
             for counts in seen:
                 total = total.add(counts)
             for record, own in zip(records, seen, strict=True):
-                self._exchange_record(record, engine, total.take_off(own), now)
+                self._exchange_record(record, engine, total.subtract(own), now)
         for view in self.views:
             latencies = [
                 find_relative_latency(seen.evidence.sum_all(now)) for seen in view
@@ -166,28 +168,28 @@
         self, record: ServerRecord, engine: int, others: AnswerCounts, now: float
     ) -> None:
         waiting = self._waiting[engine] - record.prompt_tokens
-        record.note_peer('others', InFlight(0, waiting), now)
+        record.update_peer('others', InFlight(0, waiting), now)
         if self._exchanging:
-            record.evidence.note_peer('others', others, now)
+            record.evidence.update_peer('others', others, now)
 
 
 def simulate(*, exchanging: bool) -> float:
     """Return the fraction of first tokens in time while some engines are slow."""
-    draw = random.Random(7)  # noqa: S311
+    rng = random.Random(7)  # noqa: S311
     simulation = Simulation(exchanging=exchanging)
     asked = 0
     in_time = 0
-    arrivals = pass_moments(
+    arrivals = simulate_arrivals(
         simulation,
-        draw,
-        a_second=PROMPTS_PER_SECOND,
-        news_seconds=EXCHANGE_SECONDS,
+        rng,
+        arrivals_per_second=PROMPTS_PER_SECOND,
+        exchange_seconds=EXCHANGE_SECONDS,
         seconds=SIMULATED_SECONDS,
     )
     for now in arrivals:
-        topic = PromptPart(f'p{draw.randrange(TOPICS)}', 2_000)
-        own = PromptPart(f'o{now}', draw.randrange(500, 8_000))
-        seconds = simulation.send(draw.randrange(DAEMONS), (topic, own), now)
+        topic = PromptPart(f'p{rng.randrange(TOPICS)}', 2_000)
+        own = PromptPart(f'o{now}', rng.randrange(500, 8_000))
+        seconds = simulation.send(rng.randrange(DAEMONS), (topic, own), now)
         if now > SLOW_FROM:
             asked += 1
             in_time += seconds <= TARGET_SECONDS
--- a/libs/serving/tests/test_stalls.py
+++ b/libs/serving/tests/test_stalls.py
@@ -5,11 +5,11 @@
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.ids import CustomerId
 from fireflyhitch_serving.catalog import Customer, Quota
-from fireflyhitch_serving.hubs import Hubs
-from fireflyhitch_serving.peer_channel import NewsHandlers, PeerChannel
-from fireflyhitch_serving.peers import PeerBook
+from fireflyhitch_serving.hubs import HubTracker
+from fireflyhitch_serving.peer_channel import PeerChannel, PeerHandlers
+from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.quotas import Quotas, QuotaSlack
-from fireflyhitch_serving.stalls import DROP_SECONDS, StallWatch
+from fireflyhitch_serving.stalls import DROP_SECONDS, StallDetector
 from fireflyhitch_serving.traffic import ControlTraffic
 
 QUOTA = Quota(1000, 2000, in_tokens=True, plain_tokens=200)
@@ -23,21 +23,23 @@
         self.now = 0.0
         self.local_quotas = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
         self.remote_quotas = Quotas(QuotaSlack(), find_quota=lambda _: QUOTA)
-        self.detector = StallWatch(lambda: self.now, self.local_quotas.note_stall)
+        self.detector = StallDetector(
+            lambda: self.now, self.local_quotas.reset_peer_baselines
+        )
         self.queued: list[object] = []
 
     def use_remote(self) -> None:
         """Have the customer use its rate at the peer, which reports it."""
         self.remote_quotas.take(BAKERY, 100, self.now)
-        self.queued.append(self.remote_quotas.notes(self.now))
+        self.queued.append(self.remote_quotas.build_reports(self.now))
         self.now += 0.1
 
     def read_queued(self) -> None:
         """Apply the queued messages, as the channel does."""
         for reports in self.queued:
-            if not self.detector.is_behind():
+            if not self.detector.is_discarding():
                 for customer, report in reports.items():  # type: ignore[attr-defined]
-                    self.local_quotas.take_note('remote', customer, report, self.now)
+                    self.local_quotas.apply_report('remote', customer, report, self.now)
         self.queued.clear()
 
 
@@ -64,15 +66,15 @@
     def test_a_busy_loop_drops_nothing(self) -> None:
         daemon = FrozenDaemon()
         daemon.now = 0.8
-        assert not daemon.detector.is_behind()
+        assert not daemon.detector.is_discarding()
 
     def test_messages_are_accepted_again_soon_after(self) -> None:
         daemon = FrozenDaemon()
         daemon.now = 5.0
-        assert daemon.detector.is_behind()
+        assert daemon.detector.is_discarding()
         daemon.detector.tick()
         daemon.now = 5.0 + DROP_SECONDS
-        assert not daemon.detector.is_behind()
+        assert not daemon.detector.is_discarding()
 
 
 class TestChannel:
@@ -80,17 +82,17 @@
         # The first message after a freeze is read before the loop's next iteration.
         seconds = [0.0]
         received: list[object] = []
-        book = PeerBook('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
+        book = PeerRegistry('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
         channel = PeerChannel(
             book,
-            Hubs(book, ManualClock()),
-            NewsHandlers(
+            HubTracker(book, ManualClock()),
+            PeerHandlers(
                 None,  # type: ignore[arg-type]
                 received.append,
                 lambda data: bool(received.append(data)),
                 lambda: None,
             ),
-            StallWatch(lambda: seconds[0], list),
+            StallDetector(lambda: seconds[0], list),
             random.Random(1),  # noqa: S311
             ControlTraffic(),
         )
--- a/libs/serving/tests/test_reports.py
+++ b/libs/serving/tests/test_usage_reports.py
@@ -9,12 +9,12 @@
 from fireflyhitch_platform.keyvalue import KeyValue, Listing, Written
 from fireflyhitch_serving.duty_calls import CallResult
 from fireflyhitch_serving.leases import Leadership
-from fireflyhitch_serving.usage import UsageBook
+from fireflyhitch_serving.usage import UsageTracker
 from fireflyhitch_serving.usage_reports import (
     SAVED_KEY,
     SAVED_PREFIX,
     UsageReporter,
-    UsageTerms,
+    UsageSchedule,
 )
 
 BAKERY = CustomerId('bakery')
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.reported: dict[int, dict[CustomerId, int]] = {}
 
-    def lead(self) -> Leadership:
+    def current_leadership(self) -> Leadership:
         """Return a valid leadership."""
         return Leadership(FencingNumber(7), 3)
 
@@ -48,7 +48,7 @@
 
 def make_reporter(
     leader: FakeLeader,
-    tracker: UsageBook,
+    tracker: UsageTracker,
     wall_clock: Callable[[], float],
     propagation_seconds: float = 0.1,
 ) -> UsageReporter:
@@ -61,7 +61,7 @@
         wall_clock,
         lambda: True,
         lambda: propagation_seconds,
-        UsageTerms(5, 10),
+        UsageSchedule(5, 10),
     )
 
 
@@ -71,17 +71,17 @@
         # arrive 2.5 s after its end; an earlier report would lack them.
         monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
         leader = FakeLeader()
-        tracker = UsageBook('local', 5)
+        tracker = UsageTracker('local', 5)
         clock = [10.0]
         reporter = make_reporter(leader, tracker, lambda: clock[0], 1.9)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
-            tracker.take_in('remote', {1: {BAKERY: 30}})
+            tracker.merge_counts('remote', {1: {BAKERY: 30}})
             for now, count in ((11.9, 34), (12.5, 40), (15.5, 40)):
                 clock[0] = now
                 await asyncio.sleep(0.01)
-                tracker.take_in('remote', {1: {BAKERY: count}})
+                tracker.merge_counts('remote', {1: {BAKERY: count}})
             running.cancel()
 
         asyncio.run(script())
@@ -115,7 +115,7 @@
         # the first report of a window is accepted.
         monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
         leader = UnreadableStoreLeader()
-        reporter = make_reporter(leader, UsageBook('local', 5), lambda: 13.0)
+        reporter = make_reporter(leader, UsageTracker('local', 5), lambda: 13.0)
 
         async def script() -> None:
             running = asyncio.create_task(reporter.run())
@@ -133,7 +133,7 @@
 class Follower(FakeLeader):
     """A daemon that does not lead."""
 
-    def lead(self) -> None:  # type: ignore[override]
+    def current_leadership(self) -> None:  # type: ignore[override]
         """Return no leadership."""
 
 
@@ -143,7 +143,7 @@
         # that ever sent counts, until the process ended.
         monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
         leader = Follower()
-        tracker = UsageBook('local', 5)
+        tracker = UsageTracker('local', 5)
         clock = [10.0]
         reporter = make_reporter(leader, tracker, lambda: clock[0])
 
@@ -152,7 +152,7 @@
             for number in range(20):
                 clock[0] = 10.0 + 5 * number
                 window = tracker.find_window(clock[0])
-                tracker.take_in(f'process-{number}', {window: {BAKERY: 1}})
+                tracker.merge_counts(f'process-{number}', {window: {BAKERY: 1}})
                 await asyncio.sleep(0.005)
             running.cancel()
 
--- a/libs/serving/tests/test_workloads.py
+++ b/libs/serving/tests/test_workloads.py
@@ -3,7 +3,7 @@
 import random
 
 from fireflyhitch_model.ids import DeploymentId
-from fireflyhitch_serving.workloads import ReadingPace, Workloads
+from fireflyhitch_serving.workloads import PrefillModel, Workloads
 
 SERVICE = DeploymentId('assistant')
 OTHER = DeploymentId('drafts')
@@ -20,14 +20,16 @@
     answers: int = 400,
 ) -> None:
     """Let engines answer requests of all sizes at a given speed."""
-    draw = random.Random(5)  # noqa: S311
+    rng = random.Random(5)  # noqa: S311
     for _ in range(answers):
-        units = draw.randrange(500, 40_000)
+        units = rng.randrange(500, 40_000)
         tokens = int(units * uncached_fraction)
-        workloads.note_units(units)
-        workloads.note_read(SERVICE, tokens)
+        workloads.record_units(units)
+        workloads.record_prompt_tokens(SERVICE, tokens)
         seconds = FIRST_SECONDS + tokens * seconds_per_token
-        workloads.pace_of(SERVICE).note(tokens, seconds * draw.uniform(0.9, 1.1))
+        workloads.prefill_model(SERVICE).add_sample(
+            tokens, seconds * rng.uniform(0.9, 1.1)
+        )
 
 
 class TestPrefillModel:
@@ -35,26 +37,26 @@
         for seconds_per_token in (FAST, SLOW):
             workloads = Workloads()
             simulate_answers(workloads, seconds_per_token, uncached_fraction=1)
-            learned = workloads.pace_of(SERVICE).seconds_per_token
+            learned = workloads.prefill_model(SERVICE).seconds_per_token
             assert abs(learned / seconds_per_token - 1) < 0.15
 
     def test_answers_delayed_by_a_fault_count_little(self) -> None:
         workloads = Workloads()
         simulate_answers(workloads, FAST, uncached_fraction=1)
         for _ in range(4):
-            workloads.pace_of(SERVICE).note(20_000, 8)
-        assert workloads.pace_of(SERVICE).seconds_per_token < 1.3 * FAST
+            workloads.prefill_model(SERVICE).add_sample(20_000, 8)
+        assert workloads.prefill_model(SERVICE).seconds_per_token < 1.3 * FAST
 
     def test_engines_that_become_slow_are_detected(self) -> None:
         workloads = Workloads()
         simulate_answers(workloads, FAST, uncached_fraction=1)
         simulate_answers(workloads, SLOW, uncached_fraction=1, answers=1500)
-        assert workloads.pace_of(SERVICE).seconds_per_token > 0.8 * SLOW
+        assert workloads.prefill_model(SERVICE).seconds_per_token > 0.8 * SLOW
 
     def test_equal_prompts_keep_it_within_bounds(self) -> None:
-        model = ReadingPace()
+        model = PrefillModel()
         for _ in range(1000):
-            model.note(1000, 0.1)
+            model.add_sample(1000, 0.1)
         assert 0 < model.seconds_per_token < 1 / 5_000
 
 
@@ -80,7 +82,7 @@
         workloads = Workloads()
         simulate_answers(workloads, FAST, uncached_fraction=1)
         for _ in range(400):
-            workloads.note_units(10_000)
-            workloads.note_read(OTHER, 10_000)
+            workloads.record_units(10_000)
+            workloads.record_prompt_tokens(OTHER, 10_000)
         first = workloads.find_busy_seconds(SERVICE, 100_000)
         assert workloads.find_busy_seconds(OTHER, 100_000) > first
