--- a/libs/serving/fireflyhitch_serving/autoscaler.py
+++ b/libs/serving/fireflyhitch_serving/autoscaler.py
@@ -38,8 +38,8 @@
 # bursts, and above this the prompt queue grows.
 TARGET_UTILIZATION = 0.5
 
-# A leader that has seen no load yet assumes that this fraction of the present servers is
-# needed: orders for no load would leave the first callers only a few servers.
+# A leader that has seen no load yet assumes that this fraction of the present servers
+# is needed: orders for no load would leave the first callers only a few servers.
 INITIAL_FLOOR_FRACTION = 0.6
 # The same for a leader that takes over under load: the previous leader knew the load,
 # and servers released now may be unavailable later.
--- a/libs/serving/fireflyhitch_serving/leases.py
+++ b/libs/serving/fireflyhitch_serving/leases.py
@@ -47,7 +47,7 @@
 
 
 class LeaderLease:
-    """Renews or claims the leader's lease; ``current_leadership`` tells whether this daemon leads."""
+    """Renews or claims the leader's lease."""
 
     def __init__(
         self,
--- a/libs/serving/fireflyhitch_serving/moves.py
+++ b/libs/serving/fireflyhitch_serving/moves.py
@@ -1,4 +1,4 @@
-"""Moves a service's traffic to another version, on all daemons and by the leader.
+"""Moves a service's traffic to another version.
 
 Orders and the records of begun moves are in the store; daemons exchange the results of
 both versions. Each daemon evaluates them on its own and stops sending requests to an
@@ -38,7 +38,7 @@
 SLOW_FACTOR = 3.0
 BASELINE_WEIGHT = 0.1
 
-# The numbers of calls, failed calls and slow calls.
+# Numbers of calls, failed calls and slow calls, in this order.
 Counts = list[int]
 
 
@@ -101,10 +101,11 @@
     def __init__(self, shares: VersionShares, exposure_fraction: float) -> None:
         """Create a tracker without moves.
 
-        :param exposure_fraction: fraction of the requests that an untried version may get.
+        :param exposure_fraction: fraction of the requests that an untried version may
+            get.
         """
         self._shares = shares
-        self._exposure_part = exposure_fraction
+        self._exposure_fraction = exposure_fraction
         self._moves: dict[DeploymentId, _Move] = {}
         self._peer_counts: dict[str, Mapping[str, Counts]] = {}
         self._counts: dict[str, Counts] = {}
@@ -235,7 +236,7 @@
                 service=order.service, target=order.target, evidence=fault
             ).warning('version withdrawn here')
             return 0
-        return find_share(evidence, self._exposure_part)
+        return find_share(evidence, self._exposure_fraction)
 
     def _is_slow(
         self,
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -36,9 +36,9 @@
 # partitioned or frozen; a few lost messages in a row are not a partition yet.
 GAP_SECONDS = 2.0
 GAP_ROUNDS = 3.0
-# Fraction of the tolerance above limits that daemons use: the maximum, its reduction per
-# second of propagation, and the minimum. With these, five times a limit requested at 75
-# daemons with 0.7 s propagation stays within the tolerance (``TestManyDaemons``).
+# Fraction of the tolerance above limits that daemons use: the maximum, its reduction
+# per second of propagation, and the minimum. With these, five times a limit requested
+# at 75 daemons with 0.7 s propagation stays within the tolerance (``TestManyDaemons``).
 MAX_SLACK_FRACTION = 0.75
 SLACK_PER_SECOND = 0.5
 MIN_SLACK_FRACTION = 0.3
@@ -62,7 +62,7 @@
 class _PeerDemand:
     rate: float
     updated_at: float
-    near: bool
+    same_domain: bool
 
 
 @immutable
@@ -89,15 +89,16 @@
             if now - peer.updated_at < DEMAND_SECONDS
         }
 
-    def sum_demand(self, now: float, *, near: bool = False) -> float:
+    def sum_demand(self, now: float, *, same_domain: bool = False) -> float:
         """Return the units requested of all daemons per second.
 
-        :param near: count only daemons of the local failure domain.
+        :param same_domain: count only daemons of the local failure domain.
         """
         peer_rates = (
             peer.rate
             for peer in self.peers.values()
-            if now - peer.updated_at < DEMAND_SECONDS and (peer.near or not near)
+            if now - peer.updated_at < DEMAND_SECONDS
+            and (peer.same_domain or not same_domain)
         )
         return self.demand.read(now) + sum(peer_rates)
 
@@ -177,7 +178,7 @@
         self._quota_fraction = min(1.0, max(reachable, 1) / max(daemons, 1))
 
     def build_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
-        """Return the reports for the peers in this failure domain."""
+        """Return this daemon's reports for its peers."""
         for replica in self._buckets.values():
             self._refill(replica, now)
             replica.drop_stale_peers(now)
@@ -200,7 +201,7 @@
         return {
             name: QuotaReport(
                 bucket.taken + bucket.domain_peers_taken,
-                bucket.sum_demand(now, near=True),
+                bucket.sum_demand(now, same_domain=True),
                 bucket.left,
             )
             for name, bucket in self._buckets.items()
@@ -232,12 +233,12 @@
     ) -> None:
         """Apply a peer process's report.
 
-        :param near: whether this daemon may have to report it to other failure domains.
-
         Units taken before the first report are already in its ``left``. The same holds
         for a process that was partitioned: it kept to its own fraction of the quota
         meanwhile, and subtracting all of that at once would refuse requests for
         seconds.
+
+        :param near: whether this daemon may have to report it to other failure domains.
         """
         totals = self._reported_totals.setdefault(process, {})
         before = totals.get(customer)
--- a/libs/serving/fireflyhitch_serving/server_statistics.py
+++ b/libs/serving/fireflyhitch_serving/server_statistics.py
@@ -40,18 +40,21 @@
     """Exponentially decayed counts of a server's answers.
 
     :param failed: answers that the caller could not use.
-    :param relative_latency: sum of the answers' times, each as a multiple of the expected time.
+    :param relative_latency_sum: sum of the answers' times, each as a multiple of the
+        expected time.
     """
 
     answers: float = 0
     failed: float = 0
-    relative_latency: float = 0
+    relative_latency_sum: float = 0
 
     def decay(self, seconds: float) -> 'AnswerCounts':
         """Return the counts decayed by some seconds."""
         factor = math.exp(-max(seconds, 0) / DECAY_SECONDS)
         return AnswerCounts(
-            self.answers * factor, self.failed * factor, self.relative_latency * factor
+            self.answers * factor,
+            self.failed * factor,
+            self.relative_latency_sum * factor,
         )
 
     def add(self, other: 'AnswerCounts') -> 'AnswerCounts':
@@ -59,7 +62,7 @@
         return AnswerCounts(
             self.answers + other.answers,
             self.failed + other.failed,
-            self.relative_latency + other.relative_latency,
+            self.relative_latency_sum + other.relative_latency_sum,
         )
 
     def subtract(self, other: 'AnswerCounts') -> 'AnswerCounts':
@@ -67,7 +70,7 @@
         return AnswerCounts(
             max(self.answers - other.answers, 0),
             max(self.failed - other.failed, 0),
-            max(self.relative_latency - other.relative_latency, 0),
+            max(self.relative_latency_sum - other.relative_latency_sum, 0),
         )
 
 
@@ -113,7 +116,7 @@
 
     def sum_all(self, now: float) -> AnswerCounts:
         """Return the counts of all daemons."""
-        answers, failed, relative_latency = (
+        answers, failed, relative_latency_sum = (
             self.read_local(now) if self.has_local_answers else (0, 0, 0)
         )
         for timed in self.peers.values():
@@ -123,14 +126,14 @@
                 counts = timed.counts
                 answers += counts.answers * factor
                 failed += counts.failed * factor
-                relative_latency += counts.relative_latency * factor
-        return AnswerCounts(answers, failed, relative_latency)
+                relative_latency_sum += counts.relative_latency_sum * factor
+        return AnswerCounts(answers, failed, relative_latency_sum)
 
 
-def find_relative_latency(counts: AnswerCounts) -> float:
+def find_mean_relative_latency(counts: AnswerCounts) -> float:
     """Return the server's mean answer time as a multiple of the expected time."""
     answers = counts.answers + ASSUMED_ANSWERS
-    return (counts.relative_latency + ASSUMED_ANSWERS) / answers
+    return (counts.relative_latency_sum + ASSUMED_ANSWERS) / answers
 
 
 def find_slowness(relative_latency: float, median: float) -> float:
--- a/libs/serving/fireflyhitch_serving/servers.py
+++ b/libs/serving/fireflyhitch_serving/servers.py
@@ -25,7 +25,7 @@
     AnswerCounts,
     ServerStatistics,
     find_failure_rate,
-    find_relative_latency,
+    find_mean_relative_latency,
     find_slowness,
     is_failing,
 )
@@ -211,11 +211,11 @@
             [find_failure_rate(server_counts) for server_counts in counts]
         )
         median_latency = median_high(
-            [find_relative_latency(server_counts) for server_counts in counts]
+            [find_mean_relative_latency(server_counts) for server_counts in counts]
         )
         for record, server_counts in zip(records, counts, strict=True):
             record.slowness = find_slowness(
-                find_relative_latency(server_counts), median_latency
+                find_mean_relative_latency(server_counts), median_latency
             )
             record.set_failing(
                 failing=is_failing(server_counts, median_rate), counts=server_counts
--- a/libs/serving/fireflyhitch_serving/workloads.py
+++ b/libs/serving/fireflyhitch_serving/workloads.py
@@ -1,8 +1,8 @@
 """Estimates the engine time that customers' units need, from observed answers.
 
 Engines differ in prefill speed, and services in how much of their prompts the engines
-have cached. Both determine how many servers a load needs; a fixed number of tokens per
-server orders twice too many fast engines, and too few slow ones.
+have cached. Both determine how many servers a load needs; with a fixed number of tokens
+per server, twice as many fast engines as needed were ordered, and too few slow ones.
 """
 
 from collections import defaultdict
--- a/libs/serving/tests/test_autoscaler.py
+++ b/libs/serving/tests/test_autoscaler.py
@@ -198,7 +198,7 @@
     """An order is not repeated until its servers are late, unavailable or reclaimed."""
 
     def test_starting_servers_are_not_ordered_again(self, monkeypatch) -> None:
-        """Guards against a paid call every few seconds for servers that are starting."""
+        """Guards against a paid call every few seconds for starting servers."""
         monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         orders = OrderLog(CallResult.DONE)
         asyncio.run(orders.harness.advance_time(9))
--- a/libs/serving/tests/test_crash_detection.py
+++ b/libs/serving/tests/test_crash_detection.py
@@ -28,53 +28,53 @@
     writer.close()
 
 
-def count_crashes(scene: RequestHarness) -> int:
+def count_crashes(harness: RequestHarness) -> int:
     """Return how many servers have crashed under the only request."""
-    return sum(len(suspect.crashes) for suspect in scene.crashes.book.all().values())
+    return sum(len(suspect.crashes) for suspect in harness.crashes.book.all().values())
 
 
 class TestCrashDetection:
     def test_a_server_that_stops_listening_has_crashed_under_its_request(self) -> None:
-        async def script(scene: RequestHarness) -> None:
-            await scene.add('i-1', crash_server(scene.servers))
-            assert (await scene.ask()).status == 502
+        async def script(harness: RequestHarness) -> None:
+            await harness.add('i-1', crash_server(harness.servers))
+            assert (await harness.ask()).status == 502
             await asyncio.sleep(DETECTION_SECONDS)
-            assert count_crashes(scene) == 1
+            assert count_crashes(harness) == 1
 
         run_scenario(RequestHarness(), script)
 
     def test_a_server_that_aborts_a_response_and_stays_up_has_not_crashed(self) -> None:
-        async def script(scene: RequestHarness) -> None:
-            await scene.add('i-1', abort_response)
-            assert (await scene.ask()).status == 502
+        async def script(harness: RequestHarness) -> None:
+            await harness.add('i-1', abort_response)
+            assert (await harness.ask()).status == 502
             await asyncio.sleep(DETECTION_SECONDS)
-            assert not count_crashes(scene)
+            assert not count_crashes(harness)
 
         run_scenario(RequestHarness(), script)
 
     def test_the_exit_of_a_leaving_server_is_not_a_crash(self) -> None:
-        async def script(scene: RequestHarness) -> None:
+        async def script(harness: RequestHarness) -> None:
             async def leave(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
-                scene.book.remove(BackendServerId('i-1'))
-                scene.servers[-1].stop()
+                harness.book.remove(BackendServerId('i-1'))
+                harness.servers[-1].stop()
                 writer.close()
 
-            await scene.add('i-1', leave)
-            assert (await scene.ask()).status == 502
+            await harness.add('i-1', leave)
+            assert (await harness.ask()).status == 502
             await asyncio.sleep(DETECTION_SECONDS)
-            assert not count_crashes(scene)
+            assert not count_crashes(harness)
 
         run_scenario(RequestHarness(), script)
 
     def test_a_held_request_is_refused_at_once_and_reaches_no_server(self) -> None:
-        async def script(scene: RequestHarness) -> None:
-            server = await scene.add('i-1', crash_server(scene.servers))
-            await scene.ask()
+        async def script(harness: RequestHarness) -> None:
+            server = await harness.add('i-1', crash_server(harness.servers))
+            await harness.ask()
             await asyncio.sleep(DETECTION_SECONDS)
-            content = list(scene.crashes.book.all())[0]
-            hold = Hold(scene.clock.monotonic() + 30, frozenset())
-            scene.crashes.quarantine.add_hold(content, hold)
-            response = await scene.ask(request_id='r2')
+            content = list(harness.crashes.book.all())[0]
+            hold = Hold(harness.clock.monotonic() + 30, frozenset())
+            harness.crashes.quarantine.add_hold(content, hold)
+            response = await harness.ask(request_id='r2')
             assert response.status == 503
             assert response.headers['x-outcome'] == 'not-run'
             assert 29 < float(response.headers['retry-after']) <= 30
--- a/libs/serving/tests/test_named_limits.py
+++ b/libs/serving/tests/test_named_limits.py
@@ -33,11 +33,11 @@
     """Return whether a limit is in effect after responses with these heads."""
     has_limit: list[bool] = []
 
-    async def script(scene: RequestHarness) -> None:
-        await scene.add('i-1', ScriptedResponses(*heads).answer)
+    async def script(harness: RequestHarness) -> None:
+        await harness.add('i-1', ScriptedResponses(*heads).answer)
         for number, _ in enumerate(heads):
-            await scene.ask(request_id=f'r{number}')
-        has_limit.append(scene.limits.has_limits)
+            await harness.ask(request_id=f'r{number}')
+        has_limit.append(harness.limits.has_limits)
 
     run_scenario(RequestHarness(), script)
     return has_limit[0]
@@ -47,16 +47,16 @@
     """Guards against a request reported as not run although a server had it."""
 
     def test_a_request_that_reached_a_server_is_not_refused_as_not_run(self) -> None:
-        async def script(scene: RequestHarness) -> None:
-            await scene.add('a', close_connection())
-            await scene.add('b', ScriptedResponses().answer)
-            limited = scene.book.all()[BackendServerId('b')]
-            now = scene.clock.monotonic()
+        async def script(harness: RequestHarness) -> None:
+            await harness.add('a', close_connection())
+            await harness.add('b', ScriptedResponses().answer)
+            limited = harness.book.all()[BackendServerId('b')]
+            now = harness.clock.monotonic()
             server_id = limited.server.server_id
-            scene.limits.record_response(limited.process, server_id, 0.0, now, now)
-            while scene.limits.may_send(limited.process):
-                scene.limits.record_sent(limited.process)
-            response = await scene.ask()
+            harness.limits.record_response(limited.process, server_id, 0.0, now, now)
+            while harness.limits.may_send(limited.process):
+                harness.limits.record_sent(limited.process)
+            response = await harness.ask()
             assert (response.status, response.headers['x-outcome']) == (502, 'unknown')
 
         run_scenario(RequestHarness(), script)
--- a/libs/serving/tests/test_server_statistics.py
+++ b/libs/serving/tests/test_server_statistics.py
@@ -15,7 +15,7 @@
     AnswerCounts,
     ServerStatistics,
     compute_relative_latency,
-    find_relative_latency,
+    find_mean_relative_latency,
     find_slowness,
     is_failing,
 )
@@ -45,37 +45,37 @@
 class TestFailing:
     def test_a_hanging_server_is_detected_by_all_daemons_statistics(self) -> None:
         """Guards against many daemons that each have to detect it on their own."""
-        evidence = ServerStatistics()
-        evidence.record_response(0, failed=True, relative_latency=4)
-        assert not is_failing(evidence.sum_all(0), MEDIAN_RATE)
+        stats = ServerStatistics()
+        stats.record_response(0, failed=True, relative_latency=4)
+        assert not is_failing(stats.sum_all(0), MEDIAN_RATE)
         for number in range(8):
-            evidence.update_peer(f'd{number}', make_counts(1, 1), 0)
-        assert is_failing(evidence.sum_all(0.1), MEDIAN_RATE)
+            stats.update_peer(f'd{number}', make_counts(1, 1), 0)
+        assert is_failing(stats.sum_all(0.1), MEDIAN_RATE)
 
     def test_it_is_tried_again_after_its_failures_decay(self) -> None:
         """Guards against a recovered server that never gets requests again."""
-        evidence = ServerStatistics()
+        stats = ServerStatistics()
         for second in range(10):
-            evidence.record_response(second / 10, failed=True, relative_latency=4)
-        assert is_failing(evidence.sum_all(1), MEDIAN_RATE)
-        assert not is_failing(evidence.sum_all(6), MEDIAN_RATE)
+            stats.record_response(second / 10, failed=True, relative_latency=4)
+        assert is_failing(stats.sum_all(1), MEDIAN_RATE)
+        assert not is_failing(stats.sum_all(6), MEDIAN_RATE)
 
     def test_failures_that_all_servers_have_exclude_none(self) -> None:
         """Guards against healthy servers excluded by chance, one after the other."""
         rng = random.Random(6)  # noqa: S311
-        evidence = ServerStatistics()
+        stats = ServerStatistics()
         excluded = 0
         for number in range(3000):
             now = number / 4
             failed = rng.random() < 0.14
-            evidence.record_response(now, failed=failed, relative_latency=1)
-            excluded += is_failing(evidence.sum_all(now), 0.14)
+            stats.record_response(now, failed=failed, relative_latency=1)
+            excluded += is_failing(stats.sum_all(now), 0.14)
         assert excluded < 30
 
     def test_counts_of_an_unresponsive_peer_expire(self) -> None:
-        evidence = ServerStatistics()
-        evidence.update_peer('d1', make_counts(20, 20), 0)
-        assert not evidence.sum_all(3).answers
+        stats = ServerStatistics()
+        stats.update_peer('d1', make_counts(20, 20), 0)
+        assert not stats.sum_all(3).answers
 
 
 class TestEvaluation:
@@ -117,15 +117,15 @@
         """Have a daemon place a prompt; return the seconds to its first token."""
         view = self.views[daemon]
         tokens = sum(part.tokens for part in parts)
-        need = PromptRequest(tokens, parts, TARGET_SECONDS, SECONDS_PER_TOKEN)
-        agreed = find_affinity_servers(need, view)
-        placement = place_prompt(need, view, Locality(HERE), now, agreed)
+        request = PromptRequest(tokens, parts, TARGET_SECONDS, SECONDS_PER_TOKEN)
+        affinity_servers = find_affinity_servers(request, view)
+        placement = place_prompt(request, view, Locality(HERE), now, affinity_servers)
         assert placement is not None
         engine = view.index(placement.record)
-        pace = SECONDS_PER_TOKEN
+        seconds_per_token = SECONDS_PER_TOKEN
         if engine < SLOW_ENGINES and now > SLOW_FROM:
-            pace *= SLOWNESS
-        end = max(now, self._free_at[engine]) + tokens * pace
+            seconds_per_token *= SLOWNESS
+        end = max(now, self._free_at[engine]) + tokens * seconds_per_token
         self._free_at[engine] = end
         placement.record.prompt_tokens += tokens
         self._waiting[engine] += tokens
@@ -158,7 +158,7 @@
                 self._exchange_record(record, engine, total.subtract(own), now)
         for view in self.views:
             latencies = [
-                find_relative_latency(seen.evidence.sum_all(now)) for seen in view
+                find_mean_relative_latency(seen.evidence.sum_all(now)) for seen in view
             ]
             median = median_high(latencies)
             for found, record in zip(latencies, view, strict=True):
@@ -177,7 +177,7 @@
     """Return the fraction of first tokens in time while some engines are slow."""
     rng = random.Random(7)  # noqa: S311
     simulation = Simulation(exchanging=exchanging)
-    asked = 0
+    prompts = 0
     in_time = 0
     arrivals = simulate_arrivals(
         simulation,
@@ -191,9 +191,9 @@
         own = PromptPart(f'o{now}', rng.randrange(500, 8_000))
         seconds = simulation.send(rng.randrange(DAEMONS), (topic, own), now)
         if now > SLOW_FROM:
-            asked += 1
+            prompts += 1
             in_time += seconds <= TARGET_SECONDS
-    return in_time / asked
+    return in_time / prompts
 
 
 class TestSlowEngines:
--- a/libs/serving/tests/test_stalls.py
+++ b/libs/serving/tests/test_stalls.py
@@ -82,10 +82,10 @@
         # The first message after a freeze is read before the loop's next iteration.
         seconds = [0.0]
         received: list[object] = []
-        book = PeerRegistry('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
+        registry = PeerRegistry('d1', 'gent', ManualClock(), float)  # type: ignore[arg-type]
         channel = PeerChannel(
-            book,
-            HubTracker(book, ManualClock()),
+            registry,
+            HubTracker(registry, ManualClock()),
             PeerHandlers(
                 None,  # type: ignore[arg-type]
                 received.append,
--- a/libs/serving/tests/test_usage_reports.py
+++ b/libs/serving/tests/test_usage_reports.py
@@ -1,4 +1,4 @@
-"""Tests of the time of usage reports, with a leader without a network."""
+"""Tests of when usage is reported, by a leader without a network."""
 
 import asyncio
 from collections.abc import Callable
@@ -67,8 +67,9 @@
 
 class TestSettling:
     def test_a_window_waits_for_counts_that_propagate_slowly(self, monkeypatch) -> None:
-        # With 75 daemons, counts are sent every 1.9 s. The last counts of a window
-        # arrive 2.5 s after its end; an earlier report would lack them.
+        # With 75 daemons, one of another failure domain sends its counts every 1.9 s.
+        # Its last counts of a window arrive 2.5 s after the window's end; an earlier
+        # report would lack them.
         monkeypatch.setattr(f'{UsageReporter.__module__}.CHECK_INTERVAL_SECONDS', 0)
         leader = FakeLeader()
         tracker = UsageTracker('local', 5)
