--- a/tests/users_platform/test_moves.py
+++ b/tests/users_platform/test_moves.py
@@ -1,4 +1,4 @@
-"""Tests of a move's evidence and shares at one daemon."""
+"""Tests of a move's evidence and traffic shares at one daemon."""
 
 from fireflyhitch_model.ids import DeploymentId, Revision
 from fireflyhitch_rollout.short_moves import MoveEnd
@@ -9,95 +9,99 @@
 ORDER = MoveOrder(PLANNING, 'v2', 60, Revision(9))
 
 
-def make_running() -> tuple[MoveTracker, VersionShares]:
-    """Return a book with a move that has begun beside a good old version."""
+def make_running_move() -> tuple[MoveTracker, VersionShares]:
+    """Return a tracker with a running move from a healthy version, and the shares."""
     shares = VersionShares()
-    book = MoveTracker(shares, 0.1)
-    book.apply_order(ORDER)
-    book.apply_record(
+    tracker = MoveTracker(shares, 0.1)
+    tracker.apply_order(ORDER)
+    tracker.apply_record(
         PLANNING, b'{"order": 9, "began": 99.0, "end": null}', Revision(10)
     )
     for _ in range(40):
-        book.count(PLANNING, 'v1', 'r', failed=False, seconds=0.1)
-    return book, shares
+        tracker.count(PLANNING, 'v1', 'r', failed=False, seconds=0.1)
+    return tracker, shares
 
 
 class TestVerdict:
-    def test_a_daemon_withdraws_with_the_answer_that_proves_it(self) -> None:
-        # A new version fails at a busy daemon. The answer that makes the evidence
-        # enough closes it at once, not the next of the looks a quarter second apart.
-        book, shares = make_running()
-        given = 0
+    def test_a_version_is_withdrawn_with_the_response_that_completes_the_evidence(
+        self,
+    ) -> None:
+        # The new version fails at a busy daemon. The response that completes the
+        # evidence must withdraw it at once: the periodic check runs only every 0.25 s.
+        tracker, shares = make_running_move()
+        sent = 0
         for _ in range(100):
             move = shares.find(PLANNING)
             if move is not None and not move.share:
                 break
-            given += 1
-            book.count(PLANNING, 'v2', 'r', failed=True, seconds=0.1)
-        assert given < 6
+            sent += 1
+            tracker.count(PLANNING, 'v2', 'r', failed=True, seconds=0.1)
+        assert sent < 6
 
-    def test_what_peers_saw_counts_as_well(self) -> None:
-        book, shares = make_running()
-        book.update_peer_evidence('peer', {'planning|9|v2|r': [5, 5, 0]})
-        book.apply(PLANNING)
+    def test_evidence_from_peers_counts(self) -> None:
+        tracker, shares = make_running_move()
+        tracker.update_peer_evidence('peer', {'planning|9|v2|r': [5, 5, 0]})
+        tracker.apply(PLANNING)
         move = shares.find(PLANNING)
         assert move is not None
         assert move.share == 0
 
     def test_evidence_of_an_earlier_order_does_not_count(self) -> None:
-        book, shares = make_running()
-        book.update_peer_evidence('peer', {'planning|3|v2|r': [5, 5, 0]})
-        book.apply(PLANNING)
+        tracker, shares = make_running_move()
+        tracker.update_peer_evidence('peer', {'planning|3|v2|r': [5, 5, 0]})
+        tracker.apply(PLANNING)
         move = shares.find(PLANNING)
         assert move is not None
         assert move.share > 0
 
 
 class TestShares:
-    def test_nothing_is_given_before_the_move_is_recorded(self) -> None:
+    def test_a_new_version_gets_no_traffic_before_the_move_is_recorded(self) -> None:
         shares = VersionShares()
-        book = MoveTracker(shares, 0.1)
-        book.apply_order(ORDER)
+        tracker = MoveTracker(shares, 0.1)
+        tracker.apply_order(ORDER)
         move = shares.find(PLANNING)
         assert move is not None
         assert move.share == 0
 
-    def test_a_completed_move_gives_all_and_one_taken_back_nothing(self) -> None:
+    def test_a_new_version_gets_all_traffic_once_completed_and_none_once_rolled_back(
+        self,
+    ) -> None:
         for end, share in ((MoveEnd.COMPLETED, 1), (MoveEnd.ROLLED_BACK, 0)):
-            book, shares = make_running()
+            tracker, shares = make_running_move()
             record = f'{{"order": 9, "began": 99.0, "end": "{end.value}"}}'
-            book.apply_record(PLANNING, record.encode(), Revision(11))
+            tracker.apply_record(PLANNING, record.encode(), Revision(11))
             move = shares.find(PLANNING)
             assert move is not None
             assert move.share == share
 
 
 class TestEndedMoves:
-    def test_evidence_of_an_ended_move_is_not_told_any_more(self) -> None:
-        # Counts went out in each message for ever, a few more with each move, until
-        # the messages would have been too large for a datagram.
-        book, _ = make_running()
-        book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
-        assert book.evidence()
-        book.apply_record(
+    def test_evidence_of_an_ended_move_is_no_longer_sent(self) -> None:
+        # Counts of ended moves stayed in each message and grew with each move, until
+        # messages would have been too large for a datagram.
+        tracker, _ = make_running_move()
+        tracker.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
+        assert tracker.evidence()
+        tracker.apply_record(
             PLANNING, b'{"order": 9, "began": 99.0, "end": "completed"}', Revision(11)
         )
-        book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
-        assert not book.evidence()
+        tracker.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
+        assert not tracker.evidence()
 
-    def test_a_later_order_counts_anew(self) -> None:
-        book, _ = make_running()
-        book.apply_order(MoveOrder(PLANNING, 'v3', 60, Revision(20)))
-        book.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
-        assert list(book.evidence()) == ['planning|20|v2|r']
+    def test_a_later_order_restarts_the_counts(self) -> None:
+        tracker, _ = make_running_move()
+        tracker.apply_order(MoveOrder(PLANNING, 'v3', 60, Revision(20)))
+        tracker.count(PLANNING, 'v2', 'r', failed=False, seconds=0.1)
+        assert list(tracker.evidence()) == ['planning|20|v2|r']
 
     def test_processes_without_evidence_are_not_kept(self) -> None:
-        # Every process of a peer tells its counts, mostly none. Each was remembered
-        # for as long as this one lives, and added up with each untried answer.
-        book, _ = make_running()
-        book.update_peer_evidence('early', {'planning|9|v2|r': [1, 0, 0]})
+        # Every peer process reports its counts, which are mostly empty. All were kept for
+        # the lifetime of this process and summed for each response of a new version.
+        tracker, _ = make_running_move()
+        tracker.update_peer_evidence('early', {'planning|9|v2|r': [1, 0, 0]})
         for number in range(500):
-            book.update_peer_evidence(f'd{number}', {})
-        assert book.count_reporters() == 1
-        book.update_peer_evidence('early', {})
-        assert not book.count_reporters()
+            tracker.update_peer_evidence(f'd{number}', {})
+        assert tracker.count_reporters() == 1
+        tracker.update_peer_evidence('early', {})
+        assert not tracker.count_reporters()
