--- a/libs/fleet/fireflyhitch_fleet/capacity.py
+++ b/libs/fleet/fireflyhitch_fleet/capacity.py
@@ -40,7 +40,8 @@
 class CapacityManager:
     """Plans and orders instances under a lease; call ``step`` about every 10 s.
 
-    While the store or the cloud is unavailable, nothing is started or stopped.
+    While the store or the cloud is unavailable, nothing is started or stopped, and
+    running instances continue to serve.
     """
 
     def __init__(
--- a/libs/fleet/fireflyhitch_fleet/market_tracker.py
+++ b/libs/fleet/fireflyhitch_fleet/market_tracker.py
@@ -44,7 +44,8 @@
     ) -> dict[Placement, Market]:
         """Return the markets that a deployment may use.
 
-        :param running: its instances; a placement in backoff offers no more.
+        :param running: its running and pending instances by placement; a placement in
+            backoff offers no more than these.
         """
         configured = {
             Placement(entry.failure_domain, entry.machine_class): entry.price
--- a/libs/fleet/fireflyhitch_fleet/orders.py
+++ b/libs/fleet/fireflyhitch_fleet/orders.py
@@ -120,9 +120,9 @@
     def _is_safe_without_fencing(self, held: HeldDuty) -> bool:
         """Return whether no order of an earlier holder can still be in flight.
 
-        An engine that ignores fencing numbers would execute such an order after
-        ours. The earlier holder stopped by the end of its lease, and its last order
-        timed out within the order timeout after that.
+        An engine that ignores fencing numbers would execute such an order after one
+        of this daemon. The earlier holder stopped by the end of its lease, and its
+        last order timed out within the order timeout after that.
         """
         lease = self._duties.terms.duration.total_seconds()
         return self._clock.monotonic() - held.since >= lease + self._order_timeout
--- a/libs/fleet/fireflyhitch_fleet/spread.py
+++ b/libs/fleet/fireflyhitch_fleet/spread.py
@@ -2,8 +2,8 @@
 
 Reclaimable servers cost a fraction of on-demand ones, but those of a failure domain are
 reclaimed together at a few seconds' notice, and for a while none may be available
-anywhere. So many of them run that those left after the loss of some domains carry the
-load; only a remaining shortage is covered on demand.
+anywhere. Therefore enough of them run to carry the load even after the loss of some
+domains; only a remaining shortage is covered on demand.
 """
 
 import math
@@ -124,8 +124,8 @@
     """Return the on-demand servers that replace missing reclaimable ones.
 
     They are needed when more domains are lost than planned for. A fraction of the
-    maximum stays free for the reclaimable servers to return; keeping all of it free
-    would leave too few servers until they do.
+    maximum stays free for the reclaimable servers to return. If all their places
+    stayed free, there would be too few servers until they return.
     """
     returning = max(
         current.reclaimable, math.ceil(bounds.max_servers * RETURNING_FRACTION)
--- a/libs/fleet/tests/test_capacity.py
+++ b/libs/fleet/tests/test_capacity.py
@@ -187,15 +187,15 @@
 
     def test_only_a_lasting_surplus_is_stopped(self, manager, cloud, clock):
         manager.step([make_need(calls=50)])
-        bought = cloud.count()
-        seen = []
+        count_before = cloud.count()
+        counts_over_time = []
         for _ in range(320):
             clock.advance(timedelta(seconds=1))
             manager._duties.step()
             manager.step([make_need(calls=12)])
-            seen.append(cloud.count())
-        assert seen[200] == bought
-        assert seen[-1] < bought
+            counts_over_time.append(cloud.count())
+        assert counts_over_time[200] == count_before
+        assert counts_over_time[-1] < count_before
 
     def test_unneeded_version_is_stopped(self, manager, cloud, clock):
         """The move is done and the old version is no longer needed.
@@ -221,9 +221,9 @@
             VersionNeed('v1', 0.1, scale_in_protected=True),
             VersionNeed('v2', 1),
         )
-        bought = cloud.count()
+        count_before = cloud.count()
         for _ in range(320):
             clock.advance(timedelta(seconds=1))
             manager._duties.step()
             manager.step([make_need(calls=50, versions=versions)])
-        assert cloud.count() >= 2 * bought - 1
+        assert cloud.count() >= 2 * count_before - 1
--- a/libs/fleet/tests/test_duties.py
+++ b/libs/fleet/tests/test_duties.py
@@ -114,7 +114,7 @@
         """The store is restored from a backup made before the duty was taken.
 
         The lease can still be renewed, but the key is missing. The holder detects
-        this at its next renewal and releases the duty.
+        this at its next renewal and gives up the duty, which can then be claimed again.
         """
         backup = store.dump()
         first = managers[0]
--- a/libs/fleet/tests/test_spread.py
+++ b/libs/fleet/tests/test_spread.py
@@ -37,9 +37,9 @@
 
 class TestPlan:
     def test_without_losses_nothing_runs_on_demand(self) -> None:
-        calm = {domain: DomainServers(2, 0) for domain in PRICES}
-        target = spread_servers(NEED, BOUNDS, PRICES, calm)
-        assert target == calm
+        all_running = {domain: DomainServers(2, 0) for domain in PRICES}
+        target = spread_servers(NEED, BOUNDS, PRICES, all_running)
+        assert target == all_running
 
     def test_on_demand_servers_stay_until_reclaimable_ones_run(self) -> None:
         start = {domain: DomainServers(0, 1) for domain in PRICES}
@@ -78,7 +78,7 @@
             unavailable = self._find_unavailable(second)
             target = spread_servers(NEED, BOUNDS, PRICES, running)
             ordered.append((second + START_SECONDS, target))
-            arrived = [found for due, found in ordered if due <= second]
+            arrived = [plan for due, plan in ordered if due <= second]
             newest = arrived[-1] if arrived else running
             running = {
                 domain: DomainServers(
@@ -140,12 +140,12 @@
 
 
 class TestScarcity:
-    """A new leader stops servers just before further domains are lost.
+    """Reclaimable servers are kept while any failure domain lacks some.
 
-    Two domains lose their reclaimable servers, and none are available anywhere. A new
+    Without this rule callers were left with a quarter of the servers of a second before:
+    two domains lose their reclaimable servers, and none are available anywhere. A new
     leader sees little load and stops the seemingly unneeded servers of the other two.
-    When these domains are lost too, callers are left with a quarter of the servers of a
-    second before.
+    Then these two domains are lost as well.
     """
 
     def test_nothing_is_stopped_while_a_domain_lacks_servers(self) -> None:
@@ -156,8 +156,8 @@
         assert all(target[domain].reclaimable == 5 for domain in domains[1:])
 
     def test_surplus_is_stopped_when_no_domain_lacks_servers(self) -> None:
-        calm = {domain: DomainServers(5, 0) for domain in PRICES}
-        target = spread_servers(NEED, BOUNDS, PRICES, calm)
+        all_running = {domain: DomainServers(5, 0) for domain in PRICES}
+        target = spread_servers(NEED, BOUNDS, PRICES, all_running)
         assert all(current.reclaimable == 2 for current in target.values())
 
 
@@ -165,8 +165,8 @@
     def test_planned_servers_yield_the_need_they_were_planned_for(self) -> None:
         # A new leader derives the need from the servers that its predecessor ordered.
         # If it derived more, each change of leader would order more.
-        calm = {domain: DomainServers(2, 0) for domain in PRICES}
-        target = spread_servers(NEED, BOUNDS, PRICES, calm)
+        all_running = {domain: DomainServers(2, 0) for domain in PRICES}
+        target = spread_servers(NEED, BOUNDS, PRICES, all_running)
         assert count_servers_after_loss(target, NEED.domains_lost) == NEED.servers
 
     def test_on_demand_servers_are_not_lost(self) -> None:
--- a/libs/rollout/fireflyhitch_rollout/call_counts.py
+++ b/libs/rollout/fireflyhitch_rollout/call_counts.py
@@ -178,6 +178,6 @@
 def add_cells(
     total: dict[CellKey, CallCounts], added: dict[CellKey, CallCounts]
 ) -> None:
-    """Add the counts of ``part`` to ``total``."""
+    """Add the counts of ``added`` to ``total``."""
     for key, counts in added.items():
         total.setdefault(key, CallCounts()).add(counts)
--- a/libs/rollout/fireflyhitch_rollout/configuration_changes.py
+++ b/libs/rollout/fireflyhitch_rollout/configuration_changes.py
@@ -47,8 +47,8 @@
 def find_base_version(record: MoveRecord | None, deployment: Deployment) -> VersionId:
     """Return the version that serves the traffic that no move shifts.
 
-    The configuration may still name the old version as the current one after a
-    move is done; it takes effect again only once it names another version.
+    After a move is done, the configuration may still name the old version as the
+    current one. That entry is ignored until the configuration names another version.
     """
     if record is None or deployment.version != record.named:
         return deployment.version
--- a/libs/rollout/fireflyhitch_rollout/moves.py
+++ b/libs/rollout/fireflyhitch_rollout/moves.py
@@ -339,8 +339,8 @@
     def _find_effective_record(self, deployment: Deployment) -> MoveRecord | None:
         """Return the record, ended locally where this daemon may do so alone.
 
-        That applies to a move that operators removed or replaced, and to one that
-        has reached its rollback deadline and is not known to be done.
+        A daemon may do so if operators have removed or replaced the move, or if its
+        rollback deadline has passed and it is not known to be done.
         """
         record = self._records.find(deployment.name)
         if record is None or record.has_ended:
--- a/libs/rollout/fireflyhitch_rollout/schedule.py
+++ b/libs/rollout/fireflyhitch_rollout/schedule.py
@@ -51,8 +51,8 @@
     """Input to the next step of a move.
 
     :param rollback_deadline: latest time to start a rollback.
-    :param finish_by: rollback deadline if old servers had to be started first;
-        the target time of the move.
+    :param finish_by: target time of the move: the rollback deadline that would apply
+        if old servers were lost and had to be started first.
     :param capacity: fraction of the traffic that the ready servers of the new
         version can carry.
     :param old_servers: number of ready servers of the old version.
@@ -150,8 +150,8 @@
     record: MoveRecord, conditions: MoveConditions, policy: MovePolicy
 ) -> MoveRecord:
     is_long_enough = conditions.now >= _find_trial_end(record, conditions, policy)
-    has_room = conditions.capacity >= policy.steps[0]
-    if is_long_enough and has_room and conditions.proven:
+    has_capacity = conditions.capacity >= policy.steps[0]
+    if is_long_enough and has_capacity and conditions.proven:
         return _enter(record, conditions, state=MoveState.SHIFTING, step=0, burst=0)
     if find_burst_share(conditions.old_servers, policy) <= policy.base_share:
         return record
--- a/libs/rollout/fireflyhitch_rollout/short_moves.py
+++ b/libs/rollout/fireflyhitch_rollout/short_moves.py
@@ -14,13 +14,13 @@
 # Probability that one evaluation rolls back a good version by chance. With about 40
 # evaluations, which are not independent, that is about one move in a hundred.
 MAX_FALSE_ALARM_RATE = 0.0005
-# Fewer bad answers can come from a starting server or a broken connection.
+# Fewer bad answers may only be due to a starting server or a broken connection.
 MIN_BAD_ANSWERS = 3
 # A hundred answers cannot establish a lower failure rate than this. The bound keeps a
 # single bad answer in a quiet period from counting as proof.
 MIN_EXPECTED_RATE = 0.03
-# Up to this many answers the new version gets a larger share, for earlier evidence:
-# the platform allows 50 requests in addition to the fraction.
+# Until it has given this many answers, the new version gets a larger share, so that
+# evidence comes sooner: the platform allows 50 requests on top of a fraction of all.
 INITIAL_CALLS = 30
 INITIAL_SHARE = 0.2
 # Fraction of the allowed exposure that the share uses after that.
@@ -28,7 +28,7 @@
 # Earliest completion as a fraction of the duration: some faults appear late, and the
 # old servers are removed as soon as the move completes.
 MIN_COMPLETION_FRACTION = 0.75
-# Time before the deadline for writing the end and for daemons to apply it.
+# Time reserved before the deadline to write the end and for daemons to apply it.
 END_MARGIN_SECONDS = 2.0
 MIN_CALLS = 8
 
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -97,7 +97,7 @@
         counts = cluster.counts()
         assert (counts.count(1), counts.count(12)) == (6, 6)
 
-    def test_next_message_replaces_a_lost_one(self, cluster):
+    def test_next_message_repeats_a_lost_batch(self, cluster):
         """All links fail for a second; the next message repeats the batch."""
         for collector in cluster.collectors:
             collector.record(CALL, make_server(), ok=True)
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -138,7 +138,7 @@
         moving.run(10)
         assert outdated.report.reason is MoveEndReason.CANCELLED
 
-    def test_holder_with_an_older_configuration_raises_no_other_share(self, moving):
+    def test_others_ignore_raises_of_a_holder_with_an_older_configuration(self, moving):
         """Only the holder has not received the removal of the move.
 
         The others send the new version no requests from then on, whatever the
@@ -263,7 +263,7 @@
         assert cluster.store.calls['put_if'] == writes
         assert find_holder(cluster) in others
 
-    def test_lost_evidence_delays_the_withdrawal(self, cluster):
+    def test_lost_evidence_only_delays_the_withdrawal(self, cluster):
         """The daemons exchange no messages for two minutes.
 
         Each evaluates only its own calls. Afterwards the batches are sent again,
@@ -319,9 +319,9 @@
     def test_lost_old_servers_bring_the_rollback_deadline_forward(self, cluster):
         cluster.move()
         cluster.run(10)
-        early = cluster.nodes[0].report.last_return
+        before = cluster.nodes[0].report.last_return
         cluster.supply(2, 5)
-        assert cluster.nodes[0].report.last_return == early - timedelta(minutes=3)
+        assert cluster.nodes[0].report.last_return == before - timedelta(minutes=3)
 
     def test_raise_without_the_lease_violates_an_invariant(self, cluster):
         """A daemon tries to write a raise just after its lease expired.
--- a/libs/routing/fireflyhitch_routing/admission.py
+++ b/libs/routing/fireflyhitch_routing/admission.py
@@ -17,7 +17,7 @@
 from fireflyhitch_routing.shares import INTERVAL_SECONDS, DemandReport, DemandShares
 from fireflyhitch_settings.schema import Configuration, CustomerLimits
 
-# A customer may burst up to this many seconds of its rate.
+# Size of the token buckets, in seconds of the customer's rate: the largest burst.
 BURST_SECONDS = 2.0
 DEMAND_WEIGHT = 0.3
 MIN_DEMAND = 0.0001
@@ -105,7 +105,7 @@
                 raise _make_error('rate limit reached', 'rate_limit_exceeded', wait)
             if account.running >= self._max_running(call.customer, account):
                 raise _make_error(
-                    'too many concurrent requests',
+                    'too many requests at once',
                     'concurrency_limit_exceeded',
                     MIN_RETRY_SECONDS,
                 )
@@ -127,8 +127,8 @@
             account = self._accounts.get(permit.customer)
             if account is None:
                 return
-            # An account that was removed and opened again starts from zero although calls
-            # of the old one are still in flight.
+            # If a customer was removed and added again, the new account starts at zero
+            # while calls counted in the old one are still in flight.
             account.running = max(0, account.running - 1)
             account.tokens.consume(used_tokens - permit.tokens, now)
 
--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -16,7 +16,7 @@
 from fireflyhitch_model.ids import ContentId, ProcessId
 from fireflyhitch_routing.broadcast_window import BroadcastWindow
 
-# A request that completed does not crash servers: crashes up to this long after a
+# A request that completed is not the cause of crashes: those up to this long after its
 # complete response are attributed to other requests.
 EXONERATION_SECONDS = 60.0
 # Requests kept, the most recently updated ones.
@@ -233,10 +233,10 @@
 
 
 def count_rounds(crashes: Iterable[ServerCrash]) -> int:
-    """Return in how many successive runs of a request servers crashed.
+    """Return the number of successive runs of a request in which servers crashed.
 
     A run that started after the last counted crash begins a new round. Servers that
-    crash at the same moment have one cause and count as one round.
+    crash at the same moment are assumed to have one cause and count as one round.
     """
     rounds = 0
     last = float('-inf')
--- a/libs/routing/fireflyhitch_routing/policy.py
+++ b/libs/routing/fireflyhitch_routing/policy.py
@@ -18,14 +18,14 @@
 # Costs within this fraction of the lowest count as equal; the fastest server is chosen.
 COST_TOLERANCE = 0.02
 # If no server is within the target, those within this fraction of the fastest count as
-# equal, and the cheapest is chosen: it has the prompt cached or a lower price.
+# equal, and the cheapest of them is chosen: it has the prompt cached or a lower price.
 MARGIN_TOLERANCE = 0.15
 # Computing a prompt delays every call of the batch. Without this weight long prompts go
 # to the fullest server, and short answers there miss their target between tokens; see
 # docs/design/routing.md for the results of other weights.
 DELAY_WEIGHT = 8.0
 # Tokens that another server has cached cost this many times their compute time, since
-# recomputed tokens are measured separately from the price.
+# the number of recomputed tokens is to be kept low as well as the price.
 RECOMPUTE_WEIGHT = 10.0
 
 
--- a/libs/routing/fireflyhitch_routing/quarantine.py
+++ b/libs/routing/fireflyhitch_routing/quarantine.py
@@ -1,8 +1,8 @@
 """Quarantine of requests that crash the servers that run them.
 
-Such a request also fails all concurrent requests on the server, and its caller retries
-it. A request is held back from all servers once three servers have crashed during it
-and no other cause explains these crashes:
+A crash also makes all other requests on the server fail, and the caller retries the
+request that caused it. A request is held back from all servers once three servers have
+crashed during it and no other cause explains these crashes:
 
 - A request that completed recently is not held, however many servers crash during it:
   a popular request runs on many servers that other requests crash.
--- a/libs/routing/fireflyhitch_routing/retries.py
+++ b/libs/routing/fireflyhitch_routing/retries.py
@@ -3,8 +3,8 @@
 In an outage every call fails; if each were retried a few times, the remaining servers
 would get a multiple of the load. Two budgets bound the retries. The daemon's budget
 keeps attempts below ``1 + DAEMON_SHARE`` times the accepted calls, apart from a small
-burst. The customer's budget keeps the failing calls of one customer from using up the
-daemon's.
+burst. The customer's budget keeps one customer's failing calls from using up the
+daemon's budget.
 """
 
 import threading
--- a/libs/routing/fireflyhitch_routing/router.py
+++ b/libs/routing/fireflyhitch_routing/router.py
@@ -42,9 +42,10 @@
 NO_SERVER_RETRY_SECONDS = 5.0
 MIN_RETRY_SECONDS = 1.0
 NONE_EXCLUDED: frozenset[BackendServerId] = frozenset()
-# Below this fraction of the target no call is refused for overload.
+# Below this fraction of the target no call is refused for overload, even with the
+# strict limits.
 LOW_LOAD_MARGIN = 0.7
-# At least this fraction of the servers stays in use, even if ejected.
+# At least this fraction of the servers stays in use, even if they are ejected.
 MIN_IN_USE = 0.5
 # Records kept of servers missing from the instance list; enough for some days.
 MAX_UNLISTED = 10000
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -208,8 +208,8 @@
     def _drop_expired(self, now: float) -> None:
         """Drop limits that servers have not announced for a long time.
 
-        Unlisted servers are not dropped: the list may only lack them because the store
-        was unavailable.
+        Limits of servers missing from the instance list are kept: a server may be
+        missing only because the store was unavailable.
         """
         expired = [
             process
--- a/libs/routing/fireflyhitch_routing/shares.py
+++ b/libs/routing/fireflyhitch_routing/shares.py
@@ -10,10 +10,10 @@
 If messages are delivered within an interval, the shares never sum to more than the
 limit; a state machine in the tests checks this.
 
-An equal part is reserved for each daemon without a report for ``PEER_TIMEOUT_SECONDS``,
-and a daemon that receives no reports falls back to its equal part. Until a network
-partition is detected, each side may grow into the other's share: at most one extra limit
-per side, for ``PEER_TIMEOUT_SECONDS``.
+For each daemon that has sent no report for ``PEER_TIMEOUT_SECONDS``, an equal part is
+reserved, and a daemon that receives no reports falls back to its equal part. Until a
+network partition is detected, each side may grow into the other's share: at most one
+extra limit per side, for ``PEER_TIMEOUT_SECONDS``.
 """
 
 from collections import deque
--- a/libs/routing/tests/test_admission.py
+++ b/libs/routing/tests/test_admission.py
@@ -188,10 +188,10 @@
         assert min(admitted) >= 10 * REQUESTS / 4 * 0.9
 
     def test_excess_during_a_partition_is_bounded(self):
-        """Two daemons are partitioned while demand appears on the other side too.
+        """Two daemons are partitioned while demand also appears at the second one.
 
-        Until the peer timeout each assumes that the rest of the limit is free. So both
-        together use up to one extra limit, but only until the timeout.
+        Until the peer timeout each assumes that the rest of the limit is free. Together
+        they use up to one extra limit, but only until the timeout.
         """
         fleet = Fleet(2)
         for _ in range(10):
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -21,7 +21,7 @@
 
 CRASHING = ContentId('crashing')
 HARMLESS = ContentId('harmless')
-SETTLED = 0.2
+SETTLE_SECONDS = 0.2
 
 
 class Fleet:
@@ -159,9 +159,9 @@
         crash = ServerCrash(fleet.now, fleet.now - 0.1)
         fleet.trackers[0].record_crash(CRASHING, ProcessId(9), crash, fleet.now)
         quarantine = fleet.quarantines[0]
-        quarantine.review(fleet.now, SETTLED)
+        quarantine.review(fleet.now, SETTLE_SECONDS)
         assert quarantine.find_remaining_hold(CRASHING, fleet.now) is None
-        quarantine.review(fleet.now + SETTLED, SETTLED)
+        quarantine.review(fleet.now + SETTLE_SECONDS, SETTLE_SECONDS)
         assert quarantine.find_remaining_hold(CRASHING, fleet.now) is not None
 
     def test_a_late_response_releases_a_hold(self) -> None:
--- a/libs/routing/tests/test_knowledge.py
+++ b/libs/routing/tests/test_learned_state.py
@@ -40,8 +40,8 @@
     def test_never_expects_less_latency_with_more_load(self, samples):
         """A few noisy samples, only at low load, fit a negative slope.
 
-        A busier server then had a negative cost, no server was within the tolerance of
-        this lowest cost, and the choice failed. So coefficients never become negative.
+        With it a busy server had a negative cost, no server was within the tolerance of
+        this lowest cost, and the choice failed. Coefficients therefore stay at 0 or above.
         """
         curve = Curve(PRIOR, (0.1, 0.01), 0.1, 0)
         for number, (load, measured) in enumerate(samples):
@@ -66,8 +66,8 @@
         """Eight daemons receive the same report of an idle server, five seconds old.
 
         The report shows no calls of the others, so each daemon would send its calls
-        there and overload the server until the next report. So each call that a daemon
-        has sent since the report is also assumed for the others.
+        there and overload the server until the next report. Therefore each call that a
+        daemon has sent since the report is assumed to be sent by each other daemon too.
         """
         load = ServerLoad()
         load.apply_report(LoadReport('s', 0, 0, 0, measured=1))
--- a/libs/routing/tests/test_router.py
+++ b/libs/routing/tests/test_router.py
@@ -76,24 +76,24 @@
 
     def run(self, outcome, count=1, **restrictions):
         """Run calls one after the other and return their servers."""
-        places = []
+        chosen = []
         for _ in range(count):
             call = self.make_call()
             choice = self.router.choose(call, **restrictions)
             ticket = self.router.start(choice, call)
             self.router.finish(ticket, outcome)
-            places.append(choice.server.server_id)
-        return places
+            chosen.append(choice.server.server_id)
+        return chosen
 
     def fill(self, count, **changes):
         """Start calls that do not end, and return their failure domains."""
-        places = []
+        chosen = []
         for _ in range(count):
             call = self.make_call(**changes)
             choice = self.router.choose(call)
             self.router.start(choice, call)
-            places.append(choice.server.failure_domain)
-        return places
+            chosen.append(choice.server.failure_domain)
+        return chosen
 
 
 @pytest.fixture
@@ -134,8 +134,8 @@
         harness.router.mark_failure_domain('a', DomainState.CUT_OFF)
         assert not {'a1', 'a2'} & set(harness.run(SUCCEEDED, 20))
         harness.router.mark_failure_domain('a', DomainState.REACHABLE)
-        places = harness.fill(12)
-        assert places.count('a') <= 2
+        chosen = harness.fill(12)
+        assert chosen.count('a') <= 2
         harness.sleep(60)
         assert 'a' in harness.fill(12)
 
@@ -160,8 +160,8 @@
         If all servers were ejected, all customers would be refused because of one. The
         half whose ejection ends first stays in use.
         """
-        places = harness.run(REFUSED, 60)
-        assert len(set(places[-20:])) >= 1
+        chosen = harness.run(REFUSED, 60)
+        assert len(set(chosen[-20:])) >= 1
         assert harness.run(SUCCEEDED, 10)
 
     def test_lost_failure_domain_is_ejected_after_a_few_failures(self, harness):
@@ -185,8 +185,8 @@
         assert failed <= 4
 
     def test_cancelled_calls_do_not_count_against_the_server(self, harness):
-        places = harness.run(CallResult(ResultStatus.CANCELLED), 20)
-        assert set(places) == {'a1'}
+        chosen = harness.run(CallResult(ResultStatus.CANCELLED), 20)
+        assert set(chosen) == {'a1'}
 
 
 class TestOverload:
@@ -225,8 +225,8 @@
     def test_call_within_the_target_is_not_refused_at_moderate_load(self, harness):
         """A large customer sends batch calls at half of the load.
 
-        The factors of low priority and of a customer above its fair share multiplied to
-        half of the target, so calls that would have met the target were refused.
+        Without a minimum, the limit for low priority times the factor of a customer above
+        its fair share is half of the target, and calls within the target were refused.
         """
         harness.fill(4, customer='small')
         for _ in range(60):
@@ -261,8 +261,8 @@
 
     def test_counts_balance_after_concurrent_calls(self, harness):
         with ThreadPoolExecutor(8) as pool:
-            places = list(pool.map(lambda _: harness.run(SUCCEEDED, 50), range(16)))
-        assert sum(map(len, places)) == 800
+            chosen = list(pool.map(lambda _: harness.run(SUCCEEDED, 50), range(16)))
+        assert sum(map(len, chosen)) == 800
         # Nothing is left in flight: the cheapest server is as idle as at the start.
         harness.sleep(60)
         assert harness.choose().server.server_id == 'a1'
@@ -272,7 +272,7 @@
 class TestSlowUnderLoad:
     """A server that becomes slow only under load."""
 
-    def test_it_gets_only_the_calls_that_it_serves_in_time(self):
+    def test_slow_server_gets_only_the_calls_that_it_serves_in_time(self):
         """The cheapest server becomes six times slower above four calls.
 
         Its first calls are fast, so a plain average would send it more until all are
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -113,9 +113,9 @@
         # being broadcast.
         for seed in range(20):
             fleet = Fleet(21, 3.0, seed)
-            fewer = fleet.names[:18]
-            for place in range(0, 18, 2):
-                fleet.limits[place] = fleet.make(fleet.names[place], fewer)
+            shorter_list = fleet.names[:18]
+            for index in range(0, 18, 2):
+                fleet.limits[index] = fleet.make(fleet.names[index], shorter_list)
             fleet.run(12, demand=20)
             assert fleet.count_most() <= fleet.max_allowed()
 
@@ -124,10 +124,10 @@
         fleet.now += 0.5
         permits = [0 for _ in fleet.names]
         for _ in range(2000):
-            for place, limits in enumerate(fleet.limits):
+            for index, limits in enumerate(fleet.limits):
                 if limits.may_send(PROCESS):
                     limits.record_sent(PROCESS)
-                    permits[place] += 1
+                    permits[index] += 1
             fleet.now += 1
         assert sum(permits) == 2000
         assert min(permits) > 130
@@ -186,7 +186,7 @@
         expired.tell(fleet.now + 2 * EXPIRY_SECONDS, heard=False)
         assert not expired.has_limits
 
-    def test_broadcasts_end_and_stay_bounded(self) -> None:
+    def test_broadcasts_stop_and_messages_stay_bounded(self) -> None:
         limits = ServerLimits('a', lambda: ['a'], float)
         for number in range(MAX_LIMITS + 10):
             limits.record_response(
