--- a/libs/routing/fireflyhitch_routing/retries.py
+++ b/libs/routing/fireflyhitch_routing/retries.py
@@ -47,7 +47,7 @@
         invariant(
             self.retries <= limit,
             Invariant.BUDGET_HOLDS,
-            f'{self.retries} retries for {self.calls} calls',
+            f'{self.retries} retries of {self.calls} calls',
             step=Step.SEND,
         )
 
