--- a/libs/serving/fireflyhitch_serving/admission.py
+++ b/libs/serving/fireflyhitch_serving/admission.py
@@ -147,7 +147,8 @@
     def build_transient_refusal(self, code: str, message: str) -> RefusedError:
         """Return the error for a request that did not run, with a jittered retry time.
 
-        :param code: for the caller, as is ``message``.
+        :param code: error code for the caller.
+        :param message: error message for the caller.
         """
         seconds = RETRY_SECONDS * self._deps.rng.uniform(
             1 - RETRY_SPREAD, 1 + RETRY_SPREAD
@@ -158,7 +159,7 @@
 def build_refusal(seconds: float, code: str, message: str) -> RefusedError:
     """Return the error for a request that did not run.
 
-    :param seconds: after which the caller may retry.
+    :param seconds: time after which the caller may retry.
     """
     return RefusedError(
         Refusal(
--- a/libs/serving/fireflyhitch_serving/attempt_policy.py
+++ b/libs/serving/fireflyhitch_serving/attempt_policy.py
@@ -25,13 +25,13 @@
 # Minimum wait as a fraction of the latency target: it leaves time for another server,
 # and the work of a busy server that responds meanwhile is not wasted.
 MIN_TARGET_FRACTION = 0.5
-# Sends beyond a route's attempts, for servers that respond "not run"; each costs a
+# Additional sends beyond a route's attempts if servers respond "not run"; each costs a
 # round trip.
 MAX_EXTRA_SENDS = 2
 
 
 class AttemptPolicy:
-    """Decides on attempts by the state of servers, versions and the retry budget."""
+    """Decides on attempts from the state of servers, versions and the retry budget."""
 
     def __init__(self, dependencies: RequestDependencies) -> None:
         """Create a policy that uses the given components."""
@@ -107,7 +107,7 @@
     ) -> list[BackendServerId]:
         """Return the servers that the prompt's last shared part hashes to.
 
-        The last part of a prompt is its own and not shared with others.
+        The last part of a prompt is not shared with other prompts.
         """
         parts = exchange.info.parts
         if len(parts) < 2:
--- a/libs/serving/fireflyhitch_serving/attempts.py
+++ b/libs/serving/fireflyhitch_serving/attempts.py
@@ -17,13 +17,14 @@
 from fireflyhitch_serving.messages import ResponseInfo, drop_connection_headers
 from fireflyhitch_serving.placement import Placement
 
-# A link takes a few ms. A lost SYN is sent again only after 1 s; another server
+# Link latency is a few ms. A lost SYN is sent again only after 1 s, and another server
 # responds sooner.
 CONNECT_TIMEOUT_SECONDS = 0.3
-# The server may close an idle connection while a request is sent, which leaves unknown
-# whether it ran. Unrepeatable requests only use connections that were idle for less.
+# If the server closes an idle connection while a request is sent, it is unknown whether
+# the request ran. Requests that may not be repeated only use pooled connections that
+# were idle for less than this.
 MAX_UNREPEATABLE_IDLE_SECONDS = 1.0
-# Responses with another request's id are skipped up to this many reads.
+# The attempt fails after this many responses with the id of another request.
 MAX_MISMATCHED_RESPONSES = 2
 MIN_SERVER_ERROR = 500
 MIN_NON_SUCCESS = 300
@@ -147,7 +148,8 @@
     ) -> tuple[ResponseHead, ResponseInfo]:
         """Wait for the head of the response to this request.
 
-        A server may respond twice to an earlier request; the request id tells.
+        A server may respond a second time to an earlier request. Such a response has
+        another request id and is skipped.
         """
         request_id = self._exchange.info.request_id
         for _ in range(MAX_MISMATCHED_RESPONSES):
--- a/libs/serving/fireflyhitch_serving/callers.py
+++ b/libs/serving/fireflyhitch_serving/callers.py
@@ -21,8 +21,8 @@
 )
 from fireflyhitch_serving.sockets import set_send_options
 
-# A caller may pipeline requests; with more than this many waiting, its connection is
-# not read any further.
+# A caller may pipeline requests. While more than this many wait, nothing is read from
+# its connection.
 MAX_PIPELINED = 8
 # A caller that acknowledges nothing for this long is regarded as disconnected.
 ACK_TIMEOUT_MS = 4000
@@ -206,7 +206,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request of a caller that disconnected."""
+        """Cancel the request in progress, since the caller has disconnected."""
         self._disconnected = True
         self.state.connections.discard(self)
         self._stop_timer()
--- a/libs/serving/fireflyhitch_serving/catalog.py
+++ b/libs/serving/fireflyhitch_serving/catalog.py
@@ -37,7 +37,7 @@
     :param gap_target: latency target in seconds between two events of a stream.
     :param attempts: number of servers that may run one request.
     :param priority: 0 is the most urgent.
-    :param public: whether callers need no key.
+    :param public: whether callers need no API key.
     :param resumable: whether a stream may be resumed at another server.
     """
 
@@ -72,8 +72,8 @@
     """A customer's rate limit over all daemons.
 
     :param rate: units per second; 0 for no limit.
-    :param burst: maximum of saved units.
-    :param in_tokens: whether a unit is a token rather than a request.
+    :param burst: maximum number of unused units that are saved up.
+    :param in_tokens: whether units are tokens rather than requests.
     :param plain_tokens: tokens charged for a request that states no number.
     """
 
@@ -99,7 +99,7 @@
 class EngineCapacity:
     """Capacity of one of a service's model engines.
 
-    :param batch: maximum of concurrent requests.
+    :param batch: maximum number of concurrent requests.
     :param kv_tokens: size in tokens of the KV cache, which running requests and cached
         prompts share.
     """
@@ -112,9 +112,9 @@
 class ScaleBounds:
     """Bounds on the servers that may be ordered, for each failure domain.
 
-    :param start_seconds: from the order until a server accepts requests.
-    :param spot_price: price of a reclaimable server as a fraction of an on-demand
-        one's.
+    :param start_seconds: time from the order until a server accepts requests.
+    :param spot_price: price of a reclaimable server as a fraction of the price of an
+        on-demand one.
     :param domain_prices: price of a server by failure domain.
     """
 
@@ -127,7 +127,7 @@
 
 @immutable
 class Service:
-    """A kind of backend server."""
+    """A service, provided by backend servers of one kind."""
 
     name: DeploymentId
     max_connections: int
@@ -139,8 +139,8 @@
 class CallerLimits:
     """Size and time limits for callers' requests.
 
-    :param header_seconds: until the head is complete.
-    :param idle_seconds: until a connection without a request is closed.
+    :param header_seconds: time until the head must be complete.
+    :param idle_seconds: time until a connection without a request is closed.
     """
 
     header_bytes: int = 16384
@@ -154,7 +154,7 @@
     """A complete configuration.
 
     :param version: increases with each change.
-    :param customers: by key; ``None`` if requests need no key.
+    :param customers: customers by API key; ``None`` if requests need no key.
     """
 
     version: int
@@ -180,7 +180,7 @@
         return None
 
     def find_customer(self, key: str) -> Customer | None:
-        """Return the customer that holds a key."""
+        """Return the customer with an API key."""
         return (self.customers or {}).get(key)
 
     def find_quota(self, name: CustomerId) -> Quota | None:
@@ -189,7 +189,7 @@
 
     @property
     def requires_keys(self) -> bool:
-        """Tell whether requests must carry a customer's key."""
+        """Tell whether requests need a customer's API key."""
         return self.customers is not None
 
 
--- a/libs/serving/fireflyhitch_serving/client.py
+++ b/libs/serving/fireflyhitch_serving/client.py
@@ -46,8 +46,8 @@
         """Send a request and return its response.
 
         :param timeout: seconds to the complete response.
-        :raises ServerError: without a response; its outcome tells whether the call may
-            have run.
+        :raises ServerError: if there is no complete response; its ``outcome`` states
+            whether the call may have run.
         """
         host = (b'Host', str(self.address).encode())
         request = render_request(method, target, [host, *(headers or ())], body)
--- a/libs/serving/fireflyhitch_serving/connections.py
+++ b/libs/serving/fireflyhitch_serving/connections.py
@@ -28,13 +28,15 @@
 # is sent after 1 s without data, then one each second until ACK_TIMEOUT_MS.
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
-# Reading from the server pauses while more than this waits for the caller.
+# Reading from the server pauses while more than this has not been read by the owner,
+# which waits until the caller has received what came before.
 MAX_UNREAD_BYTES = 262144
 # Keep-alive timeout of a server that states none.
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-# A connection is reused for this fraction of the server's keep-alive timeout: the
-# server counts from its last byte, and whether a request sent while it closes has run
-# is unknown.
+# Idle connections are reused within this fraction of the server's keep-alive timeout.
+# The server measures the timeout from the last byte that it sent, so it may close the
+# connection earlier than expected here. If it does so while a request is sent, it is
+# unknown whether the request ran.
 KEEP_ALIVE_FRACTION = 0.6
 # Idle connections kept to one server, which accepts some hundred from all daemons.
 MAX_IDLE = 32
@@ -76,7 +78,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection that sends requests one after the other."""
+    """A connection for requests that are sent one after the other."""
 
     def __init__(self, address: Address) -> None:
         """Create a protocol; ``connect`` opens a connection with one."""
@@ -117,14 +119,14 @@
         """
         event = await self._next_event()
         while isinstance(event, bytes) or event is _Marker.END:
-            # The rest of a response that was discarded.
+            # The rest of a discarded response.
             event = await self._next_event()
         return event
 
     async def read_body(self) -> bytes:
         """Return the next bytes of the body, or ``b''`` at its end.
 
-        :raises ServerError: if the connection closes before.
+        :raises ServerError: if the connection closes before the body ends.
         """
         event = await self._next_event()
         if event is _Marker.END:
@@ -284,7 +286,7 @@
             and self._error is None
             and not self._closed
             and transport is not None
-            # The request may not be sent completely, so no other can follow it.
+            # Unsent bytes of the previous request would precede the next one.
             and not transport.get_write_buffer_size()
         )
 
--- a/libs/serving/fireflyhitch_serving/dependencies.py
+++ b/libs/serving/fireflyhitch_serving/dependencies.py
@@ -24,7 +24,7 @@
 
 
 class OutcomeRecorder(Protocol):
-    """Records how a version responded, as evidence for its move."""
+    """Records a version's responses, on which the move of traffic to it depends."""
 
     def __call__(
         self,
@@ -54,7 +54,7 @@
         self._current.setdefault(server, []).extend(part.part_id for part in parts)
 
     def take(self) -> dict[BackendServerId, list[str]]:
-        """Return the parts added since the call before the last one.
+        """Return the parts added since the second-to-last call.
 
         Each part is returned twice, since a message may be lost.
         """
@@ -76,7 +76,7 @@
 
 
 def make_crash_tracking(clock: Clock, servers: ServerRegistry) -> CrashTracking:
-    """Create a tracking without records."""
+    """Create the crash tracking components, without records."""
     book = CrashTracker()
     return CrashTracking(
         book, Quarantine(book), CrashDetector(clock, servers.find, book)
--- a/libs/serving/fireflyhitch_serving/duty_ranking.py
+++ b/libs/serving/fireflyhitch_serving/duty_ranking.py
@@ -8,7 +8,7 @@
 from fireflyhitch_serving.peers import PeerRegistry
 from fireflyhitch_serving.summaries import SummaryTable
 
-# For each group; further claimants would only wait in vain.
+# Maximum number of claimants in each group; further ones would only wait in vain.
 MAX_CLAIMANTS = 4
 
 
@@ -39,7 +39,7 @@
     ) -> None:
         """Create the order from the state of peers and domain summaries.
 
-        :param has_discovered_peers: tells whether this daemon has had time to receive
+        :param has_discovered_peers: returns whether this daemon has had time to receive
             the others' state.
         """
         self._peers = peers
@@ -47,7 +47,10 @@
         self._has_discovered_peers = has_discovered_peers
 
     def find(self) -> int | None:
-        """Return how many daemons claim first; ``None`` if this one does not claim."""
+        """Return how many daemons claim before this one.
+
+        :returns: ``None`` if this one does not claim.
+        """
         if not self._has_discovered_peers():
             return None
         position = rank_eligible(self._peers, 'lead').index(self._peers.own)
--- a/libs/serving/fireflyhitch_serving/edge.py
+++ b/libs/serving/fireflyhitch_serving/edge.py
@@ -23,8 +23,8 @@
     """The values that an attempt adds to its request.
 
     :param time_left: seconds that the server has to respond.
-    :param urgency: priority at a model engine, 0 is admitted first; ``None`` for other
-        services.
+    :param urgency: priority at a model engine, where 0 is admitted first; ``None`` for
+        other services.
     :param last_event: id of the event after which the stream resumes.
     """
 
@@ -40,7 +40,7 @@
     """A final response by the daemon itself.
 
     :param outcome: ``not-run`` only if that is certain.
-    :param retry_after: after which the caller may retry.
+    :param retry_after: time after which the caller may retry.
     """
 
     status: int
--- a/libs/serving/fireflyhitch_serving/events.py
+++ b/libs/serving/fireflyhitch_serving/events.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Splits the streams of a request's attempts.
+    """Splits the response streams of all attempts at one request.
 
     :param last_id: of the last event returned, over all attempts.
     """
--- a/libs/serving/fireflyhitch_serving/exchanges.py
+++ b/libs/serving/fireflyhitch_serving/exchanges.py
@@ -19,13 +19,13 @@
     """An admitted request.
 
     :param deadline: monotonic seconds by which the caller gets a final response.
-    :param content: identifies the request's content; equal for repeats of a request.
+    :param content: id of the request's content; equal for repeats of a request.
     :param charged_units: units taken from the customer's quota.
     :param tried_servers: servers of all attempts, unreachable ones included.
     :param runs: attempts that a server may have run.
     :param sends: attempts that were sent.
-    :param usage_counted: whether it is in the usage of its customer.
-    :param has_waited: whether it has waited for a server.
+    :param usage_counted: whether it is counted in its customer's usage.
+    :param has_waited: whether it has waited for a slot or a server's rate limit.
     :param unread_prompt_tokens: prompt tokens that the current server has yet to read.
     :param attempt_started: monotonic start time of the current attempt.
     :param first_event_at: monotonic time of the current attempt's first event or
--- a/libs/serving/fireflyhitch_serving/lifecycle.py
+++ b/libs/serving/fireflyhitch_serving/lifecycle.py
@@ -12,7 +12,7 @@
 from fireflyhitch_serving.messages import CallerRequest
 
 # The load balancer checks readiness once a second and removes the daemon after two
-# failures. Until then it still sends callers' new connections here.
+# failures. Until then it still opens connections for new callers here.
 BALANCER_LEAVE_SECONDS = 2.6
 # Part of the grace period reserved for the process to exit after the last response.
 EXIT_MARGIN_SECONDS = 0.6
@@ -27,11 +27,11 @@
     """A daemon's state as seen by the load balancer.
 
     :param serviceable: returns why the daemon cannot serve yet, or ``None`` if it can.
-    :param grace: seconds from the order to stop until the process is killed.
+    :param grace: seconds from the stop signal until the process is killed.
     :param shutdown_deadline: monotonic time at which a stopping process exits, set when
         the balancer has had time to remove the daemon. A balancer with too few other
-        daemons still sends callers, whose requests must complete before the process
-        exits.
+        daemons still sends callers here; their requests must complete before the
+        process exits.
     """
 
     front: ListenerState
--- a/libs/serving/fireflyhitch_serving/messages.py
+++ b/libs/serving/fireflyhitch_serving/messages.py
@@ -55,11 +55,11 @@
 class RequestInfo:
     """The information in a request that is used for routing, whatever its edge.
 
-    :param host: without a port.
+    :param host: the requested host, without a port.
     :param key: the caller's API key, if any.
     :param time_left: seconds that the caller will wait, if stated.
     :param last_event: id of the last event received; a stream resumes after it.
-    :param parts: of the prompt, in order.
+    :param parts: parts of the prompt, in order.
     :param hinted_tokens: the caller's estimate of the response's tokens.
     """
 
@@ -87,8 +87,9 @@
 class ReportedLoad:
     """The load that a server reports in a response.
 
-    :param running: requests.
-    :param waiting: requests.
+    :param running: number of requests in progress.
+    :param waiting: number of queued requests.
+    :param slots: number of requests that it runs at once.
     """
 
     running: int
@@ -100,7 +101,7 @@
 class ResponseInfo:
     """The information in the head of a server's response.
 
-    :param request_id: of the request it responds to, if stated.
+    :param request_id: id of the request that it responds to, if stated.
     :param not_run: whether the server states that it did not run the request.
     :param signed: whether it has the server's signature.
     :param encoded: whether the body has a content encoding, which is never requested.
--- a/libs/serving/fireflyhitch_serving/metrics_endpoint.py
+++ b/libs/serving/fireflyhitch_serving/metrics_endpoint.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from fireflyhitch_telemetry.metrics import Metrics
 
-# A few minutes of a loaded daemon's requests, at about 200 bytes each.
+# A busy daemon's requests in a few minutes, at about 200 bytes each.
 MAX_PENDING = 20_000
 
 
@@ -41,7 +41,7 @@
 
 
 class MetricsEndpoint:
-    """Counts finished requests and serves the counts."""
+    """Counts finished requests and serves the metrics."""
 
     def __init__(self) -> None:
         """Create an endpoint that buffers records."""
@@ -61,9 +61,9 @@
         """Respond with the metrics, whatever the path of the request."""
         if self._metrics is None:
             self._metrics = self._load()
-        kind = b'text/plain; version=0.0.4; charset=utf-8'
+        content_type = b'text/plain; version=0.0.4; charset=utf-8'
         reply.send_response(
-            HTTPStatus.OK, [(b'Content-Type', kind)], self._metrics.render()
+            HTTPStatus.OK, [(b'Content-Type', content_type)], self._metrics.render()
         )
 
     def _load(self) -> 'Metrics':
--- a/libs/serving/fireflyhitch_serving/placement.py
+++ b/libs/serving/fireflyhitch_serving/placement.py
@@ -20,27 +20,28 @@
 # Added by each request beyond an engine's batch: a slot is freed when one of some
 # dozens of requests, each of which takes some seconds, completes.
 SECONDS_PER_QUEUED_REQUEST = 0.05
-# Traffic between failure domains costs money, so a local server is preferred by a time
-# that a caller hardly notices.
+# Added for a server in another failure domain, since traffic between failure domains
+# costs money. Callers hardly notice a delay of this length.
 REMOTE_DOMAIN_SECONDS = 0.004
 # A busy engine's cache keeps an unused prompt part for about this long.
 CACHED_PART_TTL_SECONDS = 20.0
-# The first server by hash counts as if it had cached this fraction of a prompt's shared
-# parts, so that daemons agree on one server for parts that no server is known to have.
+# The preferred server that ranks first by hash is treated as if it had cached this
+# fraction of a prompt's shared parts, so that daemons agree on one server for parts that
+# no server is known to have cached.
 PREFERRED_CACHE_FRACTION = 0.5
 # A server without the prompt's parts that is not preferred by hash is chosen only if
 # the wait at the preferred ones is longer by this fraction of the latency target.
 NON_PREFERRED_TARGET_FRACTION = 0.4
 MAX_NON_PREFERRED_SECONDS = 0.5
-# Of more servers only a sample of this size is compared, another one for each prompt.
-# The least busy of some dozens is hardly busier than that of hundreds, and comparing
-# all takes longer.
+# If there are more servers, only a sample of this size is compared, a different one for
+# each prompt. The least busy of some dozens is hardly busier than the least busy of
+# hundreds, and comparing all takes longer.
 MAX_COMPARED = 64
-# A server's own report of waiting requests, also of a draining or returning server, is
-# used for this long.
+# A server's own report of its waiting requests is used for this long, also if the
+# server is draining or has returned.
 LOAD_REPORT_TTL_SECONDS = 0.5
-# Added in a partitioned failure domain: a request there waits for the connect timeout,
-# or in vain on a pooled connection.
+# Added for a server in a failure domain that is probably partitioned: a request waits
+# for the connect timeout, or for a response that never arrives on a pooled connection.
 UNREACHABLE_DOMAIN_SECONDS = 0.3
 # Added for a cold server, which is slower than a warm one and may miss the latency
 # target.
@@ -66,7 +67,7 @@
 class Locality:
     """The daemon's view of the failure domains.
 
-    :param unreachable_domains: probably partitioned from this daemon.
+    :param unreachable_domains: domains that are probably partitioned from this daemon.
     """
 
     own_domain: FailureDomainId
@@ -78,9 +79,9 @@
     """The chosen server.
 
     :param wait: expected seconds to the first token; 0 for plain services.
-    :param fresh_tokens: prompt tokens of this request that are not cached there.
-    :param requests: in flight there from all daemons.
-    :param queued_tokens: prompt tokens that it has yet to read for those.
+    :param fresh_tokens: prompt tokens of this request that the server has not cached.
+    :param requests: requests in flight at the server, from all daemons.
+    :param queued_tokens: prompt tokens that the server has yet to read for those.
     """
 
     record: ServerRecord
--- a/libs/serving/fireflyhitch_serving/request_handler.py
+++ b/libs/serving/fireflyhitch_serving/request_handler.py
@@ -30,7 +30,7 @@
 
 # No server can respond in less than this, so no attempt starts with less time left.
 MIN_SEND_SECONDS = 0.03
-# The customer in the metrics of public routes.
+# Customer name in the metrics of requests without a customer.
 ANONYMOUS = CustomerId('')
 
 
@@ -124,7 +124,7 @@
         """Refuse a request that cannot be sent within the servers' rate limits in time.
 
         :raises RefusedError: if the requests already waiting use up the rate until
-            this request's deadline. Requests that already wait are not refused.
+            this request's deadline. A request that has already waited is not refused.
         """
         if exchange.has_waited:
             return
@@ -209,7 +209,8 @@
     ) -> None:
         """Count an attempt in the failure statistics shared by all daemons.
 
-        Cancelled and refused attempts are no evidence on the server.
+        Cancelled and refused attempts are left out, since they show nothing about the
+        server's health.
         """
         if ending in {Ending.CANCELLED, Ending.REFUSED}:
             return
--- a/libs/serving/fireflyhitch_serving/retry_budget.py
+++ b/libs/serving/fireflyhitch_serving/retry_budget.py
@@ -20,9 +20,9 @@
 class RetryBounds:
     """The platform's bound on retries.
 
-    :param ratio: retries for each request in a window.
-    :param slack: retries in a window beyond that, summed over all daemons.
-    :param window: seconds.
+    :param ratio: allowed retries in a window as a fraction of its requests.
+    :param slack: further allowed retries in a window, summed over all daemons.
+    :param window: length of the window in seconds.
     """
 
     ratio: float = 0.2
@@ -40,7 +40,7 @@
     """The retry budgets of one daemon, by service."""
 
     def __init__(self, bounds: RetryBounds) -> None:
-        """Create a budget without retries."""
+        """Create a budget from which no retry was taken."""
         self.bounds = bounds
         self._services: dict[DeploymentId, _Counts] = {}
         self.daemons = 1
--- a/libs/serving/fireflyhitch_serving/sockets.py
+++ b/libs/serving/fireflyhitch_serving/sockets.py
@@ -15,7 +15,7 @@
 
 
 def set_send_options(transport: asyncio.Transport, ack_timeout_ms: int) -> None:
-    """Send data without delay, and bound the time until it is acknowledged.
+    """Disable Nagle's algorithm and limit the time until data is acknowledged.
 
     :param ack_timeout_ms: milliseconds until a connection with unacknowledged data is
         closed; by default that takes many minutes.
@@ -29,8 +29,8 @@
 def enable_keepalive(transport: asyncio.Transport, seconds: int, probes: int) -> None:
     """Enable TCP keep-alive.
 
-    :param seconds: without data before the first probe, and between probes.
-    :param probes: without a response until the connection is closed.
+    :param seconds: time without data before the first probe, and between probes.
+    :param probes: number of unacknowledged probes until the connection is closed.
     """
     sock = find_socket(transport)
     if sock is not None:
@@ -43,9 +43,9 @@
 def reset_on_close(transport: asyncio.Transport) -> None:
     """Reset the connection when it is closed or the process exits.
 
-    Otherwise the kernel continues to send data that was written. A request given up
-    during a network partition would run when the partition heals, seconds after another
-    process took over. A reset drops unacknowledged data.
+    Otherwise the kernel continues to send data that was written. A request that was
+    given up during a network partition would then run when the partition heals, seconds
+    after another process took over. A reset drops unacknowledged data.
     """
     sock = find_socket(transport)
     if sock is not None:
--- a/libs/serving/fireflyhitch_serving/versions.py
+++ b/libs/serving/fireflyhitch_serving/versions.py
@@ -19,7 +19,7 @@
 
 
 class VersionShares:
-    """The current moves; services without a move use all listed versions."""
+    """The current moves by service; a service without one uses all listed versions."""
 
     def __init__(self) -> None:
         """Create shares without moves."""
@@ -38,7 +38,8 @@
     ) -> frozenset[str]:
         """Return the listed versions that one attempt may be sent to.
 
-        A new version has no servers at first; until then its share goes to the others.
+        A new version has no servers at first. Until it has some, its share goes to the
+        other versions.
         """
         move = self._moves.get(service)
         if move is None:
--- a/libs/serving/tests/scene.py
+++ b/libs/serving/tests/scene.py
@@ -65,7 +65,7 @@
 
 
 class PlainEdge:
-    """A minimal edge with headers of its own for ids, keys and events."""
+    """A minimal edge; ids, keys and events have headers of the tests' own."""
 
     def parse_request(self, message: CallerRequest) -> RequestInfo:
         """Parse the information in a request."""
@@ -170,7 +170,7 @@
 
 
 class RequestHarness:
-    """One daemon's request handler with its servers."""
+    """Runs one daemon's request handler and its servers."""
 
     def __init__(self, catalog: Catalog | None = None) -> None:
         self.catalog: Catalog | None = catalog or make_catalog()
@@ -186,7 +186,7 @@
         self.limits = ServerLimits('here', lambda: ['here'], time.time)
         self.crashes = make_crash_tracking(self.clock, self.book)
         self.shutdown_deadline: float | None = None
-        path = RequestHandler(
+        handler = RequestHandler(
             RequestDependencies(
                 clock=self.clock,
                 wall=lambda: 12.0,
@@ -209,7 +209,7 @@
                 limits=self.limits,
             )
         )
-        self.front = ListenerState(path.serve, self._limits, self.clock)
+        self.front = ListenerState(handler.serve, self._limits, self.clock)
         self._listener: asyncio.Server | None = None
 
     async def __aenter__(self) -> 'RequestHarness':
@@ -233,7 +233,8 @@
     async def add(self, name: str, script: Script, **changes: object) -> ScriptedServer:
         """Add a server.
 
-        :param changes: overrides of its entry; more slots make a server preferred.
+        :param changes: fields of its entry that differ from the defaults; a server with
+            more slots is preferred.
         """
         server = ScriptedServer(name, script)
         self.servers.append(server)
@@ -250,17 +251,25 @@
         return server
 
     async def ask(
-        self, path: str = '/read/1', method: str = 'GET', body: bytes = b'', **more: str
+        self,
+        path: str = '/read/1',
+        method: str = 'GET',
+        body: bytes = b'',
+        **extra_headers: str,
     ) -> ReceivedResponse:
-        """Send a request on a new connection and return the response."""
+        """Send a request on a new connection and return the response.
+
+        :param extra_headers: ``request_id`` and ``key`` override the defaults; others
+            are sent as headers.
+        """
         headers = [
             (b'Host', b'shop.example'),
-            (b'X-Id', more.pop('request_id', 'r1').encode()),
-            (b'X-Key', more.pop('key', KEY).encode()),
+            (b'X-Id', extra_headers.pop('request_id', 'r1').encode()),
+            (b'X-Key', extra_headers.pop('key', KEY).encode()),
         ]
         headers.extend(
             (name.replace('_', '-').encode(), value.encode())
-            for name, value in more.items()
+            for name, value in extra_headers.items()
         )
         return await exchange(
             self.address, render_request(method.encode(), path.encode(), headers, body)
@@ -307,11 +316,11 @@
     return b''.join(parts), True
 
 
-Play = Callable[[RequestHarness], Awaitable[None]]
+Scenario = Callable[[RequestHarness], Awaitable[None]]
 
 
-def run_scenario(harness: RequestHarness, script: Play) -> None:
-    """Run a script with the harness, on an event loop of its own."""
+def run_scenario(harness: RequestHarness, script: Scenario) -> None:
+    """Run a scenario with the harness on a new event loop."""
 
     async def run() -> None:
         async with asyncio.timeout(20), harness:
--- a/libs/serving/tests/test_client.py
+++ b/libs/serving/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of calls to the platform over a link with a network partition."""
+"""Tests of calls to the platform over a partitioned link."""
 
 import asyncio
 import socket
@@ -85,7 +85,7 @@
     def test_sockets_are_reset_on_process_exit(
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """``SO_LINGER`` makes the kernel reset the connections of a killed process."""
+        """With ``SO_LINGER``, the kernel resets the connections of a killed process."""
         set_options: list[tuple[int, int, Any]] = []
         original = socket.socket.setsockopt
 
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Tests of sharing the records of a crashing request, in virtual time."""
+"""Tests that daemons share crash records of requests, in virtual time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 CRASHING = ContentId('crashing')
 HARMLESS = ContentId('harmless')
 # The platform's bounds, for small and large clusters, on the time until all daemons
-# that can communicate hold a crashing request.
+# that can communicate hold back a crashing request.
 BOUND_SECONDS = 3.0
 LARGE_BOUND_SECONDS = 4.0
 MAX_SMALL_CLUSTER = 20
@@ -24,7 +24,7 @@
 Fault = Callable[[Daemons], Awaitable[None]]
 
 
-async def do_nothing(cluster: Daemons) -> None:
+async def inject_no_fault(cluster: Daemons) -> None:
     """Inject no fault."""
 
 
@@ -48,7 +48,7 @@
 
 
 def find_bound(cluster: Daemons) -> float:
-    """Return the seconds within which all daemons have to hold the request."""
+    """Return the seconds within which all daemons must hold back the request."""
     small = len(cluster.daemons) <= MAX_SMALL_CLUSTER
     return BOUND_SECONDS if small else LARGE_BOUND_SECONDS
 
@@ -63,14 +63,14 @@
 
 
 def find_not_holding(cluster: Daemons, content: ContentId) -> list[str]:
-    """Return the daemons that would forward a request."""
+    """Return the daemons that do not hold back a request."""
     return [
         name for name, daemon in cluster.daemons.items() if not daemon.holds(content)
     ]
 
 
 def run_fault(counts: dict[str, int], fault: Fault, seed: int = 1) -> list[str]:
-    """Return the daemons that do not hold the request in time."""
+    """Inject a fault; return the daemons that do not hold back the request in time."""
     not_holding: list[str] = []
 
     async def script() -> None:
@@ -88,7 +88,7 @@
 class TestSharedCrashRecords:
     @pytest.mark.parametrize('counts', [*SIZES, LARGE])
     @pytest.mark.parametrize(
-        'fault', [do_nothing, lose_messages, partition_last_daemon, kill_hub]
+        'fault', [inject_no_fault, lose_messages, partition_last_daemon, kill_hub]
     )
     def test_all_daemons_hold_request_in_time(
         self, counts: dict[str, int], fault: Fault
@@ -118,7 +118,7 @@
 
         run_virtual(script())
 
-    def test_request_with_a_complete_response_is_never_held(self) -> None:
+    def test_request_with_complete_response_is_never_held(self) -> None:
         # Three servers crash under a harmless request because of another request. One
         # daemon has a complete response to it, which exonerates it.
         async def script() -> None:
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -10,8 +10,8 @@
 # The shortest drain time of all deployments.
 DRAIN_SECONDS = 2.0
 SERVER = 'i-1'
-# Daemons in each of two failure domains, and number of seeds. Clusters of the last size
-# exchange summaries.
+# Daemons in the local and in the remote failure domain, and number of seeds. Clusters of
+# the last size exchange summaries.
 SIZES = ((8, 4, 5), (3, 3, 5), (15, 14, 1))
 # Staleness of non-linearizable reads while the store's replicas lag.
 STALE_SECONDS = 6.0
@@ -110,7 +110,7 @@
 
 
 def find_outdated(fault: Fault, local: int, remote: int, seed: int) -> list[str]:
-    """Inject a fault; return the daemons that use a server after its drain time.
+    """Inject a fault; return the daemons that still use a server after its drain time.
 
     Daemons without access to the store are left out.
     """
--- a/libs/serving/tests/test_placement.py
+++ b/libs/serving/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server by simulation of load."""
+"""Tests of the choice of a server, partly by simulation of load."""
 
 import heapq
 import random
@@ -55,60 +55,64 @@
         self._completions: list[tuple[float, int, int]] = []
         self.reread_tokens = 0
 
-    def send(self, need: PromptRequest, record: ServerRecord, now: float) -> float:
+    def send(self, prompt: PromptRequest, record: ServerRecord, now: float) -> float:
         """Send a prompt to an engine; return the seconds to its first token."""
-        place = self.records.index(record)
+        index = self.records.index(record)
         cached = 0
-        for part in need.parts[:-1]:
+        for part in prompt.parts[:-1]:
             if part.part_id not in record.parts:
                 break
             cached += part.tokens
-        known = any(need.parts[0].part_id in other.parts for other in self.records)
-        if known and not cached:
-            self.reread_tokens += need.parts[0].tokens
-        fresh = need.tokens - cached
-        begin = max(now, self._free_at[place])
+        cached_elsewhere = any(
+            prompt.parts[0].part_id in other.parts for other in self.records
+        )
+        if cached_elsewhere and not cached:
+            self.reread_tokens += prompt.parts[0].tokens
+        fresh = prompt.tokens - cached
+        begin = max(now, self._free_at[index])
         end = begin + fresh / TOKENS_PER_SECOND
-        self._free_at[place] = end
-        record.add_cached_parts(need.parts, now)
+        self._free_at[index] = end
+        record.add_cached_parts(prompt.parts, now)
         record.requests += 1
         record.prompt_tokens += fresh
-        heapq.heappush(self._completions, (end, place, fresh))
+        heapq.heappush(self._completions, (end, index, fresh))
         return end - now
 
     def complete_until(self, now: float) -> None:
         """Complete the prompts that have been read by then."""
         while self._completions and self._completions[0][0] <= now:
-            _, place, fresh = heapq.heappop(self._completions)
-            self.records[place].requests -= 1
-            self.records[place].prompt_tokens -= fresh
+            _, index, fresh = heapq.heappop(self._completions)
+            self.records[index].requests -= 1
+            self.records[index].prompt_tokens -= fresh
 
 
 def find_affinity_servers(
-    need: PromptRequest, records: Sequence[ServerRecord]
+    prompt: PromptRequest, records: Sequence[ServerRecord]
 ) -> list[BackendServerId]:
     """Return the servers that a prompt's parts hash to, as the daemon does."""
-    if len(need.parts) < 2:
+    if len(prompt.parts) < 2:
         return []
-    book = ServerRegistry()
+    registry = ServerRegistry()
     for record in records:
-        book.put(record.server)
+        registry.put(record.server)
     service = records[0].server.service
-    return book.find_affinity_servers(service, need.parts[-2].part_id, book.all())
+    return registry.find_affinity_servers(
+        service, prompt.parts[-2].part_id, registry.all()
+    )
 
 
 def choose_by_wait(
-    need: PromptRequest, records: Sequence[ServerRecord], now: float
+    prompt: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose as the daemon does."""
-    agreed = find_affinity_servers(need, records)
-    placement = place_prompt(need, records, Locality(LOCAL_DOMAIN), now, agreed)
+    preferred = find_affinity_servers(prompt, records)
+    placement = place_prompt(prompt, records, Locality(LOCAL_DOMAIN), now, preferred)
     assert placement is not None
     return placement.record
 
 
 def choose_by_requests(
-    need: PromptRequest, records: Sequence[ServerRecord], now: float
+    prompt: PromptRequest, records: Sequence[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose the server with the fewest requests, as a simple load balancer does."""
     return min(records, key=lambda record: record.requests)
@@ -134,24 +138,25 @@
             f'own{sent_prompts}', rng.choice((500, 2000, 12000 if long else 900))
         )
         tokens = shared.tokens + own.tokens
-        need = PromptRequest(tokens, (shared, own), 0.6, 1 / TOKENS_PER_SECOND)
-        record = choose(need, engines.records, now)
+        prompt = PromptRequest(tokens, (shared, own), 0.6, 1 / TOKENS_PER_SECOND)
+        record = choose(prompt, engines.records, now)
         sent_prompts += 1
-        within += engines.send(need, record, now) <= 0.6
+        within += engines.send(prompt, record, now) <= 0.6
     return within / sent_prompts, engines.reread_tokens
 
 
 class TestPromptPlacement:
-    def test_more_first_tokens_are_in_time(self) -> None:
+    def test_more_first_tokens_are_in_time_than_by_request_count(self) -> None:
         # 120 prompts per second, three in ten of them long, saturate five engines.
         # Choosing by request count queues short prompts behind long ones and reads
-        # shared parts on all engines; choosing by expected wait does neither. First
-        # tokens in time: 0.92 against 0.66; tokens read again: 189,000 against 311,000.
+        # shared parts on all engines; choosing by expected wait does neither. By
+        # expected wait, 0.92 of the first tokens are in time and 189,000 tokens are read
+        # again; by request count, 0.66 and 311,000.
         in_time, reread_tokens = simulate(choose_by_wait, 120)
-        plain, plain_again = simulate(choose_by_requests, 120)
+        plain_in_time, plain_reread_tokens = simulate(choose_by_requests, 120)
         assert in_time >= 0.9
-        assert plain <= 0.7
-        assert reread_tokens < plain_again * 0.65
+        assert plain_in_time <= 0.7
+        assert reread_tokens < plain_reread_tokens * 0.65
 
     def test_first_tokens_are_in_time_at_low_load(self) -> None:
         in_time, _ = simulate(choose_by_wait, 20)
@@ -164,7 +169,7 @@
         record.requests = 2
         assert place_plain([record], Locality(LOCAL_DOMAIN), 0) is None
 
-    def test_peers_requests_in_flight_count(self) -> None:
+    def test_requests_in_flight_from_peers_are_counted(self) -> None:
         local = make_server('a', slots=6)
         remote = make_server('b', REMOTE_DOMAIN, slots=6)
         local.update_peer('d2', InFlight(5, 0), 0)
@@ -175,10 +180,10 @@
         local = make_server('a', slots=6)
         local.requests = 4
         remote = make_server('b', REMOTE_DOMAIN, slots=6)
-        place = Locality(LOCAL_DOMAIN, frozenset((REMOTE_DOMAIN,)))
-        assert _name(place_plain([local, remote], place, 0)) == 'a'
+        locality = Locality(LOCAL_DOMAIN, frozenset((REMOTE_DOMAIN,)))
+        assert _name(place_plain([local, remote], locality, 0)) == 'a'
         local.requests = 6
-        assert _name(place_plain([local, remote], place, 0)) == 'b'
+        assert _name(place_plain([local, remote], locality, 0)) == 'b'
 
 
 def _name(placement: Placement | None) -> str:
@@ -194,15 +199,15 @@
             make_server(f's{number}', LOCAL_DOMAIN, 12) for number in range(1000)
         ]
         parts = (PromptPart('shared', 2000), PromptPart('own', 100))
-        need = PromptRequest(2100, parts, 1.0, 1 / 60_000)
-        agreed = find_affinity_servers(need, records)
-        sampled = sample_candidates(records, parts, agreed)
-        assert len(sampled) <= MAX_COMPARED + len(agreed)
+        prompt = PromptRequest(2100, parts, 1.0, 1 / 60_000)
+        preferred = find_affinity_servers(prompt, records)
+        sampled = sample_candidates(records, parts, preferred)
+        assert len(sampled) <= MAX_COMPARED + len(preferred)
         names = {record.server.server_id for record in sampled}
-        assert names.issuperset(agreed)
+        assert names.issuperset(preferred)
 
     def test_prompts_compare_different_servers(self) -> None:
-        """Guards against a sample of a few dozen engines that get all of the load."""
+        """Guards against a fixed sample of a few dozen engines that gets all the load."""
         records = [
             make_server(f's{number}', LOCAL_DOMAIN, 12) for number in range(1000)
         ]
--- a/libs/serving/tests/test_placement_stale_state.py
+++ b/libs/serving/tests/test_placement_stale_state.py
@@ -25,14 +25,14 @@
 
 
 def choose_by_least_wait(
-    need: PromptRequest, records: list[ServerRecord], now: float
+    prompt: PromptRequest, records: list[ServerRecord], now: float
 ) -> ServerRecord:
     """Choose the engine with the lowest expected wait."""
 
     def find_wait(record: ServerRecord) -> int:
-        shared = need.parts[0]
-        known = shared.part_id in record.parts
-        return record.total(now).prompt_tokens - known * shared.tokens
+        shared = prompt.parts[0]
+        cached = shared.part_id in record.parts
+        return record.total(now).prompt_tokens - cached * shared.tokens
 
     return min(records, key=find_wait)
 
@@ -53,14 +53,14 @@
         self._unsent_parts: list[tuple[int, str]] = []
 
     def send(
-        self, daemon: int, need: PromptRequest, choose: Choose, now: float
+        self, daemon: int, prompt: PromptRequest, choose: Choose, now: float
     ) -> float:
         """Place a prompt by a daemon's view; return the seconds to its first token."""
         view = self.views[daemon]
-        record = choose(need, view, now)
+        record = choose(prompt, view, now)
         engine = view.index(record)
-        shared = need.parts[0]
-        fresh = need.tokens
+        shared = prompt.parts[0]
+        fresh = prompt.tokens
         if shared.part_id in self._cached[engine]:
             fresh -= shared.tokens
         elif any(shared.part_id in cached for cached in self._cached):
@@ -68,7 +68,7 @@
         self._cached[engine].add(shared.part_id)
         end = max(now, self._free_at[engine]) + fresh * SECONDS_PER_TOKEN
         self._free_at[engine] = end
-        record.add_cached_parts(need.parts, now)
+        record.add_cached_parts(prompt.parts, now)
         record.prompt_tokens += fresh
         self._waiting[engine] += fresh
         self._unsent_parts.append((engine, shared.part_id))
@@ -99,38 +99,38 @@
     fleet = SimulatedFleet()
     sent_prompts = 0
     in_time = 0
-    moments = simulate_arrivals(
+    arrivals = simulate_arrivals(
         fleet,
         rng,
         arrivals_per_second=PROMPTS_PER_SECOND,
         exchange_seconds=EXCHANGE_SECONDS,
         seconds=SIMULATED_SECONDS,
     )
-    for now in moments:
+    for now in arrivals:
         long = rng.random() < 0.3
         topic = rng.randrange(TOPICS)
         shared = PromptPart(f'p{long}{topic}', 13_000 if long else 2_000)
         own = PromptPart(
             f'o{sent_prompts}', rng.randrange(500, 12_000 if long else 3_000)
         )
-        need = PromptRequest(
+        prompt = PromptRequest(
             shared.tokens + own.tokens, (shared, own), TARGET_SECONDS, SECONDS_PER_TOKEN
         )
-        seconds = fleet.send(rng.randrange(DAEMONS), need, choose, now)
+        seconds = fleet.send(rng.randrange(DAEMONS), prompt, choose, now)
         sent_prompts += 1
         in_time += seconds <= TARGET_SECONDS * 0.5
     return in_time / sent_prompts, fleet.reread_tokens
 
 
 class TestStaleState:
-    def test_more_first_tokens_are_in_time(self) -> None:
+    def test_more_first_tokens_are_in_time_than_by_lowest_wait(self) -> None:
         # Sixteen daemons exchange their load every 0.7 s. Each one sends to the engine
         # that was idle at the last exchange, so their prompts collide there, and shared
-        # parts are read on many engines. First tokens within half of the target: 0.78
-        # with one preferred server and any other as soon as it seems faster, 0.95 with
-        # two; shared tokens read again: 843,000 against 411,000. By the lowest wait
-        # alone: 0.46 and 1,704,000.
-        served, reread_tokens = simulate(choose_by_wait)
-        plain, plain_again = simulate(choose_by_least_wait)
-        assert served >= plain + 0.05
-        assert reread_tokens < 0.6 * plain_again
+        # parts are read on many engines. With two preferred servers, 0.95 of the first
+        # tokens are within half of the target, and 411,000 shared tokens are read again.
+        # With one preferred server, and any other one as soon as it seems faster, it was
+        # 0.78 and 843,000; by the lowest wait alone, it is 0.46 and 1,704,000.
+        in_time, reread_tokens = simulate(choose_by_wait)
+        plain_in_time, plain_reread_tokens = simulate(choose_by_least_wait)
+        assert in_time >= plain_in_time + 0.05
+        assert reread_tokens < 0.6 * plain_reread_tokens
--- a/libs/serving/tests/test_request_handler.py
+++ b/libs/serving/tests/test_request_handler.py
@@ -25,7 +25,7 @@
 WAIT_SECONDS = 0.2
 
 
-class TestAnswers:
+class TestResponses:
     def test_response_is_forwarded_unchanged(self) -> None:
         async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond(201, b'booked'))
@@ -126,7 +126,7 @@
 
         run_scenario(RequestHarness(), script)
 
-    def test_not_run_by_any_server_is_refused_with_retry_time(self) -> None:
+    def test_request_that_no_server_ran_is_refused_with_retry_time(self) -> None:
         async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(503, not_run=True))
             response = await harness.ask('/book/1', 'POST')
@@ -155,7 +155,7 @@
 
         run_scenario(RequestHarness(), script)
 
-    def test_unreachable_server_costs_no_retry(self) -> None:
+    def test_unreachable_server_uses_no_retry_budget(self) -> None:
         async def script(harness: RequestHarness) -> None:
             harness.budget.bounds = replace(harness.budget.bounds, slack=0)
             unreachable = await harness.add('a', respond(), slots=100)
@@ -166,7 +166,7 @@
 
         run_scenario(RequestHarness(), script)
 
-    def test_hung_server_is_replaced_by_another(self) -> None:
+    def test_request_is_retried_elsewhere_if_server_hangs(self) -> None:
         # A server that is regarded as healthy reads the request and sends nothing. The
         # caller of a repeatable request gets the response of another server.
         async def script(harness: RequestHarness) -> None:
@@ -182,7 +182,7 @@
 
 
 class TestWaitingRetries:
-    """Guards against outcome ``not-run`` for a request that a server received."""
+    """Guards against an outcome ``not-run`` for a request that a server received."""
 
     def test_outcome_is_unknown_if_last_server_is_removed_while_waiting(self) -> None:
         async def script(harness: RequestHarness) -> None:
@@ -246,7 +246,7 @@
         quota = Quota(rate=0.1, burst=1, in_tokens=False, plain_tokens=0)
         run_scenario(RequestHarness(make_catalog(quota)), script)
 
-    def test_request_that_did_not_run_is_refunded(self) -> None:
+    def test_quota_is_refunded_if_request_did_not_run(self) -> None:
         async def script(harness: RequestHarness) -> None:
             await harness.add('a', respond(503, not_run=True))
             await harness.ask()
@@ -298,7 +298,7 @@
         run_scenario(RequestHarness(), script)
 
 
-class TestChatRoute:
+class TestRouteKinds:
     def test_route_kind_decides_whether_requests_are_repeatable(self) -> None:
         assert CHAT.repeatable
         assert ROUTE.repeatable
@@ -311,15 +311,15 @@
     begun = False
     ended = False
 
-    def send_response(self, *respond: object) -> None:
+    def send_response(self, *response: object) -> None:
         """Raise, since the connection is closed."""
         raise CallerDisconnected
 
 
 class TestDisconnectedCallers:
-    def test_refusal_to_disconnected_caller_is_no_error(self) -> None:
-        # The caller disconnects just as its request is refused. The daemon logs that;
-        # an exception would be reported as an internal error.
+    def test_refusal_to_disconnected_caller_raises_no_error(self) -> None:
+        # The caller disconnects just as its request is refused. The daemon logs that. An
+        # exception would be reported as an internal error.
         async def script(harness: RequestHarness) -> None:
             message = CallerRequest(b'GET', b'/none/', [], b'', 0)
             message.headers.extend([(b'X-Id', b'r1'), (b'Host', b'shop.example')])
--- a/libs/serving/tests/test_streams.py
+++ b/libs/serving/tests/test_streams.py
@@ -110,7 +110,7 @@
             RequestHarness(make_catalog(routes=(replace(BOOK, timeout=0.2),))), script
         )
 
-    def test_server_receives_remaining_time(self) -> None:
+    def test_server_receives_time_left_until_deadline(self) -> None:
         async def script(harness: RequestHarness) -> None:
             server = await harness.add('a', respond())
             await harness.ask()
@@ -158,7 +158,7 @@
 
 
 class _UnclosableWriter:
-    """A writer that ignores ``close``."""
+    """A writer whose ``close`` leaves the connection open."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
