--- a/libs/serving/fireflyhitch_serving/retry_budget.py
+++ b/libs/serving/fireflyhitch_serving/retry_budget.py
@@ -1,8 +1,9 @@
 """Limits the retries that a daemon may send to a service.
 
 The platform bounds the retries of each service, summed over all daemons, by a fraction
-of the requests in a window plus a constant. Each daemon keeps to its own requests and
-an equal share of the constant, so the sum holds without communication.
+of the requests in a window plus a constant. It counts each arrival of a request at a
+server after the first as a retry. Each daemon keeps to its own requests and an equal
+share of the constant, so the sum holds without communication.
 """
 
 from collections import deque
