--- a/libs/serving/fireflyhitch_serving/retry_budget.py
+++ b/libs/serving/fireflyhitch_serving/retry_budget.py
@@ -1,8 +1,9 @@
 """Limits the retries that a daemon may send to a service.
 
 The platform bounds the retries of each service, summed over all daemons, by a fraction
-of the requests in a window plus a constant. Each daemon keeps to its own requests and
-an equal share of the constant, so the sum holds without communication.
+of the requests in a window plus a constant. It counts each arrival of a request at a
+server after the first as a retry. Each daemon keeps to its own requests and an equal
+share of the constant, so the sum holds without communication.
 """
 
 from collections import deque
@@ -20,9 +21,9 @@
 class RetryBounds:
     """The platform's bound on retries.
 
-    :param ratio: retries for each request in a window.
-    :param slack: retries in a window beyond that, summed over all daemons.
-    :param window: seconds.
+    :param ratio: allowed retries in a window as a fraction of its requests.
+    :param slack: further allowed retries in a window, summed over all daemons.
+    :param window: length of the window in seconds.
     """
 
     ratio: float = 0.2
@@ -40,7 +41,7 @@
     """The retry budgets of one daemon, by service."""
 
     def __init__(self, bounds: RetryBounds) -> None:
-        """Create a budget without retries."""
+        """Create a budget from which no retry was taken."""
         self.bounds = bounds
         self._services: dict[DeploymentId, _Counts] = {}
         self.daemons = 1
