--- a/libs/serving/fireflyhitch_serving/changes.py
+++ b/libs/serving/fireflyhitch_serving/changes.py
@@ -77,7 +77,7 @@
 
 
 def split_span(span: ChangeSpan, max_changes: int) -> list[ChangeSpan]:
-    """Split a span into datagrams of at most ``max_changes`` changes each.
+    """Split a span into spans of at most ``max_changes`` changes, one per datagram.
 
     The parts of a split span claim no completeness: if one is lost, the others must not
     hide the gap.
--- a/libs/serving/fireflyhitch_serving/hubs.py
+++ b/libs/serving/fireflyhitch_serving/hubs.py
@@ -18,7 +18,7 @@
 # While the hub and its successor are unresponsive, more daemons receive the state,
 # until one of them is the hub.
 MAX_RECIPIENTS = 8
-# Three consecutive messages of a hub.
+# Three intervals between a hub's messages.
 UNRESPONSIVE_SECONDS = 0.75
 # A hub that has just started waits for the others' state; longer if there is another
 # hub, whose followers would otherwise switch to a hub with less state.
@@ -103,9 +103,9 @@
         if position >= MAX_RECIPIENTS or running < START_DELAY_SECONDS:
             return False
         before = set(ranked[:position])
-        if self._has_responsive(before, now):
+        if self._has_responsive_hub(before, now):
             return False
-        if self._has_responsive(set(ranked) - before, now):
+        if self._has_responsive_hub(set(ranked) - before, now):
             return running >= TAKE_OVER_SECONDS
         # Each further candidate waits a little longer, so that it hears from the one
         # before it.
@@ -133,7 +133,7 @@
         members = self._peers.responsive_members()
         return [daemon for daemon in ranked if daemon in members]
 
-    def _has_responsive(self, hubs: set[str], now: float) -> bool:
+    def _has_responsive_hub(self, hubs: set[str], now: float) -> bool:
         own = self._peers.own
         return any(
             now - received_at < UNRESPONSIVE_SECONDS
--- a/libs/serving/fireflyhitch_serving/own_contribution.py
+++ b/libs/serving/fireflyhitch_serving/own_contribution.py
@@ -72,9 +72,10 @@
         return None if member is None else self._sent.get(member.sequence)
 
     def _update_counted(self, summary: DomainSummary, own: PeerState | None) -> None:
-        """Record which of this daemon's units the hub has counted.
+        """Record how many of this daemon's units the hub has counted.
 
-        Counting begins with the hub's first message from this daemon.
+        The hub counts units from the first state it merged; those taken before are the
+        baseline.
         """
         if summary.process != self._hub:
             self._hub = summary.process
--- a/libs/serving/fireflyhitch_serving/peer_channel.py
+++ b/libs/serving/fireflyhitch_serving/peer_channel.py
@@ -45,8 +45,8 @@
     """Callbacks that build this daemon's state and receive messages.
 
     :param receive: called with each new state.
-    :param receive_other: called with a datagram; returns whether it was of another
-        kind.
+    :param receive_other: called with each datagram first; handles those that hold no
+        state, and returns whether it did.
     :param find_leader: returns the name of the leading daemon.
     """
 
--- a/libs/serving/fireflyhitch_serving/peer_state.py
+++ b/libs/serving/fireflyhitch_serving/peer_state.py
@@ -87,7 +87,7 @@
 
 
 def encode_value(encoder: cbor2.CBOREncoder, value: object) -> None:
-    """Encode message values of types unknown to CBOR; it encodes tuples itself."""
+    """Encode message values that cbor2 cannot encode; it encodes tuples itself."""
     if isinstance(value, QuotaReport):
         encoder.encode((value.taken, value.demand, value.left))
 
@@ -129,7 +129,7 @@
 
 
 def decode_rows(
-    kind: str, data: bytes, message: Callable[[Any], Row]
+    kind: str, data: bytes, decode_row: Callable[[Any], Row]
 ) -> list[Row] | None:
     """Decode a datagram row by row; return ``None`` for one of another kind.
 
@@ -139,7 +139,7 @@
     if not data.startswith(_encode_head(kind)):
         return None
     try:
-        return [message(row) for row in cbor2.loads(data)[kind]]
+        return [decode_row(row) for row in cbor2.loads(data)[kind]]
     except DECODE_ERRORS:
         return None
 
--- a/libs/serving/fireflyhitch_serving/peers.py
+++ b/libs/serving/fireflyhitch_serving/peers.py
@@ -17,12 +17,13 @@
 # for a long prompt.
 SEND_SECONDS = 0.1
 # With more daemons each sends less often, to its own failure domain first. Messages
-# have some hundred bytes to 2 kB; the slowest instances' links carry 600 kB a second.
+# are some hundred bytes to 2 kB long; the slowest instances' links carry 600 kB a
+# second.
 MAX_REMOTE_PER_SECOND = 40.0
 # A peer is unresponsive after this long without a message: it has stopped or is cut
 # off.
 UNRESPONSIVE_SECONDS = 1.2
-# The same in message intervals, for other-domain daemons among many.
+# The same in propagation times, which grow with the number of daemons.
 UNRESPONSIVE_INTERVALS = 2.5
 # Five consecutive messages; lossy links drop a few percent.
 SUSPECT_SECONDS = 0.5
@@ -198,7 +199,7 @@
         return self._find_members(self._unresponsive_seconds())
 
     def unsuspected_members(self) -> dict[str, GroupMember]:
-        """Return those of them that have not missed several consecutive messages."""
+        """Return the members that have not missed several consecutive messages."""
         interval = (
             HUB_INTERVAL_SECONDS
             if self.uses_summaries()
@@ -271,7 +272,7 @@
     def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains in which all listed daemons are unresponsive.
 
-        A failure domain that is cut off shows here half a second after the cut, by
+        A failure domain that is cut off is found half a second after the cut, from
         messages that are sent anyway; requests to its servers would each have to time
         out first. It is only a suspicion, as the domain's only daemon may have stopped,
         so its servers rank behind the others but are not excluded. A daemon that
@@ -315,4 +316,4 @@
 
 
 def _find_no_hub_wall_clock() -> None:
-    """Return no wall clock, as there is no hub."""
+    """Return ``None``, as no hub tracker is attached."""
--- a/libs/serving/fireflyhitch_serving/progress.py
+++ b/libs/serving/fireflyhitch_serving/progress.py
@@ -1,4 +1,4 @@
-"""Tracks how far a view of the store's keys is complete, and whether peers have newer changes.
+"""Tracks whether a view of the store's keys is complete and as new as its peers'.
 
 Broadcast changes may be lost, with all copies and their sender. So each daemon's state
 contains the newest change it has received; a daemon that has not received that change a
--- a/libs/serving/fireflyhitch_serving/registrations.py
+++ b/libs/serving/fireflyhitch_serving/registrations.py
@@ -229,7 +229,7 @@
         keys = [f'{DAEMONS_PREFIX}{daemon}' for daemon in gone[:MAX_DELETES]]
         await self._health.track(self._store.put([], deletes=keys))
         for daemon in gone[:MAX_DELETES]:
-            # A live daemon registers again when it sees this; until then its time
-            # starts over.
+            # A live daemon registers again when it sees the deletion. If a daemon is
+            # still listed, its timeout starts over.
             self._last_heard.pop(daemon)
         logger.bind(peers=gone[:MAX_DELETES]).info('registrations deleted')
--- a/libs/serving/fireflyhitch_serving/relays.py
+++ b/libs/serving/fireflyhitch_serving/relays.py
@@ -22,7 +22,7 @@
 from fireflyhitch_serving.peers import MAX_DATAGRAM_BYTES, PeerRegistry
 
 WATCHERS = 3
-# For each daemon that the store has turned away one more watches: replacing them one
+# One more daemon watches for each one that the store has refused: replacing these one
 # after the other would be too slow if the store answers only some.
 MAX_WATCHERS = 8
 # The watchers are queried many times a second and change with the peers' states, so
@@ -68,7 +68,7 @@
         self._process = process
         self._clock = clock
         self._send = send
-        self._knows_peers = has_discovered_peers
+        self._has_discovered_peers = has_discovered_peers
         self._watchers: list[str] = []
         self._ranked_until = float('-inf')
         self._recent: deque[tuple[float, ChangeSpan]] = deque()
@@ -79,9 +79,9 @@
         """Return whether this daemon is one of the watchers.
 
         Only daemons that can reach the store count, so a watcher that is cut off from
-        it is replaced as soon as its peers receive that.
+        it is replaced as soon as its state reaches its peers.
         """
-        return self._knows_peers() and self._own in self._find_watchers()
+        return self._has_discovered_peers() and self._own in self._find_watchers()
 
     def find_pause(self) -> float:
         """Return the seconds between one result of the watch and the next call.
@@ -110,7 +110,10 @@
         return rank_eligible(self._peers, 'watch')[:max_watchers]
 
     def broadcast(self, span: ChangeSpan) -> None:
-        """Send changes to the daemons that do not watch."""
+        """Send changes to daemons that do not watch or cannot reach the store.
+
+        The group's watchers get them too if the group has other daemons.
+        """
         now = self._clock.monotonic()
         self._recent.append((now, span))
         self._drop_old(now)
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -72,20 +72,20 @@
 class SharedState:
     """Builds this daemon's state, and merges the states of others."""
 
-    def __init__(self, daemon: str, process: str, parts: SharedComponents) -> None:
+    def __init__(self, daemon: str, process: str, components: SharedComponents) -> None:
         """Create the state of a daemon that has sent and received nothing."""
         self._daemon = daemon
         self._process = process
-        self._parts = parts
+        self._components = components
         self._sequence = 0
         self._own_contribution = OwnContribution(daemon)
         self._uses_direct_state = True
         # By source: the servers at which it had requests in its last state.
         self._busy_servers: dict[str, frozenset[BackendServerId]] = {}
         self._tolerance = QuotaSlack()
-        parts.peers.hub_members = parts.hubs.find_members
-        parts.peers.find_hub_wall_clock = self._find_hub_wall_clock
-        parts.health.is_settled_for_peers = self.is_store_settled_elsewhere
+        components.peers.hub_members = components.hubs.find_members
+        components.peers.find_hub_wall_clock = self._find_hub_wall_clock
+        components.health.is_settled_for_peers = self.is_store_settled_elsewhere
 
     def set_quota_slack(self, tolerance: QuotaSlack) -> None:
         """Set by how much the platform lets customers exceed their limits."""
@@ -94,52 +94,56 @@
 
     def build_peer_state(self) -> PeerState:
         """Return this daemon's current state."""
-        parts = self._parts
+        components = self._components
         self._update_daemon_count()
-        now = parts.clock.monotonic()
+        now = components.clock.monotonic()
         self._sequence += 1
         state = PeerState(
             daemon=self._daemon,
             process=self._process,
-            failure_domain=parts.peers.own_domain,
+            failure_domain=components.peers.own_domain,
             sequence=self._sequence,
             wall=time.time(),
             work={
                 server_id: record.own
-                for server_id, record in parts.servers.all().items()
+                for server_id, record in components.servers.all().items()
                 if record.requests
             },
-            customers=parts.quotas.build_reports(now),
-            usage=parts.usage.local_counts(parts.peers.wall()),
-            fresh_parts=parts.fresh_parts.take(),
-            evidence=parts.moves.evidence(),
-            hears_store=parts.health.answers,
-            store_settled=parts.health.is_stable(),
-            stopping=parts.stopping(),
-            newest=parts.newest(),
+            customers=components.quotas.build_reports(now),
+            usage=components.usage.local_counts(components.peers.wall()),
+            fresh_parts=components.fresh_parts.take(),
+            evidence=components.moves.evidence(),
+            hears_store=components.health.answers,
+            store_settled=components.health.is_stable(),
+            stopping=components.stopping(),
+            newest=components.newest(),
             answers=self._collect_answers(),
-            crashes=parts.crashes.tell(now, heard=False),
-            limits=parts.limits.tell(now, heard=False),
+            crashes=components.crashes.tell(now, heard=False),
+            limits=components.limits.tell(now, heard=False),
         )
         self._own_contribution.remember(state)
         return state
 
     def apply_peer_state(self, state: PeerState) -> None:
         """Apply another daemon's state."""
-        parts = self._parts
-        parts.usage.merge_counts(state.process, state.usage)
-        parts.moves.update_peer_evidence(state.process, state.evidence)
-        now = parts.clock.monotonic()
-        parts.crashes.take(state.crashes, now)
-        parts.limits.take(state.limits, now)
-        near = state.failure_domain == parts.peers.own_domain
-        if parts.peers.uses_summaries() and not (near and self._uses_direct_state):
+        components = self._components
+        components.usage.merge_counts(state.process, state.usage)
+        components.moves.update_peer_evidence(state.process, state.evidence)
+        now = components.clock.monotonic()
+        components.crashes.take(state.crashes, now)
+        components.limits.take(state.limits, now)
+        is_local = state.failure_domain == components.peers.own_domain
+        if components.peers.uses_summaries() and not (
+            is_local and self._uses_direct_state
+        ):
             # A summary contains it, and it must not count twice.
             return
         self._apply_work(state.daemon, state.work, state.fresh_parts)
         self._apply_answers(state.daemon, state.answers)
         for customer, report in state.customers.items():
-            parts.quotas.apply_report(state.process, customer, report, now, near=near)
+            components.quotas.apply_report(
+                state.process, customer, report, now, near=is_local
+            )
 
     def apply_summaries(self, data: bytes) -> bool:
         """Apply a datagram of summaries; return ``False`` for one of another kind."""
@@ -147,47 +151,47 @@
         if summaries is None:
             return False
         for summary in summaries:
-            now = self._parts.clock.monotonic()
-            self._parts.crashes.take(summary.crashes, now)
-            self._parts.limits.take(summary.limits, now)
-            if summary.domain == self._parts.peers.own_domain:
+            now = self._components.clock.monotonic()
+            self._components.crashes.take(summary.crashes, now)
+            self._components.limits.take(summary.limits, now)
+            if summary.domain == self._components.peers.own_domain:
                 self._apply_local_summary(summary)
-            elif self._parts.summaries.receive(summary):
+            elif self._components.summaries.receive(summary):
                 self._apply_summary(summary)
         return True
 
     def find_unresponsive_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains that are probably cut off from here."""
-        if self._parts.peers.uses_summaries():
-            return self._parts.summaries.find_unresponsive_domains()
-        return self._parts.peers.find_unresponsive_domains()
+        if self._components.peers.uses_summaries():
+            return self._components.summaries.find_unresponsive_domains()
+        return self._components.peers.find_unresponsive_domains()
 
     def has_heard_from_all(self) -> bool:
         """Return whether all other daemons are responsive, by their own messages."""
-        peers = self._parts.peers
+        peers = self._components.peers
         return len(peers.responsive_states()) >= peers.count_daemons() - 1
 
     def is_store_settled_elsewhere(self) -> bool:
         """Return whether another daemon has reached the store without interruption."""
-        states = self._parts.peers.responsive_states().values()
+        states = self._components.peers.responsive_states().values()
         return any(state.store_settled for state in states) or any(
             summary.store_settled for summary in self._live_summaries()
         )
 
     def _live_summaries(self) -> list[DomainSummary]:
         """Return the summaries of other failure domains, and that of this domain's hub."""
-        live = list(self._parts.summaries.live().values())
-        hub_summary = self._parts.hubs.current()
+        live = list(self._components.summaries.live().values())
+        hub_summary = self._components.hubs.current()
         return live if hub_summary is None else [hub_summary, *live]
 
     def find_relays_without_store(self) -> list[str]:
         """Return the relays of failure domains that this one sends store changes to.
 
         No daemon there can reach the store. Two domains send to each, so that a lost
-        message is not missed.
+        message does no harm.
         """
-        own = self._parts.peers.own_domain
-        live = self._parts.summaries.live()
+        own = self._components.peers.own_domain
+        live = self._components.summaries.live()
         candidates = [
             own,
             *(domain for domain, summary in live.items() if summary.store_settled),
@@ -202,7 +206,8 @@
     def find_newest(self, prefix: str) -> Revision:
         """Return the newest change below a prefix that any other daemon has received."""
         from_states = [
-            state.newest for state in self._parts.peers.responsive_states().values()
+            state.newest
+            for state in self._components.peers.responsive_states().values()
         ]
         from_summaries = [summary.newest for summary in self._live_summaries()]
         reported = (
@@ -212,54 +217,58 @@
 
     def sum_demand(self) -> float:
         """Return the units per second that customers demand at all daemons."""
-        return self._parts.quotas.sum_demand(self._parts.clock.monotonic())
+        return self._components.quotas.sum_demand(self._components.clock.monotonic())
 
     def _find_hub_wall_clock(self) -> float | None:
-        return None if self._uses_direct_state else self._parts.hubs.find_wall_clock()
+        return (
+            None if self._uses_direct_state else self._components.hubs.find_wall_clock()
+        )
 
     def _apply_local_summary(self, summary: DomainSummary) -> None:
         """Apply the hub's summary, without this daemon's own contribution."""
-        parts = self._parts
-        parts.summaries.record_relay_message()
-        known = parts.hubs.current()
-        if not parts.hubs.receive(summary) or self._uses_direct_state:
+        components = self._components
+        components.summaries.record_relay_message()
+        known = components.hubs.current()
+        if not components.hubs.receive(summary) or self._uses_direct_state:
             return
         if known is not None and known.process != summary.process:
-            parts.quotas.forget_process(known.source)
+            components.quotas.forget_process(known.source)
         self._apply_summary(self._own_contribution.subtract_from(summary))
 
     def _apply_summary(self, summary: DomainSummary) -> None:
         """Apply the state of a domain's daemons, this one excluded."""
-        parts = self._parts
+        components = self._components
         self._apply_work(summary.domain, summary.work, summary.fresh_parts)
         self._apply_answers(summary.domain, summary.answers)
-        now = parts.clock.monotonic()
+        now = components.clock.monotonic()
         for customer, report in summary.customers.items():
-            parts.quotas.apply_report(summary.source, customer, report, now)
+            components.quotas.apply_report(summary.source, customer, report, now)
         for process, evidence in summary.evidence.items():
             if process != self._process:
-                parts.moves.update_peer_evidence(process, evidence)
+                components.moves.update_peer_evidence(process, evidence)
 
     def _update_state_source(self) -> None:
         """Update whether same-domain state comes from its daemons or from the hub.
 
         The hub and its successor receive all daemons' states, and so does the leader.
         """
-        direct = not self._parts.peers.uses_summaries() or self._receives_all_members()
+        direct = (
+            not self._components.peers.uses_summaries() or self._receives_all_members()
+        )
         if direct != self._uses_direct_state:
             self._uses_direct_state = direct
-            for record in self._parts.servers.all().values():
+            for record in self._components.servers.all().values():
                 # State from the previous source would count twice until it expires.
                 record.peers.clear()
                 record.evidence.peers.clear()
 
     def _receives_all_members(self) -> bool:
         """Return whether each member of the hub's summary also sends to this daemon."""
-        hubs = self._parts.hubs
+        hubs = self._components.hubs
         members = hubs.find_members()
         if not members or hubs.is_hub():
             return True
-        return members.keys() <= self._parts.peers.responsive_local_states().keys()
+        return members.keys() <= self._components.peers.responsive_local_states().keys()
 
     def _apply_work(
         self,
@@ -267,8 +276,8 @@
         work: Mapping[BackendServerId, InFlight],
         fresh_parts: Mapping[BackendServerId, list[str]],
     ) -> None:
-        now = self._parts.clock.monotonic()
-        servers = self._parts.servers
+        now = self._components.clock.monotonic()
+        servers = self._components.servers
         ended = self._busy_servers.get(source, frozenset()) - work.keys()
         self._busy_servers[source] = frozenset(work)
         for server_id in (*ended, *work):
@@ -281,10 +290,10 @@
                 reader.add_cached_part_ids(parts, now)
 
     def _collect_answers(self) -> dict[BackendServerId, AnswerCounts]:
-        now = self._parts.clock.monotonic()
+        now = self._components.clock.monotonic()
         local_answers = {
             server_id: record.evidence.read_local(now)
-            for server_id, record in self._parts.servers.all().items()
+            for server_id, record in self._components.servers.all().items()
             if record.evidence.has_local_answers
         }
         return {
@@ -294,25 +303,25 @@
         }
 
     def _apply_answers(self, source: str, answers: AnswersByServer) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._components.clock.monotonic()
         for server_id, counts in answers.items():
-            record = self._parts.servers.find(server_id)
+            record = self._components.servers.find(server_id)
             if record is not None:
                 record.evidence.update_peer(source, counts, now)
 
     def _update_daemon_count(self) -> None:
         self._update_state_source()
-        peers = self._parts.peers
+        peers = self._components.peers
         daemons = peers.count_daemons()
-        self._parts.budget.daemons = daemons
-        self._parts.quotas.update_daemon_counts(
+        self._components.budget.daemons = daemons
+        self._components.quotas.update_daemon_counts(
             daemons, self._count_responsive(), peers.propagation_seconds()
         )
         self._apply_slack()
 
     def _apply_slack(self) -> None:
-        used = find_slack_fraction(self._parts.peers.propagation_seconds())
-        self._parts.quotas.slack = QuotaSlack(
+        used = find_slack_fraction(self._components.peers.propagation_seconds())
+        self._components.quotas.slack = QuotaSlack(
             self._tolerance.units * used,
             # The other half covers bursts that begin in one window and end in the next.
             self._tolerance.rate_fraction * used / 2,
@@ -320,7 +329,7 @@
         )
 
     def _count_responsive(self) -> int:
-        responsive = {self._daemon, *self._parts.peers.responsive_states()}
+        responsive = {self._daemon, *self._components.peers.responsive_states()}
         for summary in self._live_summaries():
             responsive.update(summary.members)
         return len(responsive)
--- a/libs/serving/fireflyhitch_serving/store.py
+++ b/libs/serving/fireflyhitch_serving/store.py
@@ -32,7 +32,7 @@
 class AsyncStore(Protocol):
     """Compare-and-swap, leases and watches.
 
-    Each method raises ``PlatformError``; its ``outcome`` tells whether a write
+    Each method raises ``PlatformError``; its ``outcome`` shows whether a write
     certainly had no effect or may have had one.
     """
 
--- a/libs/serving/fireflyhitch_serving/store_health.py
+++ b/libs/serving/fireflyhitch_serving/store_health.py
@@ -10,7 +10,7 @@
 
 # Live servers are listed again within 2 s of the store's return.
 SETTLE_SECONDS = 2.3
-# Shorter outages expire no lease: the shortest lasts three heartbeats, some 3 s.
+# Shorter outages expire no lease: the shortest lease lasts three heartbeats, some 3 s.
 MIN_OUTAGE_SECONDS = 0.6
 # An answer proves the store reachable for this long; daemons that follow it call more
 # often.
@@ -78,10 +78,10 @@
     def is_settled(self) -> bool:
         """Return whether keys that the store lacks now are gone for good.
 
-        An outage for this daemon alone, by a cut or because the store turned it away,
-        expired no entry of a live server: peers that reached the store all the time
-        report this. If such entries were kept nevertheless, a server that left without
-        notice would get requests for longer than is allowed.
+        If only this daemon lost the store, by a network cut or because the store
+        refused it, no entry of a live server expired: peers that reached the store
+        throughout report this. Keeping missing entries nevertheless would send requests
+        to a server that left without notice for longer than is allowed.
 
         While this daemon cannot reach the store or does not call it, only the peers'
         reports count.
--- a/libs/serving/fireflyhitch_serving/store_probe.py
+++ b/libs/serving/fireflyhitch_serving/store_probe.py
@@ -18,7 +18,7 @@
 # A watcher that has lost the store is replaced within the shortest drain time: this
 # interval and the timeout, and some tenths for its state and the other's first listing.
 PROBE_SECONDS = 0.7
-# Longer than a slow store takes.
+# Longer than a slow store takes to answer.
 PROBE_TIMEOUT_SECONDS = 0.6
 # Daemons that only wait for the store's return probe less often.
 OUTAGE_PROBE_SECONDS = 2.0
--- a/libs/serving/fireflyhitch_serving/store_view.py
+++ b/libs/serving/fireflyhitch_serving/store_view.py
@@ -143,7 +143,7 @@
             await self._wait_for_store()
 
     async def _wait_for_store(self) -> None:
-        """Wait while the store is unreachable; one probe per daemon finds its return."""
+        """Wait while the store is unreachable; ``StoreProbe`` detects its return."""
         while not self._health.answers:
             await asyncio.sleep(CHECK_SECONDS)
 
@@ -183,22 +183,24 @@
             self._broadcast(self._keys.find_span(self.prefix, listing, since))
 
     async def _follow_peers(self) -> None:
-        """Read only what peers report but did not send, or if none is following."""
+        """Read the store only for missed changes, or if no peer follows it."""
         self._log_role(watches=False)
-        without_follower = 0.0
+        seconds_without_follower = 0.0
         while not self._is_watcher():
             self._drop_missing()
             if self._is_behind():
                 await self._catch_up()
-            elif without_follower >= self._poll_seconds():
-                without_follower = 0
+            elif seconds_without_follower >= self._poll_seconds():
+                seconds_without_follower = 0
                 await self.probe()
             await asyncio.sleep(CHECK_SECONDS)
-            without_follower = (
-                0 if self._has_current_peers() else without_follower + CHECK_SECONDS
+            seconds_without_follower = (
+                0
+                if self._can_rely_on_peers()
+                else seconds_without_follower + CHECK_SECONDS
             )
 
-    def _has_current_peers(self) -> bool:
+    def _can_rely_on_peers(self) -> bool:
         return self._peers.is_following() and not self._events.is_incomplete()
 
     def _poll_seconds(self) -> float:
--- a/libs/serving/fireflyhitch_serving/summaries.py
+++ b/libs/serving/fireflyhitch_serving/summaries.py
@@ -38,7 +38,8 @@
 from fireflyhitch_serving.servers import InFlight
 
 SUMMARIES = 'summaries'
-# Several intervals of the relays; a stopped relay is replaced within that time.
+# Several intervals between a relay's messages; a stopped relay is replaced within that
+# time.
 UNRESPONSIVE_SECONDS = 2.0
 # After three missed intervals a domain may be cut off.
 SUSPECT_SECONDS = 1.0
--- a/libs/serving/tests/daemons_scene.py
+++ b/libs/serving/tests/daemons_scene.py
@@ -184,7 +184,7 @@
             FIREFLYHITCH_PREFIX,
             ViewCallbacks(
                 self._apply_own,
-                self._note_listed,
+                self._mark_listed,
                 lambda: not self._registrations.is_listed,
             ),
         )
@@ -205,8 +205,8 @@
     def record_crash(self, content: ContentId, process: int) -> None:
         """Record that a server crashed now, just after a request was sent to it."""
         now = self._clock.monotonic()
-        end = ServerCrash(now, now - 0.05)
-        self.crashes.book.record_crash(content, ProcessId(process), end, now)
+        crash = ServerCrash(now, now - 0.05)
+        self.crashes.book.record_crash(content, ProcessId(process), crash, now)
 
     def kill(self) -> None:
         """Stop without notice."""
@@ -288,7 +288,7 @@
         )
         return [loop.create_task(part.run()) for part in parts]
 
-    def _note_listed(self) -> None:
+    def _mark_listed(self) -> None:
         self._registrations.note_listed()
         self._lease.mark_keys_listed()
 
@@ -308,11 +308,11 @@
     def _receive_other(self, data: bytes) -> bool:
         message = decode_changes(data)
         if message is None:
-            taken = self._shared.apply_summaries(data)
-            if taken:
+            is_summary = self._shared.apply_summaries(data)
+            if is_summary:
                 self.relay.update_group()
                 self.relay.assist_domains(self._shared.find_relays_without_store())
-            return taken
+            return is_summary
         self.relay.forward(message)
         for view in self._views:
             view.apply_span(message.span, f'peer {message.sender}')
--- a/libs/serving/tests/test_hubs.py
+++ b/libs/serving/tests/test_hubs.py
@@ -8,7 +8,7 @@
 from daemons_scene import Daemons
 from virtual_time import run_virtual
 
-# A daemon's messages per second: to two hubs, and to the leader.
+# A daemon's messages per second: to the hub, its successor and the leader.
 MAX_SENT = 14
 SECONDS = 5
 # Time after which the state is correct again after a fault: detection of the hub's
--- a/libs/serving/tests/test_progress.py
+++ b/libs/serving/tests/test_progress.py
@@ -35,7 +35,7 @@
         progress.record_listing(Revision(110))
         assert not progress.is_behind(Revision(107))
 
-    def test_consecutive_changes_are_not_missed(self) -> None:
+    def test_consecutive_changes_do_not_count_as_missed(self) -> None:
         progress, clock = make_progress()
         for revision in range(101, 140):
             assert not progress.is_behind(Revision(revision))
@@ -43,7 +43,7 @@
             progress.record_span(Revision(revision - 1), Revision(revision))
 
     def test_later_change_does_not_hide_a_lost_one(self) -> None:
-        """Guards against a view that takes the newest change for all changes."""
+        """Guards against a view that counts as complete once it has the newest change."""
         progress, clock = make_progress()
         progress.record_span(Revision(104), Revision(107))
         assert not progress.is_behind(Revision(107))
@@ -86,7 +86,7 @@
     reported: Revision = ABSENT,
     prefix: str = 'servers/',
 ) -> StoreView:
-    """Return a view whose peers have received all changes up to a revision."""
+    """Return a view whose peers report ``reported`` as their newest change."""
     return StoreView(
         StoreClient(store, 'gent-1'),
         StoreHealth(LoopClock()),
--- a/libs/serving/tests/test_relays.py
+++ b/libs/serving/tests/test_relays.py
@@ -49,7 +49,7 @@
     """A daemon that watches, with responsive peers."""
 
     def __init__(self, *peers: PeerState) -> None:
-        self.broadcast_to: dict[str, list[Change]] = {}
+        self.sent_changes: dict[str, list[Change]] = {}
         self.clock = ManualClock()
         self.registry = PeerRegistry('gent-1', LOCAL, self.clock, float)
         for number, state in enumerate(peers):
@@ -72,7 +72,7 @@
         message = decode_changes(data)
         assert message is not None
         for daemon in daemons:
-            self.broadcast_to.setdefault(daemon, []).extend(message.span.changes)
+            self.sent_changes.setdefault(daemon, []).extend(message.span.changes)
 
 
 class TestDaemonsWithoutTheStore:
@@ -85,21 +85,21 @@
     def test_they_receive_broadcast_changes(self) -> None:
         watcher = Watcher(make_state('aalst-1', REMOTE, hears_store=False))
         watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
-        assert watcher.broadcast_to == {'aalst-1': [LEAVING]}
+        assert watcher.sent_changes == {'aalst-1': [LEAVING]}
 
     def test_they_receive_changes_from_before_their_loss_was_reported(self) -> None:
         watcher = Watcher(make_state('aalst-1', REMOTE, hears_store=True))
         watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
-        assert not watcher.broadcast_to
+        assert not watcher.sent_changes
         unreachable = make_state('aalst-1', REMOTE, hears_store=False, sequence=2)
         watcher.registry.receive(unreachable)
         watcher.run_script(watcher.relay.update_group)
-        assert watcher.broadcast_to == {'aalst-1': [LEAVING]}
+        assert watcher.sent_changes == {'aalst-1': [LEAVING]}
 
     def test_watchers_with_store_access_receive_nothing(self) -> None:
         watcher = Watcher(make_state('gent-2', LOCAL, hears_store=True))
         watcher.run_script(lambda: watcher.relay.broadcast(SPAN))
-        assert not watcher.broadcast_to
+        assert not watcher.sent_changes
 
 
 class TestMessages:
@@ -122,7 +122,7 @@
 
 
 class TestUnequalInstances:
-    """The slowest instance by link is first by hash, and relays for its failure domain.
+    """The instance with the slowest link is first by hash, and relays for its domain.
 
     Its link carries a twentieth of the others' rate, so its callers' answers queue
     behind the messages, and each first token comes later than elsewhere.
--- a/libs/serving/tests/test_store_view.py
+++ b/libs/serving/tests/test_store_view.py
@@ -21,7 +21,7 @@
 
 
 class RestoredStoreScene:
-    """A view whose store has just returned after ten seconds."""
+    """A view whose store has just returned after an outage of ten seconds."""
 
     def __init__(self, *, is_settled_for_peers: bool) -> None:
         self.changes: list[tuple[str, bytes | None]] = []
@@ -48,16 +48,16 @@
         self.clock.advance(timedelta(seconds=0.7))
 
     def remove(self) -> None:
-        """Remove the server's entry from the store."""
+        """Apply the removal of the server's entry."""
         self.view.apply_change(Change(SERVER, None, Revision(9)), 'watch')
 
 
 class TestMissingServers:
     def test_missing_server_is_removed_if_only_this_daemon_was_cut_off(self) -> None:
         # Only this daemon was cut off; its peers reached the store all the time, and
-        # servers renewed their entries. Keeping a server that left without notice just
-        # after the cut, as one that might come back, sent it a request 2.1 s after the
-        # store had acknowledged that it left.
+        # servers renewed their entries. A server that left without notice just after the
+        # cut was kept, as it might come back, and got a request 2.1 s after the store
+        # had acknowledged that it left.
         scene = RestoredStoreScene(is_settled_for_peers=True)
         scene.remove()
         assert scene.changes[-1] == (SERVER, None)
@@ -114,7 +114,7 @@
     def test_changes_listed_after_compaction_are_broadcast(self) -> None:
         # The store compacts its history while a server begins to drain, so the domain's
         # watcher lists again. The other daemons read a listing that was seconds old, and
-        # sent requests to that server for another 3.2 s.
+        # sent requests to that server for another 3.2 s, as no change was broadcast.
         relay = RecordingRelay()
         view = StoreView(
             CompactedStore(),  # type: ignore[arg-type]
@@ -168,8 +168,8 @@
 class TestStability:
     def test_new_process_is_not_stable(self) -> None:
         # The store was unreachable for all; a daemon that starts as it returns has seen
-        # no outage. If it reported none, its peers would drop servers that come back
-        # within a second.
+        # no outage. If it reported the store as stable, its peers would drop servers
+        # that come back within a second.
         clock = ManualClock()
         health = StoreHealth(clock)
         assert not health.is_stable()
