--- a/libs/serving/fireflyhitch_serving/autoscaler.py
+++ b/libs/serving/fireflyhitch_serving/autoscaler.py
@@ -23,8 +23,8 @@
 from fireflyhitch_serving.workloads import Workloads
 
 CHECK_INTERVAL_SECONDS = 0.5
-# An unavailable order is repeated after this, and so is one whose servers are not
-# listed this long after they should have started.
+# An order for which no servers were available is repeated after this; so is one whose
+# servers are not listed this long after they should have started.
 REORDER_SECONDS = 2.5
 # Failure domains are reclaimed one by one, and others may follow before the first one's
 # servers are replaced. Spare reclaimable servers cost less than on-demand servers
@@ -51,7 +51,7 @@
 STABLE_LIST_SECONDS = 1.5
 # If none is listed by then, there may be none.
 EMPTY_LIST_SECONDS = 6.0
-# The first listed servers that determine whether all are on demand.
+# If this many servers are listed, and none is reclaimable, all seem to be on demand.
 MIN_LISTED_ON_DEMAND = 2
 
 # Fraction of an engine's batch that is planned to be in use: a full batch makes
@@ -82,7 +82,7 @@
     wait: float
 
     def is_current(self, order: ServerOrder, present: int, now: float) -> bool:
-        """Tell whether the order need not be repeated.
+        """Return whether the order need not be repeated.
 
         Reclaimed servers are not replaced without a new order.
         """
@@ -195,7 +195,7 @@
         service: DeploymentId,
         present: Mapping[FailureDomainId, DomainServers],
     ) -> bool:
-        """Update the listed count; tell whether all servers seem to be listed."""
+        """Update the listed count; return whether all servers seem to be listed."""
         now = self._clock.monotonic()
         count = sum(
             domain_servers.reclaimable + domain_servers.on_demand
@@ -208,7 +208,7 @@
             listing.count = count
             listing.since = now
         needed = STABLE_LIST_SECONDS if listing.count else EMPTY_LIST_SECONDS
-        # Under load there is no time to wait, and the servers listed are in use.
+        # Under load there is no time to wait, and the listed servers are in use.
         listing.settled = now - listing.since >= needed or self._demand() > 0
         return listing.settled
 
@@ -217,7 +217,10 @@
         service: DeploymentId,
         present: Mapping[FailureDomainId, DomainServers],
     ) -> float:
-        """Return the number of servers needed, judging by those that were present."""
+        """Return the minimum number of servers, from those listed when the lead began.
+
+        It decays under load.
+        """
         floor = self._floors.get(service)
         if floor is None:
             fraction = (
@@ -310,7 +313,7 @@
 
 
 def _seem_all_on_demand(present: Mapping[FailureDomainId, DomainServers]) -> bool:
-    """Tell whether the servers that run at the start are on demand, by the first ones.
+    """Return whether the first listed servers suggest that all are on demand.
 
     Then reclaimable servers can be ordered at once, and the more expensive on-demand
     ones released sooner.
--- a/libs/serving/fireflyhitch_serving/health.py
+++ b/libs/serving/fireflyhitch_serving/health.py
@@ -1,4 +1,4 @@
-"""Ejects servers from load balancing by the results of their requests.
+"""Ejects servers from load balancing based on the results of their requests.
 
 Only requests count: a server may report that it is healthy and fail, or the reverse.
 """
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# Weight of the newest answer in the failure rate: about the last six count.
+# Weight of the newest answer in the failure rate; about the last six answers count.
 NEWEST_WEIGHT = 0.16
 # A server is ejected when its failure rate exceeds the service's median by this much;
 # with about six answers in the rate, a smaller margin would eject good servers by
 # chance.
 EXCESS_FAILURE_RATE = 0.45
-# Broken answers in a row. A single refused connection is enough, since nothing listens
-# there.
+# A server is ejected after this many broken answers in a row. A single refused
+# connection is enough, since nothing listens there.
 MAX_CONSECUTIVE_BROKEN = 3
 FIRST_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 8.0
@@ -45,7 +45,7 @@
     ejections: int = 0
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether the server is ejected now."""
+        """Return whether the server is ejected now."""
         return now < self.ejected_until
 
     def record(self, ending: Ending, median_rate: float, now: float) -> bool:
--- a/libs/serving/fireflyhitch_serving/holds.py
+++ b/libs/serving/fireflyhitch_serving/holds.py
@@ -1,8 +1,8 @@
 """Persists holds in the store, for daemons that start or were partitioned.
 
-Daemons exchange crash records and come to the same holds. One that missed them reads
-the holds from the store, and so do all daemons after a restart of all of them. The
-leader writes; the keys expire with their lease.
+Daemons exchange crash records and derive the same holds from them. A daemon that missed
+some reads the holds from the store; so do all daemons when all were restarted. Only the
+leader writes holds, and their keys expire with their lease.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
         clock: Clock,
         peers: PeerRegistry,
     ) -> None:
-        """Create a manager that knows no stored holds."""
+        """Create a manager without stored holds."""
         self._quarantine = quarantine
         self._store = store
         self._lease = lease
--- a/libs/serving/fireflyhitch_serving/leases.py
+++ b/libs/serving/fireflyhitch_serving/leases.py
@@ -27,9 +27,9 @@
 # Four renewals fit into a lease, so one or two lost responses do not end it.
 RENEW_SECONDS = 1.0
 # A call made under the lease must have ended before a successor may act; the leader's
-# calls are bounded by the time left beyond this margin.
+# calls are bounded by the time left until this margin begins.
 MARGIN_SECONDS = 0.7
-# Time in which a claim becomes visible to the next candidate.
+# Time after which the next candidate has seen a claim.
 CLAIM_INTERVAL_SECONDS = 0.3
 RETRY_SECONDS = 0.5
 
@@ -47,7 +47,10 @@
 
 
 class LeaderLease:
-    """Renews or claims the leader's lease."""
+    """Renews the leader's lease, or claims it in order of rank when it is free.
+
+    ``current_leadership`` returns whether this daemon may act now.
+    """
 
     def __init__(
         self,
@@ -155,7 +158,7 @@
         sent_at = self._clock()
         self._lease = await self._health.track(self._store.grant_lease(LEASE_SECONDS))
         self._expires_at = sent_at + LEASE_SECONDS
-        # The daemon learns from the key whether its claim succeeded, like all others.
+        # Whether the claim succeeded is read from the key, as at all other daemons.
         put = Put(LEADER_KEY, self._own_value(), ABSENT, self._lease)
         await self._health.track(self._store.put([put]))
         await asyncio.sleep(CLAIM_INTERVAL_SECONDS)
--- a/libs/serving/fireflyhitch_serving/moves.py
+++ b/libs/serving/fireflyhitch_serving/moves.py
@@ -2,7 +2,7 @@
 
 Orders and the records of begun moves are in the store; daemons exchange the results of
 both versions. Each daemon evaluates them on its own and stops sending requests to an
-untried version at once when the results are against it; only the leader ends a move.
+untried version at once when the results show a fault; only the leader ends a move.
 """
 
 import asyncio
@@ -47,7 +47,7 @@
     """An operator's order to move a service to a version.
 
     :param revision: revision of the order in the store; a later order has a higher one.
-    :param seconds: time after which the move is completed or rolled back.
+    :param seconds: time within which the move is completed or rolled back.
     """
 
     service: DeploymentId
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """A move's begin and end in the store.
+    """A move's start and end in the store.
 
     :param began: seconds since 1970.
     """
@@ -89,7 +89,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Tell whether the newest order has ended."""
+        """Return whether the newest order has ended."""
         order = self.order
         ended = self.record.end is not None
         return ended and order is not None and self.record.order == order.revision
@@ -131,7 +131,7 @@
     def apply_record(
         self, service: DeploymentId, value: bytes | None, revision: Revision
     ) -> None:
-        """Apply a move's begin or end from the store."""
+        """Apply a move's start or end from the store."""
         move = self.find(service)
         if value is None:
             move.record = _Record()
@@ -166,8 +166,8 @@
         counts[1] += failed
         counts[2] += slow
         if untried:
-            # Evaluated after each of its answers: by the next check a busy daemon would
-            # have sent dozens more requests to a bad version.
+            # An untried version is evaluated after each of its answers: until the next
+            # check, a busy daemon would send dozens more requests to a bad one.
             self.apply(service)
 
     def evidence(self) -> dict[str, Counts]:
@@ -268,7 +268,7 @@
         status_format: StatusFormat,
         wall_clock: Callable[[], float],
     ) -> None:
-        """Create a coordinator that has done nothing."""
+        """Create an idle coordinator."""
         self._tracker = tracker
         self._lease = lease
         self._store = store
@@ -314,7 +314,7 @@
         """Write record and state together, conditional on their known revisions.
 
         If another leader wrote in between, this write fails and the watch delivers what
-        that leader wrote; so a move has one end.
+        that leader wrote. So a move ends only once.
         """
         status_key = self._status_format.key(order.service)
         listing = await self._store.list(status_key)
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -191,10 +191,11 @@
     def build_domain_reports(self, now: float) -> dict[CustomerId, QuotaReport]:
         """Return the reports of this failure domain for the other ones.
 
-        ``taken`` is the sum of what this process took and saw its same-domain peers
-        take. It only grows, like a process's own total, and the next relay counts as
-        another process. Buckets from which nothing was taken are included, so that the
-        first units taken are not in the first report that others receive.
+        ``taken`` is the sum of what this process took and what its same-domain peers
+        reported. It only grows, like a process's own total; a daemon that takes over as
+        relay counts as another process. Receivers subtract only what was taken after a
+        process's first report, so buckets from which nothing was taken yet are reported
+        too.
         """
         for replica in self._buckets.values():
             self._refill(replica, now)
@@ -238,7 +239,8 @@
         meanwhile, and subtracting all of that at once would refuse requests for
         seconds.
 
-        :param near: whether this daemon may have to report it to other failure domains.
+        :param near: whether the process is in this failure domain, so that this daemon
+            may have to report its takes to other failure domains.
         """
         totals = self._reported_totals.setdefault(process, {})
         before = totals.get(customer)
@@ -250,7 +252,8 @@
             bucket = _Bucket(report.left, now)
             self._buckets[customer] = bucket
             before = totals[customer]
-        # The quota may be new, from before the first configuration, or changed.
+        # The bucket may be older than the first configuration, and the quota may have
+        # changed since.
         bucket.quota = self._find_quota(customer) or bucket.quota
         bucket.peers[process] = _PeerDemand(report.demand, now, near)
         # Refill first: units accrued until now must not offset what is subtracted now.
@@ -331,8 +334,8 @@
 
         Other daemons' takes arrive some tenths of a second late. With 75 daemons, a
         customer that requests several times its limit would be admitted at each of them
-        until all have exchanged reports (``TestManyDaemons``). So no more is admitted
-        than the bucket holds until then.
+        until all have exchanged reports (``TestManyDaemons``). So until then only as
+        much is admitted as the bucket holds.
         """
         demanded = bucket.sum_demand(now) * self._propagation_seconds
         if not demanded:
@@ -362,9 +365,9 @@
     def _get_bucket(self, name: CustomerId, quota: Quota, now: float) -> _Bucket:
         bucket = self._buckets.get(name)
         if bucket is None:
-            # Without the tolerance above the burst: all daemons may be killed at once
-            # when a customer has just used up its quota, and what they grant before and
-            # after must stay within one window's tolerance.
+            # A new bucket starts without the tolerance above the burst: all daemons may
+            # be killed at once when a customer has just used up its quota, and what
+            # they grant before and after must stay within one window's tolerance.
             accrued = (now - self._started) * self._find_rate(quota)
             capacity = self._find_capacity(quota)
             bucket = _Bucket(
--- a/libs/serving/fireflyhitch_serving/server_statistics.py
+++ b/libs/serving/fireflyhitch_serving/server_statistics.py
@@ -1,8 +1,8 @@
 """Failure and latency statistics of servers, shared by all daemons.
 
-With many daemons, each reaches one server only every many seconds. Alone, it would
-learn from its own callers' failures that a server hangs, fails or is slow when the
-server has recovered already. Together the daemons know after a few requests.
+With many daemons, each sends only one request in many seconds to a given server. By its
+own callers' failures alone, it would detect a server that hangs, fails or is slow only
+when that server has recovered. Together the daemons detect it after a few requests.
 """
 
 import math
@@ -16,8 +16,8 @@
 DECAY_SECONDS = 3.0
 # Lifetime of a peer's counts; peers send them several times a second.
 PEER_COUNTS_SECONDS = 2.0
-# Weight of the prior: a server with few answers is taken for an average one with this
-# many.
+# Weight of the prior: so many successful answers in the expected time are added to
+# those of each server.
 ASSUMED_ANSWERS = 2.0
 # Counts below this are not sent.
 MIN_REPORTED_ANSWERS = 0.05
@@ -29,8 +29,8 @@
 # Bounds of one answer's time as a multiple of the expected time.
 MAX_RELATIVE_LATENCY = 4.0
 MIN_RELATIVE_LATENCY = 0.5
-# A server counts as slow from this multiple of the median on. Less is chance, and if
-# others avoided a server for that, they would only queue more elsewhere.
+# A server counts as slow from this multiple of the median latency. A smaller difference
+# is chance, and avoiding a server for it would only lengthen the queues of others.
 SLOW_THRESHOLD = 1.3
 # Added to both times, so that a few ms of delay on a short prompt do not count as late.
 LATENCY_TOLERANCE_SECONDS = 0.05
@@ -111,7 +111,7 @@
 
     @property
     def has_local_answers(self) -> bool:
-        """Tell whether this daemon ever had an answer from the server."""
+        """Return whether this daemon ever had an answer from the server."""
         return bool(self.own.counts.answers)
 
     def sum_all(self, now: float) -> AnswerCounts:
@@ -150,7 +150,7 @@
 
 
 def is_failing(counts: AnswerCounts, median_rate: float) -> bool:
-    """Tell whether a server fails so much more than others that it is excluded.
+    """Return whether a server fails so much more than others that it is excluded.
 
     While excluded it gives no answers, so its counts decay, and it is tried again.
     """
--- a/libs/serving/fireflyhitch_serving/servers.py
+++ b/libs/serving/fireflyhitch_serving/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that this daemon knows, with their load and statistics."""
+"""The backend servers known to this daemon, with their load and statistics."""
 
 from collections import OrderedDict
 from collections.abc import Container, Iterable, Mapping
@@ -37,10 +37,10 @@
 PEER_WORK_SECONDS = 2.0
 # Statistics change with the peers' reports, not with each request.
 EVALUATION_INTERVAL_SECONDS = 0.4
-# A prompt part maps to this many servers by rendezvous hashing. Choosing among all
-# servers, each daemon would send to the server that was idle by its outdated state, and
-# shared parts would be read there once more. More servers are ranked, since the first
-# ones may be leaving or excluded.
+# A prompt part maps to this many servers by rendezvous hashing. If daemons chose among
+# all servers, each would pick one that is idle in its outdated state, and shared parts
+# would be prefilled there once more. More servers are ranked, since the first ones may
+# be leaving or excluded.
 AFFINITY_SERVERS = 2
 MAX_RANKED = 8
 
@@ -92,7 +92,7 @@
 class ServerRecord:
     """A server with its load and statistics.
 
-    :param evidence: its answers to all daemons.
+    :param evidence: statistics of its answers to all daemons.
     :param slowness: factor by which a request takes longer than at other servers.
     :param failing: whether it fails much more often than others.
     """
--- a/libs/serving/fireflyhitch_serving/stalls.py
+++ b/libs/serving/fireflyhitch_serving/stalls.py
@@ -2,7 +2,7 @@
 
 Peers' messages wait in the socket while an instance is frozen or suspended. Read all at
 once afterwards, they report seconds of work as if it happened in one moment, and
-requests within their limits are refused for seconds. Peers send their state again
+customers within their limits are refused for seconds. Peers send their state again
 within a tenth of a second, so the queued messages are dropped.
 """
 
@@ -12,7 +12,8 @@
 
 # The loop ticks every 0.1 to 0.5 s; a busy core delays that by some tenths of a second.
 STALL_SECONDS = 1.0
-# Dropping some hundred messages takes less; each peer's next state arrives later.
+# Time after a stall in which messages are dropped. Dropping some hundred queued ones
+# takes less, and each peer's next state arrives later.
 DROP_SECONDS = 0.25
 
 
@@ -38,7 +39,7 @@
         self._last_tick = self._clock()
 
     def is_discarding(self) -> bool:
-        """Tell whether a message read now may have been queued during a stall."""
+        """Return whether a message read now may have been queued during a stall."""
         self._check()
         return self._clock() < self._discard_until
 
--- a/libs/serving/fireflyhitch_serving/usage_reports.py
+++ b/libs/serving/fireflyhitch_serving/usage_reports.py
@@ -70,7 +70,7 @@
     ) -> None:
         """Create a reporter that has reported nothing.
 
-        :param all_heard: tells whether every daemon has been heard from recently.
+        :param all_heard: returns whether every daemon has sent a message recently.
         :param propagation_seconds: returns the time in which each daemon has sent its
             counts.
         """
@@ -104,8 +104,8 @@
             except PlatformError as error:
                 logger.bind(error=str(error)).warning('counts not kept')
             if self._loaded_under == leadership.fencing:
-                # Without the counts that an earlier leader saved, a report would lack
-                # them permanently.
+                # A report made before the counts of an earlier leader are loaded would
+                # lack them permanently.
                 await self._report_due()
 
     async def _persist_counts(self, leadership: Leadership) -> None:
--- a/libs/serving/fireflyhitch_serving/workloads.py
+++ b/libs/serving/fireflyhitch_serving/workloads.py
@@ -20,7 +20,8 @@
 # An answer later than this many times the predicted time was delayed by a fault and is
 # capped; one that hangs for seconds would otherwise count like hundreds.
 MAX_DELAY_FACTOR = 4.0
-# Prior of the uncached fraction of customers' units, with the weight of so many units.
+# Prior of the uncached fraction of customers' units, and the number of units that it
+# weighs as much as.
 ASSUMED_UNCACHED_FRACTION = 0.7
 ASSUMED_UNITS = 100_000.0
 
--- a/libs/serving/tests/test_autoscaler.py
+++ b/libs/serving/tests/test_autoscaler.py
@@ -129,7 +129,7 @@
         # were left when the first requests came.
         assert order_at_start(56, monkeypatch) >= 56
 
-    def test_servers_listed_one_by_one_are_all_waited_for(self, monkeypatch) -> None:
+    def test_no_servers_are_released_while_more_are_listed(self, monkeypatch) -> None:
         # 56 servers run when the daemons start, and write their entries over the next
         # three seconds. Orders based on the first two released all others, and the
         # first callers found eight.
@@ -206,7 +206,7 @@
         assert orders.placed_at[1] - orders.placed_at[0] >= SCALED.scale.start_seconds
 
     def test_unavailable_servers_are_reordered_sooner(self, monkeypatch) -> None:
-        """Guards against a delayed retry when servers may be available again."""
+        """Guards against a retry long after servers became available again."""
         monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         orders = OrderLog(CallResult.UNAVAILABLE)
         asyncio.run(orders.harness.advance_time(9))
@@ -249,7 +249,7 @@
         }
         assert sum(first.values()) >= 0.8 * 56
 
-    def test_it_orders_for_the_load_seen_before_it_led(self, monkeypatch) -> None:
+    def test_a_new_leader_orders_for_the_load_before_it_led(self, monkeypatch) -> None:
         """Guards against servers released after a burst because the leader changed."""
         monkeypatch.setattr(f'{Autoscaler.__module__}.CHECK_INTERVAL_SECONDS', 0)
         harness = ScalingHarness(demand=1)
--- a/libs/serving/tests/test_leases.py
+++ b/libs/serving/tests/test_leases.py
@@ -14,7 +14,7 @@
 
 class TestHealth:
     def test_a_waiting_lease_does_not_count_as_a_store_response(self) -> None:
-        """Guards against a partitioned daemon that reports it hears the store."""
+        """Guards against a partitioned daemon that reports the store as reachable."""
 
         async def script() -> None:
             store = VirtualStore()
--- a/libs/serving/tests/test_quotas.py
+++ b/libs/serving/tests/test_quotas.py
@@ -286,7 +286,7 @@
             quotas.apply_report(f'p{number}', BAKERY, QuotaReport(1, 0, 5), 0)
         assert quotas.count_processes() <= MAX_PROCESSES
 
-    def test_their_demand_is_removed_too(self) -> None:
+    def test_demand_of_removed_processes_is_removed(self) -> None:
         quotas = Quotas(QuotaSlack())
         for number in range(500):
             quotas.apply_report(f'p{number}', BAKERY, QuotaReport(1, 7, 5), number)
--- a/libs/serving/tests/test_server_statistics.py
+++ b/libs/serving/tests/test_server_statistics.py
@@ -44,7 +44,7 @@
 
 class TestFailing:
     def test_a_hanging_server_is_detected_by_all_daemons_statistics(self) -> None:
-        """Guards against many daemons that each have to detect it on their own."""
+        """Guards against many daemons that each detect it only on their own."""
         stats = ServerStatistics()
         stats.record_response(0, failed=True, relative_latency=4)
         assert not is_failing(stats.sum_all(0), MEDIAN_RATE)
@@ -198,7 +198,7 @@
 
 class TestSlowEngines:
     def test_prompts_avoid_engines_that_other_daemons_found_slow(self) -> None:
-        """Guards against late first tokens at engines that few daemons know as slow."""
+        """Guards against late first tokens at engines that few daemons found slow."""
         shared = simulate(exchanging=True)
         isolated = simulate(exchanging=False)
         assert shared >= 0.9
--- a/libs/serving/tests/test_stalls.py
+++ b/libs/serving/tests/test_stalls.py
@@ -68,7 +68,7 @@
         daemon.now = 0.8
         assert not daemon.detector.is_discarding()
 
-    def test_messages_are_accepted_again_soon_after(self) -> None:
+    def test_messages_are_accepted_again_soon_after_a_stall(self) -> None:
         daemon = FrozenDaemon()
         daemon.now = 5.0
         assert daemon.detector.is_discarding()
--- a/libs/serving/tests/test_state.py
+++ b/libs/serving/tests/test_state.py
@@ -16,7 +16,9 @@
 
 class TestRetryBudget:
     @pytest.mark.parametrize('daemons', [1, 7, 75])
-    def test_the_sum_over_all_daemons_holds_in_an_outage(self, daemons: int) -> None:
+    def test_all_daemons_together_keep_to_the_budget_in_an_outage(
+        self, daemons: int
+    ) -> None:
         # Every request fails and would be retried. The daemons do not communicate, and
         # each gets a random part of the traffic.
         rng = random.Random(5)  # noqa: S311
--- a/libs/serving/tests/test_workloads.py
+++ b/libs/serving/tests/test_workloads.py
@@ -19,7 +19,7 @@
     uncached_fraction: float,
     answers: int = 400,
 ) -> None:
-    """Let engines answer requests of all sizes at a given speed."""
+    """Record answers to requests of all sizes by engines of a given speed."""
     rng = random.Random(5)  # noqa: S311
     for _ in range(answers):
         units = rng.randrange(500, 40_000)
@@ -33,7 +33,7 @@
 
 
 class TestPrefillModel:
-    def test_it_is_learned_from_answers(self) -> None:
+    def test_engine_speed_is_learned_from_answers(self) -> None:
         for seconds_per_token in (FAST, SLOW):
             workloads = Workloads()
             simulate_answers(workloads, seconds_per_token, uncached_fraction=1)
@@ -53,7 +53,7 @@
         simulate_answers(workloads, SLOW, uncached_fraction=1, answers=1500)
         assert workloads.prefill_model(SERVICE).seconds_per_token > 0.8 * SLOW
 
-    def test_equal_prompts_keep_it_within_bounds(self) -> None:
+    def test_equal_prompts_keep_the_speed_within_bounds(self) -> None:
         model = PrefillModel()
         for _ in range(1000):
             model.add_sample(1000, 0.1)
@@ -70,7 +70,7 @@
         simulate_answers(workloads, FAST, uncached_fraction=0.5)
         assert workloads.find_busy_seconds(SERVICE, 200_000) < 0.45 * before
 
-    def test_slow_engines_need_more(self) -> None:
+    def test_slow_engines_need_more_servers(self) -> None:
         # Callers of slow engines waited behind queued prompts because too few servers
         # ran.
         workloads = Workloads()
--- a/tests/users_platform/test_program.py
+++ b/tests/users_platform/test_program.py
@@ -109,8 +109,9 @@
     def test_changes_lost_with_the_history_are_found_by_listing_again(
         self, tmp_path
     ) -> None:
-        # The store drops its history and breaks the watches, and meanwhile a server
-        # has left. The daemon must list all keys again and send it no more requests.
+        # A server's entry becomes malformed, and the store drops its history and breaks
+        # the watches. The daemon must list all keys again, keep the server with the
+        # malformed entry, and send the leaving one no requests.
         async def script(cluster: Cluster) -> None:
             cluster.store.put('op/config', make_configuration())
             first = await cluster.add_server('i-1', answer_signed())
@@ -232,7 +233,8 @@
             await cluster.start_serving('d1', 'd2')
             await wait_for(
                 lambda: all(
-                    len(p.peers.heard()) == 1 for p in cluster.programs.values()
+                    len(p.peers.responsive_states()) == 1
+                    for p in cluster.programs.values()
                 )
             )
             for number in range(6):
