--- a/libs/daemon/fireflyhitch_daemon/admin.py
+++ b/libs/daemon/fireflyhitch_daemon/admin.py
@@ -14,14 +14,14 @@
 
 from fireflyhitch_daemon.calls import ModelCalls
 from fireflyhitch_daemon.directory import Directory
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.health import Health
+from fireflyhitch_daemon.http_server import (
     JSON_TYPE,
     OUTCOME_HEADER,
     CallerRequest,
     Header,
     Response,
 )
-from fireflyhitch_daemon.health import Health
 from fireflyhitch_membership.configuration import (
     Accepted,
     ConfigurationKeeper,
@@ -43,7 +43,7 @@
 
 BEARER = 'Bearer '
 ASK_TIMEOUT = timedelta(seconds=1)
-_REPORTS = TypeAdapter(tuple[MoveReport, ...])
+_REPORTS_ADAPTER = TypeAdapter(tuple[MoveReport, ...])
 
 
 class BurnRequest(PeerMessage):
@@ -66,12 +66,12 @@
     configuration: Configuration
 
 
-class _DrainWish(BaseModel):
+class _DrainRequest(BaseModel):
     instance: InstanceId | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class AdminParts:
+class AdminDependencies:
     """What operators see and change.
 
     :param drain: starts the graceful stop of this daemon.
@@ -80,7 +80,7 @@
     token_sha256: str
     clock: Clock
     network: PeerNetwork
-    keeper: ConfigurationKeeper
+    config_manager: ConfigurationKeeper
     moves: MoveManager
     burn: BurnRecorder
     calls: ModelCalls
@@ -90,26 +90,26 @@
     drain: Callable[[], None]
 
 
-class Admin:
+class AdminApi:
     """Answers operators, who bear the admin token."""
 
-    def __init__(self, parts: AdminParts) -> None:
-        self._parts = parts
+    def __init__(self, deps: AdminDependencies) -> None:
+        self._deps = deps
         self._routes: dict[tuple[str, str], Callable[[CallerRequest], Response]] = {
-            ('GET', '/admin/status'): self._show_status,
-            ('GET', '/admin/configuration'): self._show_configuration,
+            ('GET', '/admin/status'): self._get_status,
+            ('GET', '/admin/configuration'): self._get_configuration,
             ('PUT', '/admin/configuration'): self._propose,
-            ('GET', '/admin/moves'): self._show_moves,
+            ('GET', '/admin/moves'): self._get_moves,
             ('POST', '/admin/drain'): self._drain,
-            ('GET', '/admin/burn'): self._show_burn,
+            ('GET', '/admin/burn'): self._get_burn,
         }
-        parts.network.handle(BurnRequest, self._reply_burn)
+        deps.network.handle(BurnRequest, self._reply_burn)
 
     def handle(self, request: CallerRequest) -> Response:
         """Answer an operator's request."""
         given = request.headers.get('authorization', '').removeprefix(BEARER)
         digest = hashlib.sha256(given.encode()).hexdigest()
-        if not hmac.compare_digest(digest, self._parts.token_sha256):
+        if not hmac.compare_digest(digest, self._deps.token_sha256):
             return _refuse(HTTPStatus.UNAUTHORIZED, 'the token is not accepted')
         route = self._routes.get((request.method, request.path))
         if route is None:
@@ -121,19 +121,19 @@
         except PlatformError as error:
             return _refuse_platform(error)
 
-    def _show_status(self, _: CallerRequest) -> Response:
-        parts = self._parts
-        here = parts.network.daemon
-        in_force = parts.keeper.in_force()
+    def _get_status(self, _: CallerRequest) -> Response:
+        deps = self._deps
+        local_daemon = deps.network.daemon
+        in_force = deps.config_manager.in_force()
         return _answer(
             {
-                'daemon': here.daemon_id,
-                'failure_domain': here.failure_domain,
-                'ready': parts.health.find_obstacle() is None,
-                'obstacle': parts.health.find_obstacle(),
+                'daemon': local_daemon.daemon_id,
+                'failure_domain': local_daemon.failure_domain,
+                'ready': deps.health.find_unready_reason() is None,
+                'obstacle': deps.health.find_unready_reason(),
                 'revision': in_force.revision if in_force else None,
                 'since': in_force.since.isoformat() if in_force else None,
-                'open_streams': parts.calls.count_open(),
+                'open_streams': deps.calls.count_open(),
                 'invariant_violations': count_violations(),
                 'failure_domains': self._describe_domains(),
                 'daemons': [
@@ -142,7 +142,7 @@
                         'failure_domain': daemon.failure_domain,
                         'entry': daemon.entry_address,
                     }
-                    for daemon in parts.network.live()
+                    for daemon in deps.network.live()
                 ],
                 'backend_servers': [
                     {
@@ -152,17 +152,17 @@
                         'failure_domain': server.failure_domain,
                         'machine_class': server.machine_class.value,
                     }
-                    for server in parts.directory.list_servers()
+                    for server in deps.directory.list_servers()
                 ],
-                'leaving': sorted(parts.network.leaving()),
+                'leaving': sorted(deps.network.leaving()),
                 'store_calls': {
-                    kind.value: count for kind, count in parts.budget.counts().items()
+                    kind.value: count for kind, count in deps.budget.counts().items()
                 },
             }
         )
 
     def _describe_domains(self) -> list[Mapping[str, Any]]:
-        revisions = self._parts.keeper.revisions_by_failure_domain()
+        revisions = self._deps.config_manager.revisions_by_failure_domain()
         return [
             {
                 'failure_domain': domain,
@@ -173,23 +173,23 @@
             for domain, held in sorted(revisions.items())
         ]
 
-    def _show_configuration(self, _: CallerRequest) -> Response:
-        return _answer(_describe(self._parts.keeper.in_force()))
+    def _get_configuration(self, _: CallerRequest) -> Response:
+        return _answer(_describe(self._deps.config_manager.in_force()))
 
     def _propose(self, request: CallerRequest) -> Response:
         proposal = _Proposal.model_validate_json(request.body)
         findings = self._check(proposal.configuration)
         if findings:
             return _refuse(HTTPStatus.BAD_REQUEST, findings)
-        decided = self._parts.keeper.propose(
+        result = self._deps.config_manager.propose(
             proposal.configuration, proposal.expected_revision, proposal.change_id
         )
         log = logger.bind(step=Step.CONFIGURE.value, change=proposal.change_id)
-        if isinstance(decided, Accepted):
-            log.bind(revision=decided.revision).info('configuration accepted')
-            return _answer({'revision': decided.revision})
+        if isinstance(result, Accepted):
+            log.bind(revision=result.revision).info('configuration accepted')
+            return _answer({'revision': result.revision})
         log.info('configuration rejected: another change came first')
-        current = _describe(decided.current)
+        current = _describe(result.current)
         return _answer(
             {
                 'error': 'another change came first',
@@ -205,54 +205,54 @@
         A move's date must lie ahead when the move is proposed; the date of one
         that was accepted earlier may have passed.
         """
-        in_force = self._parts.keeper.in_force()
-        known = _list_moves(in_force.configuration) if in_force else ()
-        is_news = any(move not in known for move in _list_moves(configuration))
-        now = self._parts.clock.now() if is_news else None
+        in_force = self._deps.config_manager.in_force()
+        accepted = _list_moves(in_force.configuration) if in_force else ()
+        has_new_moves = any(move not in accepted for move in _list_moves(configuration))
+        now = self._deps.clock.now() if has_new_moves else None
         return '; '.join(
             f'{".".join(map(str, finding.location))}: {finding.message}'
             for finding in check_configuration(configuration, now)
         )
 
-    def _show_moves(self, _: CallerRequest) -> Response:
-        reports = self._parts.moves.moves()
-        return _answer({'moves': _REPORTS.dump_python(reports, mode='json')})
+    def _get_moves(self, _: CallerRequest) -> Response:
+        reports = self._deps.moves.moves()
+        return _answer({'moves': _REPORTS_ADAPTER.dump_python(reports, mode='json')})
 
     def _drain(self, request: CallerRequest) -> Response:
-        wish = _DrainWish.model_validate_json(request.body or b'{}')
-        if wish.instance is None:
-            self._parts.drain()
-            return _answer({'draining': self._parts.network.daemon.daemon_id})
-        server = self._parts.directory.find(wish.instance)
+        parsed = _DrainRequest.model_validate_json(request.body or b'{}')
+        if parsed.instance is None:
+            self._deps.drain()
+            return _answer({'draining': self._deps.network.daemon.daemon_id})
+        server = self._deps.directory.find(parsed.instance)
         if server is None:
-            return _refuse(HTTPStatus.NOT_FOUND, f'no instance {wish.instance}')
-        self._parts.network.mark_leaving(wish.instance, server.incarnation)
-        self._parts.directory.remove((wish.instance,))
-        return _answer({'draining': wish.instance})
+            return _refuse(HTTPStatus.NOT_FOUND, f'no instance {parsed.instance}')
+        self._deps.network.mark_leaving(parsed.instance, server.incarnation)
+        self._deps.directory.remove((parsed.instance,))
+        return _answer({'draining': parsed.instance})
 
-    def _show_burn(self, _: CallerRequest) -> Response:
+    def _get_burn(self, _: CallerRequest) -> Response:
         merged = self._collect_burn()
         return _answer(merged.model_dump(mode='json'))
 
     def _collect_burn(self) -> BurnSnapshot:
         """Ask all daemons; those that do not answer have their domain named."""
-        network = self._parts.network
-        snapshots = [self._parts.burn.snapshot()]
-        unreached: set[FailureDomainId] = set(network.unreachable_domains())
+        network = self._deps.network
+        snapshots = [self._deps.burn.snapshot()]
+        unreachable: set[FailureDomainId] = set(network.unreachable_domains())
         for daemon in network.live():
             if daemon.daemon_id == network.daemon.daemon_id:
                 continue
             try:
                 reply = network.ask(daemon.daemon_id, BurnRequest(), ASK_TIMEOUT)
             except PeerError:
-                unreached.add(daemon.failure_domain)
+                unreachable.add(daemon.failure_domain)
                 continue
             if isinstance(reply, BurnReply):
                 snapshots.append(reply.snapshot)
-        return merge_snapshots(snapshots, sorted(unreached))
+        return merge_snapshots(snapshots, sorted(unreachable))
 
     def _reply_burn(self, _sender: object, _request: BurnRequest) -> BurnReply:
-        return BurnReply(snapshot=self._parts.burn.snapshot())
+        return BurnReply(snapshot=self._deps.burn.snapshot())
 
 
 def _list_moves(configuration: Configuration) -> tuple[VersionMove, ...]:
--- a/libs/daemon/fireflyhitch_daemon/attempts.py
+++ b/libs/daemon/fireflyhitch_daemon/attempts.py
@@ -10,13 +10,13 @@
 from loguru import logger
 
 from fireflyhitch_daemon.dispatch import (
-    is_callers_fault,
-    name_attempt,
-    request_stream,
+    build_stream_body,
+    is_request_rejected,
+    make_attempt_id,
     send_call,
     send_resume,
 )
-from fireflyhitch_daemon.exchange import Exchange, ExchangeState, MovedCache
+from fireflyhitch_daemon.exchange import Exchange, ExchangeState, ExportedCache
 from fireflyhitch_daemon.relay import Relay
 from fireflyhitch_daemon.upstream import Continuation, Upstream
 from fireflyhitch_model.backends import BackendServer
@@ -41,23 +41,23 @@
 from fireflyhitch_routing.choices import CallResult, Choice, ResultStatus
 
 if TYPE_CHECKING:
-    from fireflyhitch_daemon.calls import CallParts
+    from fireflyhitch_daemon.calls import CallDependencies
 
 SECOND = timedelta(seconds=1)
 
 
-class Attempts:
+class AttemptManager:
     """Sends calls and goes on with them; blocks, so never on the relay's thread."""
 
-    Step: TypeAlias = Callable[[Exchange], None]
+    Action: TypeAlias = Callable[[Exchange], None]
 
-    def __init__(self, parts: 'CallParts', relay: Relay) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, deps: 'CallDependencies', relay: Relay) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._relay = relay
         self._lock = Lock()
 
-    def begin(self, exchange: Exchange) -> None:
+    def start(self, exchange: Exchange) -> None:
         """Send a call for the first time.
 
         :raises RequestError: if no server took it; then it was not run.
@@ -73,19 +73,19 @@
             return
         started = bool(exchange.tracked.log.count())
         refused = upstream.refused and not started
-        self._note_loss(exchange, upstream)
+        self._record_loss(exchange, upstream)
         self._finish_ticket(
             exchange, ResultStatus.REFUSED if refused else ResultStatus.FAILED
         )
-        if is_callers_fault(upstream.status):
-            raise _pass_refusal(upstream, reason)
+        if is_request_rejected(upstream.status):
+            raise _describe_refusal(upstream, reason)
         if not refused:
             exchange.sent = True
-        if self._parts.crashes.find_remaining_hold(exchange.tracked.accepted.content):
-            raise _give_up(exchange, 'servers have ended under this call')
+        if self._deps.crashes.find_remaining_hold(exchange.tracked.accepted.content):
+            raise _describe_failure(exchange, 'servers have ended under this call')
         outcome = Outcome.NOT_RUN if refused else Outcome.UNKNOWN
-        if not self._parts.retries.take(exchange.call, outcome):
-            raise _give_up(exchange, reason)
+        if not self._deps.retries.take(exchange.call, outcome):
+            raise _describe_failure(exchange, reason)
         broke_off = started and upstream.status == HTTPStatus.OK
         if broke_off and self._resume_stream(exchange):
             return
@@ -99,19 +99,19 @@
         if not self._resume_stream(exchange):
             self._continue(exchange)
 
-    def leave(self, exchange: Exchange) -> None:
+    def migrate(self, exchange: Exchange) -> None:
         """Have an answer go on at another server while its own is still there.
 
         The KV cache is fetched first, since dropping the stream cancels it.
         """
         placement = exchange.tracked.placement
         if placement is not None:
-            exchange.cache = self._export(exchange, placement)
+            exchange.cache = self._export_cache(exchange, placement)
         # Without a placement the old engine is not asked for the rest.
         exchange.tracked.placement = None
-        self._relay.drop(exchange, 'backend server is leaving')
+        self._relay.drop_upstream(exchange, 'backend server is leaving')
 
-    def close(self, exchange: Exchange) -> BackendServer | None:
+    def finish(self, exchange: Exchange) -> BackendServer | None:
         """Account for the last attempt of a call that has ended.
 
         :returns: the server that it was with.
@@ -121,24 +121,24 @@
             return None
         done = exchange.state is ExchangeState.DONE
         if done:
-            self._parts.crashes.record_response(exchange.tracked.accepted.content)
+            self._deps.crashes.record_response(exchange.tracked.accepted.content)
         self._finish_ticket(
-            exchange, ResultStatus.SUCCEEDED if done else _judge_end(exchange)
+            exchange, ResultStatus.SUCCEEDED if done else _find_end_status(exchange)
         )
         return ticket.choice.server
 
-    def _note_loss(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _record_loss(self, exchange: Exchange, upstream: Upstream) -> None:
         ticket = exchange.ticket
         if ticket is None:
             return
         if upstream.status:
-            self._parts.limits.record_response(
+            self._deps.limits.record_response(
                 ticket.choice.server, upstream.limit, ticket.started
             )
         if upstream.refused:
             return
         content = exchange.tracked.accepted.content
-        self._parts.crashes.record_broken_response(
+        self._deps.crashes.record_broken_response(
             ticket.choice.server, content, ticket.started
         )
 
@@ -173,12 +173,12 @@
             return
         plan = self._plan(exchange, generated)
         if plan.kind is ResumeKind.IMPOSSIBLE:
-            raise _give_up(exchange, 'the request allows no continuation')
+            raise _describe_failure(exchange, 'the request allows no continuation')
         stream = log.open_attempt()
         if stream is None:
             # The answer is held for a peer, or has moved: it goes on there.
             return
-        self._parts.accounts.metrics.count_recomputed(plan.recomputed_tokens)
+        self._deps.recorder.metrics.count_recomputed(plan.recomputed_tokens)
         try:
             self._send(exchange, stream, generated)
         except RequestError as error:
@@ -201,7 +201,9 @@
             )
         )
 
-    def _export(self, exchange: Exchange, placement: Placement) -> MovedCache | None:
+    def _export_cache(
+        self, exchange: Exchange, placement: Placement
+    ) -> ExportedCache | None:
         """Fetch an answer's KV cache, if moving it costs less than computing."""
         generated = read_generated(exchange.tracked.log.read_after(0).events)
         total = exchange.call.prompt_tokens + generated.tokens
@@ -210,13 +212,15 @@
             return None
         attempt = placement.engine_attempt
         try:
-            export = self._parts.engines.export_kv(placement.server_id, attempt)
+            export = self._deps.engines.export_kv(placement.server_id, attempt)
         except PlatformError as error:
-            _log_cache(exchange, placement.server_id, error)
+            _log_cache_failure(exchange, placement.server_id, error)
             return None
-        return MovedCache(attempt, export)
+        return ExportedCache(attempt, export)
 
-    def _import(self, exchange: Exchange, server: BackendServer) -> AttemptId | None:
+    def _import_cache(
+        self, exchange: Exchange, server: BackendServer
+    ) -> AttemptId | None:
         """Give an answer's KV cache to the engine that goes on with it.
 
         :returns: the attempt that it was of; ``None`` if the engine computes anew.
@@ -225,9 +229,9 @@
         if cache is None:
             return None
         try:
-            self._parts.engines.import_kv(server.server_id, cache.attempt, cache.export)
+            self._deps.engines.import_kv(server.server_id, cache.attempt, cache.export)
         except PlatformError as error:
-            _log_cache(exchange, server.server_id, error)
+            _log_cache_failure(exchange, server.server_id, error)
             return None
         return cache.attempt
 
@@ -242,10 +246,10 @@
         continuation = _find_continuation(exchange, generated)
         offset = exchange.tracked.log.count()
         while True:
-            choice = self._parts.selection.choose(exchange.call, exchange.tried)
+            choice = self._deps.selection.choose(exchange.call, exchange.tried)
             server = choice.server
             exchange.tried.add(server.server_id)
-            attempt = name_attempt(exchange.call.request_id, stream.tag)
+            attempt = make_attempt_id(exchange.call.request_id, stream.tag)
             self._start_ticket(exchange, choice)
             try:
                 sock = send_call(
@@ -254,11 +258,11 @@
                     body,
                     attempt,
                     exchange.call.deadline - self._clock.monotonic(),
-                    self._import(exchange, server),
+                    self._import_cache(exchange, server),
                 )
             except OSError as error:
                 self._finish_ticket(exchange, ResultStatus.REFUSED)
-                _log_unreached(exchange, server, error)
+                _log_connect_failure(exchange, server, error)
                 continue
             exchange.offset = offset
             exchange.tracked.placement = Placement(
@@ -270,8 +274,8 @@
 
     def _start_ticket(self, exchange: Exchange, choice: Choice) -> None:
         exchange.attempts += 1
-        self._parts.limits.record_sent(choice.server)
-        exchange.ticket = self._parts.selection.router.start(choice, exchange.call)
+        self._deps.limits.record_sent(choice.server)
+        exchange.ticket = self._deps.selection.router.start(choice, exchange.call)
 
     def _finish_ticket(self, exchange: Exchange, status: ResultStatus) -> None:
         with self._lock:
@@ -285,7 +289,7 @@
         tokens = exchange.tracked.log.count() - exchange.offset
         seconds = now - ticket.started
         outcome = CallResult(status, generated_tokens=tokens, seconds=seconds)
-        self._parts.selection.router.finish(ticket, outcome)
+        self._deps.selection.router.finish(ticket, outcome)
         if status is ResultStatus.CANCELLED:
             return
         first = None
@@ -293,7 +297,7 @@
         if ticket.first_token_at is not None:
             first = ticket.first_token_at - ticket.started
             gap = (seconds - first) / max(tokens - 1, 1)
-        self._parts.accounts.record_attempt(
+        self._deps.recorder.record_attempt(
             ticket,
             ok=status is ResultStatus.SUCCEEDED,
             first_token=first,
@@ -303,13 +307,13 @@
 
 def _build_body(exchange: Exchange, generated: GeneratedText | None) -> bytes:
     accepted = exchange.tracked.accepted
-    body = request_stream(accepted.body, with_usage=not accepted.streaming)
+    body = build_stream_body(accepted.body, with_usage=not accepted.streaming)
     if generated is None or not generated.tokens:
         return body
-    return _bound_tokens(build_continuation(accepted.kind, body, generated))
+    return _clamp_token_limits(build_continuation(accepted.kind, body, generated))
 
 
-def _bound_tokens(body: bytes) -> bytes:
+def _clamp_token_limits(body: bytes) -> bytes:
     """Keep a continuation's limit above zero, which engines do not take."""
     request = json.loads(body)
     for field in LIMIT_FIELDS:
@@ -327,13 +331,15 @@
     return Continuation(first, generated.tokens)
 
 
-def _judge_end(exchange: Exchange) -> ResultStatus:
+def _find_end_status(exchange: Exchange) -> ResultStatus:
     if exchange.state is ExchangeState.FAILED:
         return ResultStatus.FAILED
     return ResultStatus.CANCELLED
 
 
-def _log_unreached(exchange: Exchange, server: BackendServer, error: OSError) -> None:
+def _log_connect_failure(
+    exchange: Exchange, server: BackendServer, error: OSError
+) -> None:
     logger.bind(
         request_id=exchange.call.request_id,
         step=Step.CONNECT.value,
@@ -342,7 +348,7 @@
     ).warning('backend server not reached')
 
 
-def _log_cache(
+def _log_cache_failure(
     exchange: Exchange, server: BackendServerId, error: PlatformError
 ) -> None:
     logger.bind(
@@ -350,7 +356,7 @@
     ).warning(f'KV cache not moved: {error.message}')
 
 
-def _pass_refusal(upstream: Upstream, reason: str) -> RequestError:
+def _describe_refusal(upstream: Upstream, reason: str) -> RequestError:
     return RequestError(
         f'the backend server refused the call: {reason}',
         step=Step.FIRST_BYTE,
@@ -360,7 +366,7 @@
     )
 
 
-def _give_up(exchange: Exchange, reason: str) -> RequestError:
+def _describe_failure(exchange: Exchange, reason: str) -> RequestError:
     return RequestError(
         f'no backend server finished the answer: {reason}',
         step=Step.RELAY,
--- a/libs/daemon/fireflyhitch_daemon/accounts.py
+++ b/libs/daemon/fireflyhitch_daemon/call_recorder.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndedCall:
+class FinishedCall:
     """A call that has ended, as its caller saw it.
 
     :param first_token: seconds from arrival; ``None`` if there was none.
@@ -42,7 +42,7 @@
         return (self.seconds - self.first_token) / (self.tokens - 1)
 
 
-class Accounts:
+class CallRecorder:
     """Hands what is known of ended calls to all that count them."""
 
     def __init__(
@@ -52,7 +52,7 @@
         self._burn = burn
         self._evidence = evidence
 
-    def record_call(self, ended: EndedCall) -> None:
+    def record_call(self, ended: FinishedCall) -> None:
         """Count a call once it has ended for its caller."""
         call = ended.call
         version = ended.server.version if ended.server else NO_VERSION
--- a/libs/daemon/fireflyhitch_daemon/callers.py
+++ b/libs/daemon/fireflyhitch_daemon/caller_api.py
@@ -6,7 +6,8 @@
 from http import HTTPStatus
 
 from fireflyhitch_daemon.calls import ModelCalls
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.health import Health
+from fireflyhitch_daemon.http_server import (
     JSON_TYPE,
     REQUEST_ID_HEADER,
     CallerRequest,
@@ -15,14 +16,13 @@
     Response,
     render_error,
 )
-from fireflyhitch_daemon.health import Health
 from fireflyhitch_daemon.parsing import (
     authenticate,
     list_models,
     parse_model_request,
 )
 from fireflyhitch_daemon.replies import REQUESTS_PREFIX
-from fireflyhitch_daemon.requests import RequestAnswers
+from fireflyhitch_daemon.request_lookup import RequestLookup
 from fireflyhitch_daemon.services import SERVICES_PREFIX, ServiceCalls
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import FireflyhitchError, RequestError
@@ -41,30 +41,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerParts:
+class CallerApiDependencies:
     """What answers callers."""
 
     daemon_id: DaemonId
     clock: Clock
     calls: ModelCalls
     services: ServiceCalls
-    requests: RequestAnswers
+    requests: RequestLookup
     health: Health
     metrics: Metrics
     read_configuration: Callable[[], Configuration | None]
 
 
-class Callers:
+class CallerApi:
     """Answers the requests that come in at the callers' address."""
 
-    def __init__(self, parts: CallerParts) -> None:
-        self._parts = parts
+    def __init__(self, deps: CallerApiDependencies) -> None:
+        self._deps = deps
 
     def handle(self, request: CallerRequest) -> Response | Detached:
         """Answer a request; all answers carry the request's id."""
         if request.path in PROBES:
             return self._answer_probe(request.path)
-        request_id = make_request_id(self._parts.daemon_id)
+        request_id = make_request_id(self._deps.daemon_id)
         try:
             answer = self._answer(request, request_id)
         except RequestError as error:
@@ -81,8 +81,8 @@
             return Response(HTTPStatus.OK, b'alive\n')
         if path == '/metrics':
             kind = Header('Content-Type', METRICS_TYPE)
-            return Response(HTTPStatus.OK, self._parts.metrics.render(), (kind,))
-        obstacle = self._parts.health.find_obstacle()
+            return Response(HTTPStatus.OK, self._deps.metrics.render(), (kind,))
+        obstacle = self._deps.health.find_unready_reason()
         if obstacle is None:
             return Response(HTTPStatus.OK, b'ready\n')
         return Response(HTTPStatus.SERVICE_UNAVAILABLE, f'{obstacle}\n'.encode())
@@ -90,7 +90,7 @@
     def _answer(
         self, request: CallerRequest, request_id: RequestId
     ) -> Response | Detached:
-        configuration = self._parts.read_configuration()
+        configuration = self._deps.read_configuration()
         if configuration is None:
             raise RequestError(
                 'this daemon has no configuration yet',
@@ -101,11 +101,11 @@
         kind = ENDPOINTS.get(request.path)
         if kind is not None:
             _require_method(request, 'POST')
-            now = self._parts.clock.monotonic()
-            asked = parse_model_request(request, kind, configuration, request_id, now)
-            return self._parts.calls.accept(request, asked)
+            now = self._deps.clock.monotonic()
+            parsed = parse_model_request(request, kind, configuration, request_id, now)
+            return self._deps.calls.accept(request, parsed)
         if request.path.startswith(SERVICES_PREFIX):
-            return self._parts.services.answer(request, configuration, request_id)
+            return self._deps.services.answer(request, configuration, request_id)
         return self._answer_query(request, configuration)
 
     def _answer_query(
@@ -122,7 +122,7 @@
         _require_method(request, 'GET')
         customer = authenticate(request, configuration)
         if not is_models:
-            return self._parts.requests.answer(request, customer.customer_id)
+            return self._deps.requests.answer(request, customer.customer_id)
         models = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': 'fireflyhitch'}
             for name in list_models(configuration, customer)
--- /dev/null
+++ b/libs/daemon/fireflyhitch_daemon/caller_connections.py
@@ -0,0 +1,147 @@
+"""Callers' connections on the relay's loop."""
+
+import select
+import ssl
+from collections.abc import Callable
+
+from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
+from fireflyhitch_daemon.replies import (
+    RETRY_EVENT,
+    render_move,
+    render_stream_end,
+    render_stream_head,
+    render_whole,
+)
+from fireflyhitch_daemon.sse import LAST_CHUNK, render_chunk, render_part
+
+# A caller that reads too slowly is cut off rather than filling the memory; it can
+# come back for the rest by its last event id.
+MAX_PENDING_BYTES = 1024 * 1024
+DRAIN_BYTES = 4096
+WOULD_BLOCK = (ssl.SSLWantReadError, ssl.SSLWantWriteError, BlockingIOError)
+READABLE = select.EPOLLIN | select.EPOLLRDHUP
+WRITABLE = READABLE | select.EPOLLOUT
+HANGUP = select.EPOLLHUP | select.EPOLLERR | select.EPOLLRDHUP
+
+
+class CallerConnections:
+    """Registers, writes to and drops callers' sockets; for one thread only.
+
+    :param on_left: told of an exchange that its last caller left.
+    """
+
+    def __init__(self, poll: select.epoll, on_left: Callable[[Exchange], None]) -> None:
+        self._poll = poll
+        self._on_all_left = on_left
+        self._by_descriptor: dict[int, tuple[Exchange, CallerConnection]] = {}
+
+    def find(self, descriptor: int) -> tuple[Exchange, CallerConnection] | None:
+        """Return whose socket it is."""
+        return self._by_descriptor.get(descriptor)
+
+    def add(self, exchange: Exchange, connection: CallerConnection) -> None:
+        """Take a socket in."""
+        connection.sock.setblocking(False)
+        descriptor = connection.sock.fileno()
+        exchange.connections.append(connection)
+        self._by_descriptor[descriptor] = (exchange, connection)
+        self._poll.register(descriptor, READABLE)
+
+    def catch_up(self, exchange: Exchange, connection: CallerConnection) -> None:
+        """Send a streaming caller all that it has not been sent yet."""
+        if not connection.streaming:
+            return
+        log = exchange.tracked.log
+        part = log.read_after(connection.position)
+        if part.events:
+            connection.position = part.last
+            text = render_part(part, log.lineage)
+            self.send(exchange, connection, render_chunk(text))
+
+    def finish(self, exchange: Exchange, connection: CallerConnection) -> None:
+        """Send the end of the answer, or where it goes on, then close."""
+        streamed = exchange.error is None or connection.head_sent
+        if connection.streaming and streamed:
+            # Before it is closing: a caller that is closing is dropped as soon as
+            # all that it was sent has gone out, and would miss the end.
+            self.catch_up(exchange, connection)
+        connection.closing = True
+        if exchange.state is ExchangeState.MOVED:
+            self._finish_moved(exchange, connection)
+            return
+        if connection.streaming and streamed:
+            ending = render_stream_end(exchange)
+            self.send(exchange, connection, render_chunk(ending) + LAST_CHUNK)
+            return
+        connection.streaming = False
+        self.send(exchange, connection, render_whole(exchange))
+
+    def send(
+        self, exchange: Exchange, connection: CallerConnection, text: bytes
+    ) -> None:
+        """Send bytes, keeping what the socket does not take at once."""
+        if connection.streaming and not connection.head_sent:
+            connection.head_sent = True
+            text = render_stream_head(exchange) + text
+        if connection.pending:
+            text = bytes(connection.pending) + text
+            connection.pending.clear()
+        try:
+            sent = connection.sock.send(text)
+        except WOULD_BLOCK:
+            sent = 0
+        except OSError:
+            self._close(exchange, connection)
+            return
+        if sent < len(text):
+            self._queue(exchange, connection, text[sent:])
+        elif connection.closing:
+            self._close(exchange, connection)
+
+    def serve(
+        self, exchange: Exchange, connection: CallerConnection, flags: int
+    ) -> None:
+        """Go on with a socket that is writable, or see that its caller left."""
+        if flags & HANGUP or (flags & select.EPOLLIN and not _is_connected(connection)):
+            self._close(exchange, connection)
+            return
+        if flags & select.EPOLLOUT and connection.pending:
+            self._poll.modify(connection.sock.fileno(), READABLE)
+            self.send(exchange, connection, b'')
+
+    def _finish_moved(self, exchange: Exchange, connection: CallerConnection) -> None:
+        if connection.streaming and connection.head_sent:
+            # The body ends without its last events, so that a client that knows
+            # server-sent events asks for the rest by its last event id.
+            self.send(exchange, connection, render_chunk(RETRY_EVENT) + LAST_CHUNK)
+            return
+        connection.streaming = False
+        self.send(exchange, connection, render_move(exchange))
+
+    def _queue(
+        self, exchange: Exchange, connection: CallerConnection, rest: bytes
+    ) -> None:
+        connection.pending += rest
+        self._poll.modify(connection.sock.fileno(), WRITABLE)
+        if len(connection.pending) > MAX_PENDING_BYTES:
+            self._close(exchange, connection)
+
+    def _close(self, exchange: Exchange, connection: CallerConnection) -> None:
+        descriptor = connection.sock.fileno()
+        if self._by_descriptor.pop(descriptor, None) is None:
+            return
+        self._poll.unregister(descriptor)
+        connection.sock.close()
+        exchange.connections.remove(connection)
+        if not exchange.connections:
+            self._on_all_left(exchange)
+
+
+def _is_connected(connection: CallerConnection) -> bool:
+    """Read what a caller sends in mid answer; tell whether it is still there."""
+    try:
+        return bool(connection.sock.recv(DRAIN_BYTES))
+    except WOULD_BLOCK:
+        return True
+    except OSError:
+        return False
--- a/libs/daemon/fireflyhitch_daemon/calls.py
+++ b/libs/daemon/fireflyhitch_daemon/calls.py
@@ -9,18 +9,18 @@
 
 from loguru import logger
 
-from fireflyhitch_daemon.accounts import Accounts, EndedCall
-from fireflyhitch_daemon.attempts import Attempts
+from fireflyhitch_daemon.attempts import AttemptManager
 from fireflyhitch_daemon.crash_guard import CrashGuard
 from fireflyhitch_daemon.exchange import (
+    CallerConnection,
     Exchange,
     ExchangeState,
-    Follower,
 )
-from fireflyhitch_daemon.front import DETACHED, CallerRequest, Detached
+from fireflyhitch_daemon.http_server import DETACHED, CallerRequest, Detached
 from fireflyhitch_daemon.limit_guard import LimitGuard
 from fireflyhitch_daemon.parsing import ModelRequest
-from fireflyhitch_daemon.relay import Relay, RelayEvents
+from fireflyhitch_daemon.recorder import CallRecorder, FinishedCall
+from fireflyhitch_daemon.relay import Relay, RelayCallbacks
 from fireflyhitch_daemon.selection import Selection
 from fireflyhitch_daemon.upstream import Upstream
 from fireflyhitch_model.clock import Clock
@@ -36,11 +36,11 @@
 
 RESEND_THREADS = 8
 # Callers of a request that a peer handed over come back within this time.
-RETURN_SECONDS = 60.0
+HAND_OVER_RECONNECT_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
-class CallParts:
+class CallDependencies:
     """What model calls are made with."""
 
     clock: Clock
@@ -48,7 +48,7 @@
     admission: Admission
     retries: RetryBudget
     in_flight: InFlight
-    accounts: Accounts
+    recorder: CallRecorder
     engines: HttpEngines
     crashes: CrashGuard
     limits: LimitGuard
@@ -60,21 +60,21 @@
     :param max_streams: how many it carries well at once.
     """
 
-    def __init__(self, parts: CallParts, max_streams: int) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, deps: CallDependencies, max_streams: int) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._max_streams = max_streams
         self._lock = Lock()
         self._exchanges: dict[RequestId, Exchange] = {}
         self._workers = ThreadPoolExecutor(RESEND_THREADS, 'resend')
-        events = RelayEvents(
+        callbacks = RelayCallbacks(
             lost=self._on_lost,
             first_event=self._on_first_event,
             ended=self._on_ended,
             orphaned=self._on_orphaned,
         )
-        self.relay = Relay(parts.clock, events)
-        self._attempts = Attempts(parts, self.relay)
+        self.relay = Relay(deps.clock, callbacks)
+        self._attempts = AttemptManager(deps, self.relay)
 
     def start(self) -> None:
         """Start the relay."""
@@ -90,7 +90,7 @@
         with self._lock:
             return len(self._exchanges)
 
-    def read_room(self) -> int:
+    def count_free_streams(self) -> int:
         """Return how many more streams can be carried."""
         return max(0, self._max_streams - self.count_open())
 
@@ -104,61 +104,63 @@
         with self._lock:
             return self._exchanges.get(request_id)
 
-    def accept(self, request: CallerRequest, asked: ModelRequest) -> Detached:
+    def accept(self, request: CallerRequest, parsed: ModelRequest) -> Detached:
         """Send a call to a backend server and answer it from the relay.
 
         :raises RequestError: if it was not sent; then it was not run.
         """
-        if self.read_room() == 0:
+        if self.count_free_streams() == 0:
             raise _refuse_overload()
         accepted = AcceptedRequest(
-            asked.call, asked.kind, request.body, asked.streaming
+            parsed.call, parsed.kind, request.body, parsed.streaming
         )
-        self._parts.crashes.check(accepted.content)
-        permit = self._parts.admission.admit(asked.call)
-        exchange = Exchange(self._parts.in_flight.register(accepted), permit)
-        self._enter(exchange)
-        self._parts.retries.record_call(asked.call.customer)
+        self._deps.crashes.check(accepted.content)
+        permit = self._deps.admission.admit(parsed.call)
+        exchange = Exchange(self._deps.in_flight.register(accepted), permit)
+        self._register(exchange)
+        self._deps.retries.record_call(parsed.call.customer)
         try:
-            self._attempts.begin(exchange)
+            self._attempts.start(exchange)
         except Exception as error:
             # Whatever the fault, its stream and its permit are given back; kept,
             # they would lower what this daemon and the customer may carry.
-            exchange.error = _as_request_error(error)
+            exchange.error = _to_request_error(error)
             exchange.state = ExchangeState.FAILED
             self._on_ended(exchange)
             raise
-        self.relay.follow(exchange, Follower(request.detach(), asked.streaming))
+        self.relay.add_connection(
+            exchange, CallerConnection(request.detach(), parsed.streaming)
+        )
         return DETACHED
 
     def take_over(self, tracked: TrackedRequest) -> None:
         """Go on with a request that a peer handed over; does not block."""
         exchange = Exchange(tracked, sent=True)
-        exchange.left_until = self._clock.monotonic() + RETURN_SECONDS
+        exchange.reconnect_until = self._clock.monotonic() + HAND_OVER_RECONNECT_SECONDS
         exchange.relayed = tracked.log.count()
-        self._enter(exchange)
+        self._register(exchange)
         self._workers.submit(self._guard, exchange, self._attempts.resume)
 
-    def leave_server(self, request_ids: Iterable[RequestId]) -> None:
+    def migrate_from_server(self, request_ids: Iterable[RequestId]) -> None:
         """Have answers go on at another server before theirs goes."""
         for request_id in request_ids:
             exchange = self.find_open(request_id)
             if exchange is not None:
-                self._workers.submit(self._guard, exchange, self._attempts.leave)
+                self._workers.submit(self._guard, exchange, self._attempts.migrate)
 
-    def _enter(self, exchange: Exchange) -> None:
+    def _register(self, exchange: Exchange) -> None:
         with self._lock:
             self._exchanges[exchange.call.request_id] = exchange
-        self._parts.accounts.metrics.count_stream(1)
+        self._deps.recorder.metrics.count_stream(1)
 
-    def _guard(self, exchange: Exchange, step: 'Attempts.Step') -> None:
+    def _guard(self, exchange: Exchange, action: 'AttemptManager.Action') -> None:
         try:
-            step(exchange)
+            action(exchange)
         except RequestError as error:
             self.relay.fail(exchange, error)
         except Exception as error:
             logger.bind(request_id=exchange.call.request_id).exception('resend failed')
-            self.relay.fail(exchange, _as_request_error(error))
+            self.relay.fail(exchange, _to_request_error(error))
 
     def _on_lost(self, exchange: Exchange, upstream: Upstream, reason: str) -> None:
         logger.bind(
@@ -178,36 +180,36 @@
         ticket = exchange.ticket
         if ticket is None:
             return
-        self._parts.selection.router.first_token(ticket)
+        self._deps.selection.router.first_token(ticket)
         if exchange.upstream is not None:
-            self._parts.limits.record_response(
+            self._deps.limits.record_response(
                 ticket.choice.server, exchange.upstream.limit, ticket.started
             )
 
     def _on_orphaned(self, exchange: Exchange) -> None:
-        self._attempts.close(exchange)
+        self._attempts.finish(exchange)
 
     def _on_ended(self, exchange: Exchange) -> None:
         """Account for a call that has ended here; called once for each."""
         with self._lock:
             self._exchanges.pop(exchange.call.request_id, None)
-        self._parts.accounts.metrics.count_stream(-1)
-        server = self._attempts.close(exchange)
+        self._deps.recorder.metrics.count_stream(-1)
+        server = self._attempts.finish(exchange)
         tokens = exchange.tracked.log.count()
         if exchange.permit is not None:
             used = exchange.call.prompt_tokens + tokens
-            self._parts.admission.release(exchange.permit, used)
+            self._deps.admission.release(exchange.permit, used)
         if exchange.state is ExchangeState.MOVED:
-            self._parts.in_flight.leave(exchange.tracked)
+            self._deps.in_flight.leave(exchange.tracked)
             return
         done = exchange.state is ExchangeState.DONE
         end = AnswerEnd.COMPLETE if done else AnswerEnd.FAILED
-        self._parts.in_flight.finish(exchange.tracked, end)
+        self._deps.in_flight.finish(exchange.tracked, end)
         timing = exchange.timing
         first = timing.first_event
         arrived = exchange.call.arrived
-        self._parts.accounts.record_call(
-            EndedCall(
+        self._deps.recorder.record_call(
+            FinishedCall(
                 call=exchange.call,
                 server=server,
                 status=exchange.error.status if exchange.error else HTTPStatus.OK,
@@ -238,7 +240,7 @@
     )
 
 
-def _as_request_error(error: Exception) -> RequestError:
+def _to_request_error(error: Exception) -> RequestError:
     if isinstance(error, RequestError):
         return error
     return RequestError(
--- a/libs/daemon/fireflyhitch_daemon/capacity.py
+++ b/libs/daemon/fireflyhitch_daemon/capacity.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from fireflyhitch_daemon.directory import Directory
-from fireflyhitch_daemon.reports import EngineReports
+from fireflyhitch_daemon.engine_reports import EngineReports
 from fireflyhitch_fleet.capacity import CapacityManager, make_duty_id
 from fireflyhitch_fleet.needs import Demand, DeploymentNeed
 from fireflyhitch_fleet.orders import DesiredState, EngineReconciler, OrderResult
@@ -29,7 +29,7 @@
 from fireflyhitch_settings.schema import Configuration, Deployment, ModelDeployment
 
 # Longer than a leaving mark takes to reach every daemon that can be reached.
-MARK_SPREAD = timedelta(seconds=5)
+MARK_PROPAGATION = timedelta(seconds=5)
 
 
 class DrainingCloud:
@@ -54,7 +54,7 @@
         self._network = network
         self._directory = directory
         self._clock = clock
-        self._drain_seconds = (drain_time + MARK_SPREAD).total_seconds()
+        self._drain_seconds = (drain_time + MARK_PROPAGATION).total_seconds()
         self._lock = threading.Lock()
         self._leaving: dict[InstanceId, float] = {}
 
@@ -84,11 +84,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CapacityParts:
+class CapacityDependencies:
     """What the capacity duty is done with."""
 
-    keeper: CapacityManager
-    desk: EngineReconciler
+    manager: CapacityManager
+    reconciler: EngineReconciler
     moves: MoveManager
     directory: Directory
     reports: EngineReports
@@ -97,25 +97,25 @@
 class CapacityDuty:
     """Plans for the deployments whose duty this daemon holds."""
 
-    def __init__(self, parts: CapacityParts) -> None:
-        self._parts = parts
+    def __init__(self, deps: CapacityDependencies) -> None:
+        self._deps = deps
 
     def step(self, configuration: Configuration | None) -> None:
         """Buy, give back and order what is due; called every ten seconds."""
         if configuration is None:
             return
         needs = [self._describe(one) for one in configuration.deployments]
-        plans = self._parts.keeper.step(needs)
+        plans = self._deps.manager.step(needs)
         for deployment in configuration.deployments:
             if deployment.name in plans and isinstance(deployment, ModelDeployment):
-                self._set_right(deployment.name)
+                self._reconcile(deployment.name)
 
     def update_supplies(self, configuration: Configuration | None) -> None:
         """Tell the version moves what there is to serve with."""
         if configuration is None:
             return
-        servers = self._parts.directory.list_servers()
-        self._parts.moves.update_supplies(
+        servers = self._deps.directory.list_servers()
+        self._deps.moves.update_supplies(
             {
                 deployment.name: self._find_supply(deployment, servers)
                 for deployment in configuration.deployments
@@ -123,8 +123,8 @@
         )
 
     def _describe(self, deployment: Deployment) -> DeploymentNeed:
-        demand = Demand(self._parts.reports.sum_load(deployment.name))
-        versions = self._parts.moves.list_needs(deployment.name)
+        demand = Demand(self._deps.reports.sum_load(deployment.name))
+        versions = self._deps.moves.list_needs(deployment.name)
         return DeploymentNeed(deployment, versions, demand)
 
     def _find_supply(
@@ -132,22 +132,22 @@
     ) -> Supply:
         own = tuple(one for one in servers if one.deployment == deployment.name)
         need = self._describe(deployment)
-        ahead = self._parts.keeper.find_start_time(deployment.name)
+        ahead = self._deps.manager.find_start_time(deployment.name)
         needed = max(
             need.count_servers(version, ahead.total_seconds())
             for version in need.versions
         )
         return Supply(own, needed, ahead)
 
-    def _set_right(self, deployment: DeploymentId) -> None:
+    def _reconcile(self, deployment: DeploymentId) -> None:
         """Have engines that hold another version than they are listed for load it."""
         duty = make_duty_id(deployment)
-        for server in self._parts.directory.list_servers():
+        for server in self._deps.directory.list_servers():
             if server.deployment != deployment:
                 continue
-            wish = DesiredState(EngineAction.LOAD_VERSION, server.version)
-            became = self._parts.desk.reconcile(duty, server, wish)
-            if became is not OrderResult.IN_EFFECT:
+            desired = DesiredState(EngineAction.LOAD_VERSION, server.version)
+            result = self._deps.reconciler.reconcile(duty, server, desired)
+            if result is not OrderResult.IN_EFFECT:
                 logger.bind(
-                    step=Step.ORDER.value, peer=server.server_id, result=became.value
+                    step=Step.ORDER.value, peer=server.server_id, result=result.value
                 ).info('engine does not hold its version yet')
--- a/libs/daemon/fireflyhitch_daemon/composition.py
+++ b/libs/daemon/fireflyhitch_daemon/composition.py
@@ -6,28 +6,32 @@
 from datetime import timedelta
 from functools import partial
 
-from fireflyhitch_daemon.accounts import Accounts
-from fireflyhitch_daemon.admin import Admin, AdminParts
-from fireflyhitch_daemon.callers import CallerParts, Callers
-from fireflyhitch_daemon.calls import CallParts, ModelCalls
-from fireflyhitch_daemon.capacity import CapacityDuty, CapacityParts, DrainingCloud
+from fireflyhitch_daemon.admin import AdminApi, AdminDependencies
+from fireflyhitch_daemon.caller_api import CallerApi, CallerApiDependencies
+from fireflyhitch_daemon.calls import CallDependencies, ModelCalls
+from fireflyhitch_daemon.capacity import (
+    CapacityDependencies,
+    CapacityDuty,
+    DrainingCloud,
+)
 from fireflyhitch_daemon.crash_guard import CrashGuard
-from fireflyhitch_daemon.departure import Departure, DepartureParts
 from fireflyhitch_daemon.directory import Directory
+from fireflyhitch_daemon.engine_reports import EngineReports
 from fireflyhitch_daemon.forwarding import Forwarder
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.health import Health
+from fireflyhitch_daemon.http_server import (
     CallerRequest,
+    DaemonHttpServer,
     Detached,
-    FrontServer,
     Response,
     build_server,
 )
-from fireflyhitch_daemon.health import Health
 from fireflyhitch_daemon.limit_guard import LimitGuard
-from fireflyhitch_daemon.reports import EngineReports
-from fireflyhitch_daemon.requests import RequestAnswers
+from fireflyhitch_daemon.reclaim_handler import ReclaimDependencies, ReclaimHandler
+from fireflyhitch_daemon.recorder import CallRecorder
+from fireflyhitch_daemon.request_lookup import RequestLookup
 from fireflyhitch_daemon.selection import Selection
-from fireflyhitch_daemon.services import ServiceCalls, ServiceParts
+from fireflyhitch_daemon.services import ServiceCalls, ServiceDependencies
 from fireflyhitch_fleet.capacity import CapacityManager
 from fireflyhitch_fleet.duties import DutyManager
 from fireflyhitch_fleet.orders import EngineReconciler
@@ -62,9 +66,9 @@
 
 MILLISECONDS = 1000
 # An instance that is given back has this long for what it works on.
-LONGEST_ANSWER = timedelta(minutes=2)
+MAX_ANSWER_DURATION = timedelta(minutes=2)
 
-Handle = Callable[[CallerRequest], Response | Detached]
+Handler = Callable[[CallerRequest], Response | Detached]
 
 
 class Listeners:
@@ -77,8 +81,8 @@
     def __init__(
         self, settings: DaemonSettings, tls: ssl.SSLContext | None = None
     ) -> None:
-        self._handle_caller: Handle | None = None
-        self._handle_admin: Handle | None = None
+        self._handle_caller: Handler | None = None
+        self._handle_admin: Handler | None = None
         limits = settings.limits
         make_id = partial(make_request_id, settings.daemon_id)
         self.callers = build_server(
@@ -88,7 +92,7 @@
             settings.admin, limits, self._serve_admin, make_id, tls
         )
 
-    def use(self, callers: Callers, admin: Admin) -> None:
+    def set_handlers(self, callers: CallerApi, admin: AdminApi) -> None:
         """Set what answers."""
         self._handle_caller = callers.handle
         self._handle_admin = admin.handle
@@ -129,7 +133,7 @@
         # between them shows as a daemon that peers take for dead, and it then
         # raises its incarnation itself.
         incarnation = Incarnation(int(clock.now().timestamp() * MILLISECONDS))
-        here = Daemon(
+        local_daemon = Daemon(
             settings.daemon_id,
             settings.failure_domain,
             f'{settings.peers.host}:{settings.peers.port}',
@@ -144,18 +148,20 @@
             server_tls=tls.peers_server if tls else None,
             client_tls=tls.peers_client if tls else None,
         )
-        self.network = PeerNetwork(here, options, clock)
-        self.keeper = ConfigurationKeeper(platform.store, self.network, here, clock)
-        self.snapshots = SnapshotExchange(self.network, here)
-        self.snapshots.add(self.keeper.snapshot_section())
+        self.network = PeerNetwork(local_daemon, options, clock)
+        self.config_manager = ConfigurationKeeper(
+            platform.store, self.network, local_daemon, clock
+        )
+        self.snapshots = SnapshotExchange(self.network, local_daemon)
+        self.snapshots.add(self.config_manager.snapshot_section())
         self.snapshots.add(self.network.snapshot_section())
         self.duties = DutyManager(
             platform.store, clock, settings.daemon_id, self.network.live
         )
-        self.evidence = EvidenceCollector(here, self.network, clock)
+        self.evidence = EvidenceCollector(local_daemon, self.network, clock)
         self.picker = VersionPicker()
         self.moves = MoveManager(
-            here,
+            local_daemon,
             platform.store,
             self.network,
             self.duties,
@@ -166,7 +172,7 @@
 
     def read_configuration(self) -> Configuration | None:
         """Return the configuration in force at this daemon."""
-        in_force = self.keeper.in_force()
+        in_force = self.config_manager.in_force()
         return in_force.configuration if in_force else None
 
 
@@ -201,22 +207,22 @@
             self.router,
             lambda: self.directory.list_engines(control.read_configuration()),
         )
-        accounts = Accounts(self.metrics, self.burn, control.evidence)
+        recorder = CallRecorder(self.metrics, self.burn, control.evidence)
         selection = Selection(
             self.router,
             control.picker,
             self.directory.read_subset,
-            self.limits.find_closed,
+            self.limits.find_throttled,
         )
         retries = RetryBudget(clock)
         self.calls = ModelCalls(
-            CallParts(
+            CallDependencies(
                 clock,
                 selection,
                 self.admission,
                 retries,
                 self.in_flight,
-                accounts,
+                recorder,
                 self.engines,
                 self.crashes,
                 self.limits,
@@ -224,13 +230,13 @@
             settings.limits.max_streams,
         )
         self.services = ServiceCalls(
-            ServiceParts(
+            ServiceDependencies(
                 clock,
                 selection,
                 self.admission,
                 retries,
                 self.ledger,
-                accounts,
+                recorder,
                 self.crashes,
                 self.limits,
             )
@@ -241,11 +247,11 @@
             clock,
             self.in_flight,
             self.calls.take_over,
-            self.calls.read_room,
+            self.calls.count_free_streams,
         )
         self.health = Health(
             self.drain,
-            lambda: control.keeper.in_force() is not None,
+            lambda: control.config_manager.in_force() is not None,
             self.calls.count_open,
             settings.limits.max_streams,
         )
@@ -266,9 +272,9 @@
     platform: Platform
     control: Control
     serving: Serving
-    departure: Departure
+    reclaim_handler: ReclaimHandler
     capacity: CapacityDuty
-    capacity_keeper: CapacityManager
+    capacity_manager: CapacityManager
 
 
 def compose(
@@ -286,20 +292,26 @@
     entry_address = find_address(listeners.callers)
     control = Control(settings, clock, platform, entry_address, tls)
     serving = Serving(settings, clock, platform, control)
-    departure = _make_departure(settings, clock, platform, control, serving)
-    keeper = _make_capacity_keeper(clock, platform, control, serving)
-    desk = EngineReconciler(serving.engines, control.duties, clock)
+    reclaim_handler = _make_reclaim_handler(settings, clock, platform, control, serving)
+    capacity_manager = _make_capacity_manager(clock, platform, control, serving)
+    reconciler = EngineReconciler(serving.engines, control.duties, clock)
     capacity = CapacityDuty(
-        CapacityParts(keeper, desk, control.moves, serving.directory, serving.reports)
+        CapacityDependencies(
+            capacity_manager,
+            reconciler,
+            control.moves,
+            serving.directory,
+            serving.reports,
+        )
     )
-    listeners.use(
-        Callers(_gather_caller_parts(settings, clock, control, serving)),
-        Admin(
-            AdminParts(
+    listeners.set_handlers(
+        CallerApi(_make_caller_dependencies(settings, clock, control, serving)),
+        AdminApi(
+            AdminDependencies(
                 settings.admin_token_sha256,
                 clock,
                 control.network,
-                control.keeper,
+                control.config_manager,
                 control.moves,
                 serving.burn,
                 serving.calls,
@@ -318,26 +330,26 @@
         platform,
         control,
         serving,
-        departure,
+        reclaim_handler,
         capacity,
-        keeper,
+        capacity_manager,
     )
 
 
-def find_address(server: FrontServer) -> str:
+def find_address(server: DaemonHttpServer) -> str:
     """Return ``host:port`` that a server is bound to."""
     host, port = server.bind_addr[:2]
     return f'{host}:{port}'
 
 
-def _make_departure(
+def _make_reclaim_handler(
     settings: DaemonSettings,
     clock: Clock,
     platform: Platform,
     control: Control,
     serving: Serving,
-) -> Departure:
-    parts = DepartureParts(
+) -> ReclaimHandler:
+    deps = ReclaimDependencies(
         clock,
         serving.drain,
         control.network,
@@ -347,24 +359,24 @@
         platform.cloud,
         control.evidence,
     )
-    return Departure(settings.instance_id, parts)
+    return ReclaimHandler(settings.instance_id, deps)
 
 
-def _make_capacity_keeper(
+def _make_capacity_manager(
     clock: Clock, platform: Platform, control: Control, serving: Serving
 ) -> CapacityManager:
     cloud = DrainingCloud(
-        platform.cloud, control.network, serving.directory, clock, LONGEST_ANSWER
+        platform.cloud, control.network, serving.directory, clock, MAX_ANSWER_DURATION
     )
     return CapacityManager(
         control.duties, cloud, platform.instance_list, platform.weights, clock
     )
 
 
-def _gather_caller_parts(
+def _make_caller_dependencies(
     settings: DaemonSettings, clock: Clock, control: Control, serving: Serving
-) -> CallerParts:
-    requests = RequestAnswers(
+) -> CallerApiDependencies:
+    requests = RequestLookup(
         settings.daemon_id,
         serving.calls,
         serving.in_flight,
@@ -372,7 +384,7 @@
         control.network,
         serving.forwarder,
     )
-    return CallerParts(
+    return CallerApiDependencies(
         settings.daemon_id,
         clock,
         serving.calls,
--- a/libs/daemon/fireflyhitch_daemon/crash_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/crash_guard.py
@@ -21,16 +21,16 @@
 from fireflyhitch_routing.quarantine import Quarantine
 
 # A refusal comes at once; a call that goes on elsewhere waits for it.
-REACH_SECONDS = 0.1
+PROBE_TIMEOUT_SECONDS = 0.1
 # In which a process that ends has closed all its sockets, one after the other.
-END_SECONDS = 0.1
+EXIT_SECONDS = 0.1
 # A server that is silent for longer is listed no more, or is cut off.
-LOOK_SECONDS = 6.0
+MAX_RECHECK_SECONDS = 6.0
 # In which daemons that have had an answer to a call have said so.
-SETTLED_SECONDS = 1.0
+REPORT_DELAY_SECONDS = 1.0
 
 
-class CrashNews(PeerMessage):
+class CrashUpdate(PeerMessage):
     """What is new of calls under which servers ended."""
 
     kind: ClassVar[str] = 'crash-news'
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _BrokenRun:
+class _BrokenResponse:
     server: BackendServer
     content: ContentId
     began: float
@@ -65,10 +65,10 @@
         self._is_listed = is_listed
         self._find_address = find_address
         self._lock = Lock()
-        self._book = CrashTracker()
-        self._quarantine = Quarantine(self._book)
-        self._broken: list[_BrokenRun] = []
-        messenger.handle(CrashNews, self._take_news)
+        self._tracker = CrashTracker()
+        self._quarantine = Quarantine(self._tracker)
+        self._unresolved: list[_BrokenResponse] = []
+        messenger.handle(CrashUpdate, self._apply_update)
 
     def check(self, content: ContentId) -> None:
         """Refuse a call that would end the server that it is sent to.
@@ -96,7 +96,7 @@
     def record_response(self, content: ContentId) -> None:
         """Take in that a call was answered whole."""
         with self._lock:
-            self._book.record_response(content, self._clock.monotonic())
+            self._tracker.record_response(content, self._clock.monotonic())
 
     def record_broken_response(
         self, server: BackendServer, content: ContentId, began: float
@@ -108,62 +108,64 @@
         if not self._is_listed(server.server_id):
             # It was leaving, and ends by order.
             return
-        run = _BrokenRun(server, content, began, self._clock.monotonic())
+        broken = _BrokenResponse(server, content, began, self._clock.monotonic())
         # At once: a process may start again at its address within a second.
-        if self._keeps_looking(run):
+        if self._needs_recheck(broken):
             with self._lock:
-                self._broken.append(run)
+                self._unresolved.append(broken)
 
     def step(self) -> None:
         """Look after servers that broke off answers, tell peers, and judge."""
         with self._lock:
-            looked = self._broken
-            self._broken = []
-        kept = [run for run in looked if self._keeps_looking(run)]
+            pending = self._unresolved
+            self._unresolved = []
+        unresolved = [broken for broken in pending if self._needs_recheck(broken)]
         now = self._clock.monotonic()
         with self._lock:
-            self._broken.extend(kept)
-            notes = self._book.tell(now, heard=False)
-            self._quarantine.review(now, SETTLED_SECONDS)
+            self._unresolved.extend(unresolved)
+            notes = self._tracker.tell(now, heard=False)
+            self._quarantine.review(now, REPORT_DELAY_SECONDS)
         if notes:
-            self._messenger.spread(CrashNews(notes=notes), Scope.EVERYWHERE)
+            self._messenger.spread(CrashUpdate(notes=notes), Scope.EVERYWHERE)
 
-    def _keeps_looking(self, run: _BrokenRun) -> bool:
+    def _needs_recheck(self, broken: _BrokenResponse) -> bool:
         """Look after a server once; tell whether it is still open what became of it."""
-        server_id = run.server.server_id
+        server_id = broken.server.server_id
         address = self._find_address(server_id)
         if address is None:
-            self._note_end(run)
+            self._record_crash(broken)
             return False
         if not self._is_listed(server_id):
             return False
         try:
-            _reach(address)
+            _probe(address)
         except ConnectionRefusedError:
-            self._note_end(run)
+            self._record_crash(broken)
             return False
         except OSError:
-            return self._clock.monotonic() - run.at < LOOK_SECONDS
-        return self._clock.monotonic() - run.at < END_SECONDS
+            return self._clock.monotonic() - broken.at < MAX_RECHECK_SECONDS
+        return self._clock.monotonic() - broken.at < EXIT_SECONDS
 
-    def _note_end(self, run: _BrokenRun) -> None:
-        process = identify_process(run.server.server_id, run.server.incarnation)
-        end = ServerCrash(run.at, run.began)
+    def _record_crash(self, broken: _BrokenResponse) -> None:
+        process = identify_process(broken.server.server_id, broken.server.incarnation)
+        crash = ServerCrash(broken.at, broken.began)
         with self._lock:
-            self._book.record_crash(run.content, process, end, self._clock.monotonic())
+            self._tracker.record_crash(
+                broken.content, process, crash, self._clock.monotonic()
+            )
         logger.bind(
-            step=Step.RELAY.value, peer=run.server.server_id, content=run.content
+            step=Step.RELAY.value, peer=broken.server.server_id, content=broken.content
         ).warning('server ended under a call')
 
-    def _take_news(self, sender: DaemonId, news: CrashNews) -> None:
+    def _apply_update(self, sender: DaemonId, update: CrashUpdate) -> None:
         with self._lock:
-            self._book.take(news.notes, self._clock.monotonic())
+            self._tracker.take(update.notes, self._clock.monotonic())
 
 
-def _reach(address: str) -> None:
+def _probe(address: str) -> None:
     """Open a connection to a server and close it.
 
     :raises OSError: if nobody listens there, or it does not answer in time.
     """
     host, _, port = address.rpartition(':')
-    socket.create_connection((host, int(port)), REACH_SECONDS).close()
+    socket.create_connection((host, int(port)), PROBE_TIMEOUT_SECONDS).close()
--- a/libs/daemon/fireflyhitch_daemon/directory.py
+++ b/libs/daemon/fireflyhitch_daemon/directory.py
@@ -19,7 +19,7 @@
 from fireflyhitch_routing.subset import choose_subset
 from fireflyhitch_settings.schema import Configuration, ModelDeployment
 
-MOST_LEAVING = 256
+MAX_LEAVING = 256
 
 
 class Directory:
@@ -34,7 +34,7 @@
         self._lock = Lock()
         self._servers: dict[BackendServerId, BackendServer] = {}
         # Their engines still hold the KV caches of answers that move.
-        self._leaving: LRUCache[BackendServerId, BackendServer] = LRUCache(MOST_LEAVING)
+        self._leaving: LRUCache[BackendServerId, BackendServer] = LRUCache(MAX_LEAVING)
         self._subsets: dict[DeploymentId, frozenset[BackendServerId]] = {}
 
     def update(self, listing: InstanceListing) -> None:
--- a/libs/daemon/fireflyhitch_daemon/dispatch.py
+++ b/libs/daemon/fireflyhitch_daemon/dispatch.py
@@ -48,7 +48,7 @@
     return connection
 
 
-def name_attempt(request_id: RequestId, tag: AttemptTag) -> AttemptId:
+def make_attempt_id(request_id: RequestId, tag: AttemptTag) -> AttemptId:
     """Return the id under which an engine knows an attempt."""
     return AttemptId(f'{request_id}.{tag or 1}')
 
@@ -77,7 +77,7 @@
     if imported is not None:
         headers['X-Kv-Import'] = imported
     connection.request('POST', PATHS[accepted.kind], body=body, headers=headers)
-    return _take_socket(connection)
+    return _get_socket(connection)
 
 
 def send_resume(placement: Placement, received: int) -> socket.socket:
@@ -91,10 +91,10 @@
     connection.request(
         'GET', f'/engine/streams/{placement.engine_attempt}?after={after}'
     )
-    return _take_socket(connection)
+    return _get_socket(connection)
 
 
-def request_stream(body: bytes, *, with_usage: bool) -> bytes:
+def build_stream_body(body: bytes, *, with_usage: bool) -> bytes:
     """Return a body that asks for the answer as a stream.
 
     All answers are asked for as streams, also those that a caller wants whole:
@@ -107,13 +107,13 @@
     return json.dumps(request).encode()
 
 
-def is_callers_fault(status: int) -> bool:
+def is_request_rejected(status: int) -> bool:
     """Tell whether a backend server found fault with the request itself."""
     if status in {HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS}:
         return False
     return HTTPStatus.BAD_REQUEST <= status < HTTPStatus.INTERNAL_SERVER_ERROR
 
 
-def _take_socket(connection: HTTPConnection) -> socket.socket:
+def _get_socket(connection: HTTPConnection) -> socket.socket:
     sock: socket.socket = connection.sock
     return sock
--- a/libs/daemon/fireflyhitch_daemon/exchange.py
+++ b/libs/daemon/fireflyhitch_daemon/exchange.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Follower:
+class CallerConnection:
     """A caller's connection that receives an exchange's answer.
 
     :param streaming: whether it gets events as they come, or the whole at the end.
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MovedCache:
+class ExportedCache:
     """The KV cache of an answer, on its way to another engine."""
 
     attempt: AttemptId
@@ -66,30 +66,30 @@
 class Exchange:
     """A call, its answer so far, and who receives it.
 
-    Only the relay's thread changes ``followers``, ``upstream``, ``relayed``,
+    Only the relay's thread changes ``connections``, ``upstream``, ``relayed``,
     ``state`` and ``timing``; dispatch owns the rest between two attempts.
 
     :param relayed: how many events the answer has that may be relayed.
     :param offset: how many events came before the present attempt.
-    :param left_until: monotonic seconds until which a caller may come back;
+    :param reconnect_until: monotonic seconds until which a caller may come back;
         ``None`` while one is there.
     """
 
     tracked: TrackedRequest
     permit: Permit | None = None
-    followers: list[Follower] = field(default_factory=list)
+    connections: list[CallerConnection] = field(default_factory=list)
     upstream: Upstream | None = None
     relayed: int = 0
     attempts: int = 0
     offset: int = 0
     tried: set[BackendServerId] = field(default_factory=set)
     ticket: Ticket | None = None
-    cache: MovedCache | None = None
+    cache: ExportedCache | None = None
     sent: bool = False
     state: ExchangeState = ExchangeState.WAITING
     timing: Timing = field(default_factory=Timing)
     error: RequestError | None = None
-    left_until: float | None = None
+    reconnect_until: float | None = None
 
     @property
     def call(self) -> Call:
--- a/libs/daemon/fireflyhitch_daemon/forwarding.py
+++ b/libs/daemon/fireflyhitch_daemon/forwarding.py
@@ -9,18 +9,18 @@
 from loguru import logger
 
 from fireflyhitch_daemon.dispatch import CONNECT_SECONDS
-from fireflyhitch_daemon.front import CallerRequest
+from fireflyhitch_daemon.http_server import CallerRequest
 from fireflyhitch_model.states import Step
 
 # Keeps two daemons that each think the other has a request from asking in turn.
 FORWARDED_HEADER = 'fireflyhitch-forwarded'
-PASSED_HEADERS = ('authorization', 'last-event-id', 'accept')
+FORWARDED_REQUEST_HEADERS = ('authorization', 'last-event-id', 'accept')
 BLOCK = 65536
 WAKE_SECONDS = 0.2
 
 
 @dataclass(slots=True, eq=False)
-class _Pair:
+class _ForwardedResponse:
     source: socket.socket
     target: socket.socket
 
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        self._new: deque[_Pair] = deque()
+        self._pending: deque[_ForwardedResponse] = deque()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name='forward', daemon=True)
 
@@ -57,22 +57,24 @@
         source = socket.create_connection((host, int(port)), CONNECT_SECONDS)
         source.sendall(_render_request(request, address))
         source.setblocking(False)
-        self._new.append(_Pair(source, request.detach()))
+        self._pending.append(_ForwardedResponse(source, request.detach()))
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            while self._new:
-                pair = self._new.popleft()
-                self._selector.register(pair.source, selectors.EVENT_READ, pair)
+            while self._pending:
+                forwarded = self._pending.popleft()
+                self._selector.register(
+                    forwarded.source, selectors.EVENT_READ, forwarded
+                )
             for key, _ in self._selector.select(WAKE_SECONDS):
-                self._pass_on(key.data)
+                self._copy_block(key.data)
 
-    def _pass_on(self, pair: _Pair) -> None:
+    def _copy_block(self, forwarded: _ForwardedResponse) -> None:
         try:
-            block = pair.source.recv(BLOCK)
+            block = forwarded.source.recv(BLOCK)
             if block:
-                pair.target.settimeout(CONNECT_SECONDS)
-                pair.target.sendall(block)
+                forwarded.target.settimeout(CONNECT_SECONDS)
+                forwarded.target.sendall(block)
                 return
         except BlockingIOError:
             return
@@ -80,9 +82,9 @@
             logger.bind(step=Step.ANSWER.value, error=repr(error)).info(
                 'forwarding ended'
             )
-        self._selector.unregister(pair.source)
-        pair.source.close()
-        pair.target.close()
+        self._selector.unregister(forwarded.source)
+        forwarded.source.close()
+        forwarded.target.close()
 
 
 def _render_request(request: CallerRequest, address: str) -> bytes:
@@ -94,7 +96,7 @@
     ]
     lines.extend(
         f'{name}: {request.headers[name]}'
-        for name in PASSED_HEADERS
+        for name in FORWARDED_REQUEST_HEADERS
         if name in request.headers
     )
     head = '\r\n'.join(lines)
--- a/libs/daemon/fireflyhitch_daemon/health.py
+++ b/libs/daemon/fireflyhitch_daemon/health.py
@@ -6,7 +6,7 @@
 
 # Near its limit a daemon asks for no more callers, so that the streams it has
 # keep their pace; what still arrives is taken up to the limit.
-READY_SHARE = 0.9
+MAX_READY_FRACTION = 0.9
 
 
 class Health:
@@ -24,12 +24,12 @@
         self._count_open = count_open
         self._max_streams = max_streams
 
-    def find_obstacle(self) -> str | None:
+    def find_unready_reason(self) -> str | None:
         """Return why the daemon is not ready, or ``None`` if it is."""
         if not self._drain.ready:
             return 'draining'
         if not self._is_configured():
             return 'no configuration'
-        if self._count_open() >= self._max_streams * READY_SHARE:
+        if self._count_open() >= self._max_streams * MAX_READY_FRACTION:
             return 'nearly as many streams as can be carried well'
         return None
--- a/libs/daemon/fireflyhitch_daemon/front.py
+++ b/libs/daemon/fireflyhitch_daemon/http_server.py
@@ -103,14 +103,14 @@
     handler: Handler,
     make_id: Callable[[], str],
     tls: ssl.SSLContext | None = None,
-) -> 'FrontServer':
+) -> 'DaemonHttpServer':
     """Make a server that is bound but does not serve yet.
 
     :param make_id: makes ids for requests that are refused before the handler.
     """
-    server = FrontServer(
+    server = DaemonHttpServer(
         (listener.host, listener.port),
-        gateway=_FrontGateway,
+        gateway=_HandlerGateway,
         minthreads=WORKER_THREADS,
         maxthreads=WORKER_THREADS,
         server_name='fireflyhitch',
@@ -127,7 +127,7 @@
     server.keep_alive_conn_limit = IDLE_CONNECTIONS
     server.timeout = limits.header_seconds  # type: ignore[assignment]
     if tls is not None:
-        server.ssl_adapter = _ContextAdapter(tls)
+        server.ssl_adapter = _SharedContextAdapter(tls)
     server.prepare()
     return server
 
@@ -153,7 +153,7 @@
     )
 
 
-class FrontServer(HTTPServer):
+class DaemonHttpServer(HTTPServer):
     """A cheroot server that knows its handler and limits."""
 
     handler: Handler
@@ -178,13 +178,13 @@
         )
         self.close_connection = True
         answer = render_error(error)
-        server: FrontServer = self.server
+        server: DaemonHttpServer = self.server
         header = Header(REQUEST_ID_HEADER, server.make_id())
         named = Response(answer.status, answer.body, (*answer.headers, header))
         _write_response(self, named)
 
 
-class _ContextAdapter(BuiltinSSLAdapter):
+class _SharedContextAdapter(BuiltinSSLAdapter):
     """TLS from a context that is shared, so that reloaded files take effect."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
@@ -195,21 +195,21 @@
         self._server_env: dict[str, str] = {}
 
 
-class _FrontGateway(Gateway):
+class _HandlerGateway(Gateway):
     """Hands one request to the handler and writes what it returns."""
 
     def respond(self) -> None:
         """Answer the request."""
-        server: FrontServer = self.req.server
+        server: DaemonHttpServer = self.req.server
         try:
-            answer = server.handler(_read_request(self.req, server.limits))
+            answer = server.handler(_build_request(self.req, server.limits))
         except RequestError as error:
             answer = render_error(error)
         if isinstance(answer, Response):
             _write_response(self.req, answer)
 
 
-def _read_request(request: HTTPRequest, limits: Limits) -> CallerRequest:
+def _build_request(request: HTTPRequest, limits: Limits) -> CallerRequest:
     headers = {
         name.decode('latin-1').lower(): value.decode('latin-1')
         for name, value in request.inheaders.items()
--- a/libs/daemon/fireflyhitch_daemon/limit_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/limit_guard.py
@@ -14,7 +14,7 @@
 LIMIT_HEADER = 'server-limit'
 
 
-class LimitNews(PeerMessage):
+class LimitUpdate(PeerMessage):
     """What servers have said lately of limits."""
 
     kind: ClassVar[str] = 'limit-news'
@@ -43,7 +43,7 @@
         self._limits = ServerLimits(
             daemon_id, self._list_daemons, lambda: clock.now().timestamp()
         )
-        messenger.handle(LimitNews, self._take_news)
+        messenger.handle(LimitUpdate, self._apply_update)
 
     def record_response(
         self, server: BackendServer, named: str | None, sent: float
@@ -65,7 +65,7 @@
         with self._lock:
             self._limits.record_sent(_identify(server))
 
-    def find_closed(self) -> frozenset[BackendServerId]:
+    def find_throttled(self) -> frozenset[BackendServerId]:
         """Return the servers at which this daemon has no turn now."""
         with self._lock:
             if not self._limits.has_limits:
@@ -81,11 +81,11 @@
         with self._lock:
             notes = self._limits.tell(self._clock.monotonic(), heard=False)
         if notes:
-            self._messenger.spread(LimitNews(notes=notes), Scope.EVERYWHERE)
+            self._messenger.spread(LimitUpdate(notes=notes), Scope.EVERYWHERE)
 
-    def _take_news(self, sender: DaemonId, news: LimitNews) -> None:
+    def _apply_update(self, sender: DaemonId, update: LimitUpdate) -> None:
         with self._lock:
-            self._limits.take(news.notes, self._clock.monotonic())
+            self._limits.take(update.notes, self._clock.monotonic())
 
     def _list_daemons(self) -> list[str]:
         live = {daemon.daemon_id for daemon in self._messenger.live()}
--- a/libs/daemon/fireflyhitch_daemon/main.py
+++ b/libs/daemon/fireflyhitch_daemon/main.py
@@ -34,9 +34,9 @@
     """
     parser = argparse.ArgumentParser(prog='fireflyhitchd', description=__doc__)
     parser.add_argument('settings', type=Path, help="the daemon's settings file")
-    chosen = parser.parse_args(arguments)
+    parsed = parser.parse_args(arguments)
     try:
-        settings = load_daemon_settings(chosen.settings)
+        settings = load_daemon_settings(parsed.settings)
     except SettingsErrors as errors:
         lines = '\n'.join(map(str, errors.exceptions))
         sys.stderr.write(f'{lines}\n')
@@ -51,7 +51,7 @@
     stop_on_signals(process.stop_requested)
     signal.signal(signal.SIGHUP, lambda *_: process.reload_tls())
     process.start()
-    _spare_collector()
+    _tune_garbage_collector()
     print(json.dumps(process.describe()), flush=True)  # noqa: WPS421
     process.stop_requested.wait()
     logger.info('stopping')
@@ -59,7 +59,7 @@
     return 0
 
 
-def _spare_collector() -> None:
+def _tune_garbage_collector() -> None:
     """Keep the garbage collector from walking what lives as long as the process.
 
     A full collection over all imported modules takes some tens of milliseconds
--- a/libs/daemon/fireflyhitch_daemon/parsing.py
+++ b/libs/daemon/fireflyhitch_daemon/parsing.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from fireflyhitch_daemon.dispatch import DEADLINE_HEADER, MILLISECONDS
-from fireflyhitch_daemon.front import CallerRequest
+from fireflyhitch_daemon.http_server import CallerRequest
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.errors import RequestError
 from fireflyhitch_model.ids import DeploymentId, RequestId
--- a/libs/daemon/fireflyhitch_daemon/upkeep.py
+++ b/libs/daemon/fireflyhitch_daemon/periodic_tasks.py
@@ -31,7 +31,7 @@
     running: bool = False
 
 
-class Upkeep:
+class PeriodicTasks:
     """Runs tasks on a few threads; a task that hangs holds up no other."""
 
     def __init__(self, clock: Clock, tasks: Sequence[Task]) -> None:
@@ -55,10 +55,10 @@
         while not self._stopping.is_set():
             now = self._clock.monotonic()
             for due in [task for task in self._tasks if now >= task.due]:
-                self._begin(due, now)
+                self._submit(due, now)
             self._clock.wait(self._stopping, TICK)
 
-    def _begin(self, task: Task, now: float) -> None:
+    def _submit(self, task: Task, now: float) -> None:
         if task.running:
             return
         task.running = True
--- a/libs/daemon/fireflyhitch_daemon/departure.py
+++ b/libs/daemon/fireflyhitch_daemon/reclaim_handler.py
@@ -25,11 +25,11 @@
 ASSUMED_TOKEN_SECONDS = 0.05
 # The hand-over ends this long before the instance goes, so that callers still
 # get the bytes that tell them where their answer is.
-LAST_BYTES = timedelta(seconds=0.5)
+HAND_OVER_MARGIN = timedelta(seconds=0.5)
 
 
 @dataclass(frozen=True, slots=True)
-class DepartureParts:
+class ReclaimDependencies:
     """What a departure acts on."""
 
     clock: Clock
@@ -42,35 +42,35 @@
     evidence: EvidenceCollector
 
 
-class Departure:
+class ReclaimHandler:
     """Follows reclaim notices and the graceful stop.
 
     :param instance: this daemon's own.
     """
 
-    def __init__(self, instance: InstanceId, parts: DepartureParts) -> None:
+    def __init__(self, instance: InstanceId, deps: ReclaimDependencies) -> None:
         self._instance = instance
-        self._parts = parts
-        self._noted: set[InstanceId] = set()
+        self._deps = deps
+        self._handled: set[InstanceId] = set()
 
     def read_notices(self) -> None:
         """Act on the reclaim notices that are new; called every half second.
 
         :raises PlatformError: if they cannot be read now.
         """
-        notices = self._parts.cloud.read_notices()
-        new = [one for one in notices if one.instance_id not in self._noted]
-        self._noted.update(notice.instance_id for notice in new)
-        self._leave_servers(new)
+        notices = self._deps.cloud.read_notices()
+        new = [one for one in notices if one.instance_id not in self._handled]
+        self._handled.update(notice.instance_id for notice in new)
+        self._drain_servers(new)
         for notice in new:
             if notice.instance_id == self._instance:
                 self.start(self._read_time_left(notice))
 
     def start(self, time_left: timedelta | None = None) -> None:
         """Take no new calls; hand over what cannot finish if the time is short."""
-        if not self._parts.drain.start(time_left):
+        if not self._deps.drain.start(time_left):
             return
-        self._parts.network.announce_leaving()
+        self._deps.network.announce_leaving()
         logger.bind(step=Step.HAND_OVER.value, time_left=time_left).info('leaving')
         if time_left is not None:
             thread = threading.Thread(
@@ -78,15 +78,15 @@
             )
             thread.start()
 
-    def take_marks(self, instances: Iterable[InstanceId]) -> None:
+    def apply_marks(self, instances: Iterable[InstanceId]) -> None:
         """Give servers that peers marked as leaving no new work."""
-        gone = self._parts.directory.remove(instances)
-        self._parts.evidence.mark_leaving(gone)
+        gone = self._deps.directory.remove(instances)
+        self._deps.evidence.mark_leaving(gone)
 
     def _hand_over(self, time_left: timedelta) -> None:
-        plan = self._plan(self._parts.calls.list_open(), time_left)
-        report = self._parts.hand_over.hand_over(plan.move, time_left - LAST_BYTES)
-        protected = self._parts.hand_over.protect(plan.finish)
+        plan = self._plan(self._deps.calls.list_open(), time_left)
+        report = self._deps.hand_over.hand_over(plan.move, time_left - HAND_OVER_MARGIN)
+        protected = self._deps.hand_over.protect(plan.finish)
         logger.bind(
             step=Step.HAND_OVER.value,
             moved=len(report.moved),
@@ -95,28 +95,28 @@
             protected=len(protected),
         ).info('handed over')
 
-    def _leave_servers(self, notices: Iterable[ReclaimNotice]) -> None:
+    def _drain_servers(self, notices: Iterable[ReclaimNotice]) -> None:
         by_instance = {notice.instance_id: notice for notice in notices}
         leaving = [
             server
-            for server in self._parts.directory.list_servers()
+            for server in self._deps.directory.list_servers()
             if server.instance in by_instance
         ]
         if not leaving:
             return
-        self._parts.evidence.mark_leaving(server.server_id for server in leaving)
+        self._deps.evidence.mark_leaving(server.server_id for server in leaving)
         for server in leaving:
-            self._parts.network.mark_leaving(server.instance, server.incarnation)
-        self._parts.directory.remove(by_instance)
+            self._deps.network.mark_leaving(server.instance, server.incarnation)
+        self._deps.directory.remove(by_instance)
         for server in leaving:
             time_left = self._read_time_left(by_instance[server.instance])
-            self._move_answers(server.server_id, time_left)
+            self._migrate_answers(server.server_id, time_left)
 
-    def _move_answers(self, server: BackendServerId, time_left: timedelta) -> None:
+    def _migrate_answers(self, server: BackendServerId, time_left: timedelta) -> None:
         """Have the answers that its server cannot finish go on at another."""
         there = [
             exchange
-            for exchange in self._parts.calls.list_open()
+            for exchange in self._deps.calls.list_open()
             if exchange.ticket and exchange.ticket.choice.server.server_id == server
         ]
         plan = self._plan(there, time_left)
@@ -126,18 +126,18 @@
             moving=len(plan.move),
             finishing=len(plan.finish),
         ).info('backend server is leaving')
-        self._parts.calls.leave_server(plan.move)
+        self._deps.calls.migrate_from_server(plan.move)
 
     def _plan(self, exchanges: Iterable[Exchange], time_left: timedelta) -> ReclaimPlan:
-        now = self._parts.clock.monotonic()
-        progress = [_measure(exchange, now) for exchange in exchanges]
+        now = self._deps.clock.monotonic()
+        progress = [_measure_progress(exchange, now) for exchange in exchanges]
         return plan_reclaim(time_left, progress)
 
     def _read_time_left(self, notice: ReclaimNotice) -> timedelta:
-        return max(timedelta(), notice.reclaim_at - self._parts.clock.now())
+        return max(timedelta(), notice.reclaim_at - self._deps.clock.now())
 
 
-def _measure(exchange: Exchange, now: float) -> RequestProgress:
+def _measure_progress(exchange: Exchange, now: float) -> RequestProgress:
     count = exchange.tracked.log.count()
     first = exchange.timing.first_event
     pace = ASSUMED_TOKEN_SECONDS
--- a/libs/daemon/fireflyhitch_daemon/relay.py
+++ b/libs/daemon/fireflyhitch_daemon/relay.py
@@ -15,15 +15,15 @@
 
 from loguru import logger
 
-from fireflyhitch_daemon.exchange import Exchange, ExchangeState, Follower
-from fireflyhitch_daemon.followers import Followers
+from fireflyhitch_daemon.connections import CallerConnections
+from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
 from fireflyhitch_daemon.replies import describe_fault, describe_timeout
 from fireflyhitch_daemon.sse import (
     Ending,
+    pop_ending,
     render_chunk,
     render_events,
     split_events,
-    take_ending,
 )
 from fireflyhitch_daemon.upstream import Upstream
 from fireflyhitch_model.clock import Clock
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayEvents:
+class RelayCallbacks:
     """Whom the relay tells; each function must return at once."""
 
     lost: Callable[[Exchange, Upstream, str], None]
@@ -61,14 +61,14 @@
 class Relay:
     """The event loop; its public methods may be called from any thread."""
 
-    def __init__(self, clock: Clock, events: RelayEvents) -> None:
+    def __init__(self, clock: Clock, callbacks: RelayCallbacks) -> None:
         self._clock = clock
-        self._events = events
+        self._callbacks = callbacks
         self._poll = select.epoll()
         self._wake = os.eventfd(0, os.EFD_NONBLOCK)
         self._commands: deque[Command] = deque()
         self._upstreams: dict[int, tuple[Exchange, Upstream]] = {}
-        self._followers = Followers(self._poll, self._note_left)
+        self._connections = CallerConnections(self._poll, self._on_all_left)
         self._exchanges: set[Exchange] = set()
         self._parked: list[Upstream] = []
         self._stopping = False
@@ -88,11 +88,11 @@
 
     def attach(self, exchange: Exchange, upstream: Upstream) -> None:
         """Read an exchange's answer from a new attempt."""
-        self.run(partial(self._attach, exchange, upstream))
+        self.run(partial(self._attach_upstream, exchange, upstream))
 
-    def follow(self, exchange: Exchange, follower: Follower) -> None:
+    def add_connection(self, exchange: Exchange, connection: CallerConnection) -> None:
         """Send an exchange's answer to one more caller's connection."""
-        self.run(partial(self._follow, exchange, follower))
+        self.run(partial(self._add_connection, exchange, connection))
 
     def fail(self, exchange: Exchange, error: RequestError) -> None:
         """End an exchange with an error."""
@@ -102,7 +102,7 @@
         """End an exchange whose answer turned out to be whole."""
         self.run(partial(self._end, exchange, ExchangeState.DONE))
 
-    def drop(self, exchange: Exchange, reason: str) -> None:
+    def drop_upstream(self, exchange: Exchange, reason: str) -> None:
         """Leave an exchange's backend server and have the answer go on elsewhere."""
         self.run(partial(self._drop_upstream, exchange, reason))
 
@@ -129,9 +129,9 @@
         if descriptor == self._wake:
             self._run_commands()
             return
-        following = self._followers.find(descriptor)
-        if following is not None:
-            self._guard(following[0], self._followers.serve, *following, flags)
+        receiving = self._connections.find(descriptor)
+        if receiving is not None:
+            self._guard(receiving[0], self._connections.serve, *receiving, flags)
 
     def _run_commands(self) -> None:
         os.eventfd_read(self._wake)
@@ -154,11 +154,11 @@
             logger.bind(request_id=exchange.call.request_id).exception('relay failed')
             self._fail(exchange, describe_fault(error))
 
-    def _attach(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _attach_upstream(self, exchange: Exchange, upstream: Upstream) -> None:
         if not exchange.open:
             # It ended while its next attempt was being sent.
             upstream.close()
-            self._events.orphaned(exchange)
+            self._callbacks.orphaned(exchange)
             return
         exchange.upstream = upstream
         exchange.timing.last_event = self._clock.monotonic()
@@ -167,31 +167,31 @@
         self._upstreams[descriptor] = (exchange, upstream)
         self._poll.register(descriptor, select.EPOLLIN)
 
-    def _forget(self, upstream: Upstream) -> None:
+    def _unregister(self, upstream: Upstream) -> None:
         descriptor = upstream.sock.fileno()
         if self._upstreams.pop(descriptor, None) is not None:
             self._poll.unregister(descriptor)
 
-    def _follow(self, exchange: Exchange, follower: Follower) -> None:
-        self._followers.add(exchange, follower)
-        exchange.left_until = None
+    def _add_connection(self, exchange: Exchange, connection: CallerConnection) -> None:
+        self._connections.add(exchange, connection)
+        exchange.reconnect_until = None
         if exchange.open:
             self._exchanges.add(exchange)
-            self._followers.catch_up(exchange, follower)
+            self._connections.catch_up(exchange, connection)
             return
-        self._followers.finish(exchange, follower)
+        self._connections.finish(exchange, connection)
 
     def _read(self, exchange: Exchange, upstream: Upstream) -> None:
         more = upstream.read()
         if upstream.body:
-            self._take_body(exchange, upstream)
+            self._process_body(exchange, upstream)
         if more or exchange.upstream is not upstream:
             return
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
-        self._lose(exchange, upstream, 'connection ended in mid answer')
+        self._report_loss(exchange, upstream, 'connection ended in mid answer')
 
-    def _take_body(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _process_body(self, exchange: Exchange, upstream: Upstream) -> None:
         invariant(
             exchange.upstream is upstream,
             Invariant.ANSWER_OWNER,
@@ -202,14 +202,14 @@
         events, upstream.body = split_events(upstream.body)  # noqa: WPS414
         if not events:
             return
-        ending = take_ending(events)
+        ending = pop_ending(events)
         if upstream.continuation is not None:
             events = _adapt(upstream, events)
-        self._note_progress(exchange)
+        self._record_progress(exchange)
         if events and upstream.stream.extend(events):
             self._relay(exchange, upstream, events)
         if ending is Ending.DONE:
-            self._take_end(exchange, upstream)
+            self._finish_stream(exchange, upstream)
         elif ending is Ending.ERROR:
             self._drop_upstream(exchange, 'the engine reported an error')
 
@@ -220,31 +220,31 @@
         before = exchange.relayed
         exchange.relayed = before + len(events)
         chunk = b''
-        for follower in tuple(exchange.followers):
-            if not follower.streaming:
+        for connection in tuple(exchange.connections):
+            if not connection.streaming:
                 continue
-            if follower.position != before:
-                self._followers.catch_up(exchange, follower)
+            if connection.position != before:
+                self._connections.catch_up(exchange, connection)
                 continue
             if not chunk:
                 chunk = render_chunk(render_events(events, before + 1, upstream.tag))
-            follower.position = exchange.relayed
-            self._followers.send(exchange, follower, chunk)
+            connection.position = exchange.relayed
+            self._connections.send(exchange, connection, chunk)
 
-    def _note_progress(self, exchange: Exchange) -> None:
+    def _record_progress(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
         timing = exchange.timing
         if timing.first_event is None:
             timing.first_event = now
             exchange.state = ExchangeState.STREAMING
-            self._events.first_event(exchange)
+            self._callbacks.first_event(exchange)
         else:
             timing.longest_gap = max(timing.longest_gap, now - timing.last_event)
         timing.last_event = now
 
-    def _take_end(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _finish_stream(self, exchange: Exchange, upstream: Upstream) -> None:
         upstream.stream.finish(AnswerEnd.COMPLETE)
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
         exchange.upstream = None
         # While the answer is held for a peer, whether it ends here is open; the
@@ -252,20 +252,20 @@
         if exchange.tracked.log.state is LogState.OPEN:
             self._end(exchange, ExchangeState.DONE)
 
-    def _lose(self, exchange: Exchange, upstream: Upstream, reason: str) -> None:
+    def _report_loss(self, exchange: Exchange, upstream: Upstream, reason: str) -> None:
         exchange.upstream = None
         if upstream.error_body:
             detail = upstream.error_body.decode(errors='replace')
             reason = f'status {upstream.status}: {detail}'
-        self._events.lost(exchange, upstream, reason)
+        self._callbacks.lost(exchange, upstream, reason)
 
     def _drop_upstream(self, exchange: Exchange, reason: str) -> None:
         upstream = exchange.upstream
         if upstream is None:
             return
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
-        self._lose(exchange, upstream, reason)
+        self._report_loss(exchange, upstream, reason)
 
     def _fail(self, exchange: Exchange, error: RequestError) -> None:
         if exchange.open:
@@ -279,14 +279,14 @@
         upstream = exchange.upstream
         exchange.upstream = None
         if upstream is not None:
-            self._forget(upstream)
-            self._let_go(upstream, state)
+            self._unregister(upstream)
+            self._release(upstream, state)
         self._exchanges.discard(exchange)
-        for follower in tuple(exchange.followers):
-            self._followers.finish(exchange, follower)
-        self._events.ended(exchange)
+        for connection in tuple(exchange.connections):
+            self._connections.finish(exchange, connection)
+        self._callbacks.ended(exchange)
 
-    def _let_go(self, upstream: Upstream, state: ExchangeState) -> None:
+    def _release(self, upstream: Upstream, state: ExchangeState) -> None:
         if state is ExchangeState.MOVED:
             # Engines cancel a stream whose connection closes, and the peer may
             # not have taken it up yet: it stays open until this process ends.
@@ -294,9 +294,9 @@
             return
         upstream.close()
 
-    def _note_left(self, exchange: Exchange) -> None:
+    def _on_all_left(self, exchange: Exchange) -> None:
         if exchange.open:
-            exchange.left_until = self._clock.monotonic() + RECONNECT_SECONDS
+            exchange.reconnect_until = self._clock.monotonic() + RECONNECT_SECONDS
 
     def _sweep(self) -> None:
         now = self._clock.monotonic()
@@ -315,30 +315,30 @@
         if log.end is not None:
             self._end(exchange, ExchangeState.DONE)
             return
-        self._check_times(exchange, now)
+        self._check_deadlines(exchange, now)
 
-    def _check_times(self, exchange: Exchange, now: float) -> None:
-        if exchange.left_until is not None and now > exchange.left_until:
+    def _check_deadlines(self, exchange: Exchange, now: float) -> None:
+        if exchange.reconnect_until is not None and now > exchange.reconnect_until:
             self._end(exchange, ExchangeState.ABANDONED)
             return
         if now > exchange.call.deadline:
             self._fail(exchange, describe_timeout(exchange))
             return
-        self._check_pace(exchange, now)
+        self._check_stall(exchange, now)
 
     def _catch_up(self, exchange: Exchange) -> None:
         """Send what came in while the answer was held, if it was."""
         upstream = exchange.upstream
         if upstream is None or exchange.relayed == len(upstream.stream.events):
             return
-        for follower in tuple(exchange.followers):
-            self._followers.catch_up(exchange, follower)
+        for connection in tuple(exchange.connections):
+            self._connections.catch_up(exchange, connection)
         exchange.relayed = exchange.tracked.log.count()
 
-    def _check_pace(self, exchange: Exchange, now: float) -> None:
+    def _check_stall(self, exchange: Exchange, now: float) -> None:
         started = exchange.timing.first_event is not None
-        patience = STALL_SECONDS if started else START_SECONDS
-        if now - exchange.timing.last_event > patience:
+        limit_seconds = STALL_SECONDS if started else START_SECONDS
+        if now - exchange.timing.last_event > limit_seconds:
             self._drop_upstream(exchange, 'silent for too long')
 
 
@@ -348,10 +348,10 @@
     assert continuation is not None
     first, tokens = continuation.first, continuation.generated_tokens
     adapted = [adapt_event(event, first, tokens) for event in events]
-    return [event for event in adapted if not _opens_answer(event)]
+    return [event for event in adapted if not _is_role_event(event)]
 
 
-def _opens_answer(event: bytes) -> bool:
+def _is_role_event(event: bytes) -> bool:
     """Tell whether an event only says that an answer begins.
 
     An engine opens each stream with the speaker's role; in mid answer a caller
--- a/libs/daemon/fireflyhitch_daemon/replies.py
+++ b/libs/daemon/fireflyhitch_daemon/replies.py
@@ -4,7 +4,7 @@
 
 from fireflyhitch_daemon.assembly import assemble_answer
 from fireflyhitch_daemon.exchange import Exchange
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.http_server import (
     JSON_TYPE,
     REQUEST_ID_HEADER,
     Header,
--- a/libs/daemon/fireflyhitch_daemon/requests.py
+++ b/libs/daemon/fireflyhitch_daemon/request_lookup.py
@@ -4,9 +4,9 @@
 
 from fireflyhitch_daemon.assembly import assemble_answer
 from fireflyhitch_daemon.calls import ModelCalls
-from fireflyhitch_daemon.exchange import Follower
+from fireflyhitch_daemon.exchange import CallerConnection
 from fireflyhitch_daemon.forwarding import FORWARDED_HEADER, Forwarder
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.http_server import (
     DETACHED,
     JSON_TYPE,
     CallerRequest,
@@ -30,7 +30,7 @@
 STREAM_TYPE = 'text/event-stream'
 
 
-class RequestAnswers:
+class RequestLookup:
     """Answers ``GET /v1/requests/{id}`` from here, or from the daemon that has it."""
 
     def __init__(
@@ -66,21 +66,23 @@
         streaming = _wants_stream(request, tracked)
         exchange = self._calls.find_open(request_id)
         if exchange is not None:
-            follower = Follower(request.detach(), streaming, position=last.number)
-            self._calls.relay.follow(exchange, follower)
+            connection = CallerConnection(
+                request.detach(), streaming, position=last.number
+            )
+            self._calls.relay.add_connection(exchange, connection)
             return DETACHED
-        return _render_finished(tracked, last, streaming)
+        return _render_complete(tracked, last, streaming)
 
     def _forward(self, request: CallerRequest, request_id: RequestId) -> Detached:
         if FORWARDED_HEADER in request.headers:
-            raise _describe_missing(request_id)
-        holder = self._find_holder(request_id)
+            raise _describe_not_found(request_id)
+        owner = self._find_owner(request_id)
         for daemon in self._messenger.live():
-            if daemon.daemon_id == holder and holder != self._daemon_id:
+            if daemon.daemon_id == owner and owner != self._daemon_id:
                 return self._forward_to(request, request_id, daemon.entry_address)
-        raise _describe_missing(request_id)
+        raise _describe_not_found(request_id)
 
-    def _find_holder(self, request_id: RequestId) -> DaemonId | None:
+    def _find_owner(self, request_id: RequestId) -> DaemonId | None:
         """Return the daemon that has a request, or else the one that accepted it.
 
         On a busy machine a peer may not say in time where a request is. The
@@ -102,7 +104,7 @@
         try:
             self._forwarder.forward(request, address)
         except OSError as error:
-            raise _describe_missing(request_id) from error
+            raise _describe_not_found(request_id) from error
         return DETACHED
 
 
@@ -112,7 +114,7 @@
     return STREAM_TYPE in request.headers.get('accept', '')
 
 
-def _render_finished(
+def _render_complete(
     tracked: TrackedRequest, last: EventId, streaming: bool
 ) -> Response:
     part = tracked.log.read_after(last.number)
@@ -131,7 +133,7 @@
     return Response(HTTPStatus.OK, body, (Header('Content-Type', JSON_TYPE),))
 
 
-def _describe_missing(request_id: RequestId) -> RequestError:
+def _describe_not_found(request_id: RequestId) -> RequestError:
     return RequestError(
         f'no daemon in reach has the request {request_id}',
         step=Step.ANSWER,
--- a/libs/daemon/fireflyhitch_daemon/selection.py
+++ b/libs/daemon/fireflyhitch_daemon/selection.py
@@ -18,13 +18,13 @@
     """Chooses with the shares of version moves and this daemon's subset.
 
     :param read_subset: the servers that this daemon uses; ``None`` for all.
-    :param find_closed: the servers that may be sent nothing now, by their limits.
+    :param find_throttled: the servers that may be sent nothing now, by their limits.
     """
 
     router: Router
     picker: VersionPicker
     read_subset: Callable[[DeploymentId], frozenset[BackendServerId] | None]
-    find_closed: Callable[[], frozenset[BackendServerId]]
+    find_throttled: Callable[[], frozenset[BackendServerId]]
 
     def choose(self, call: Call, excluded: Collection[BackendServerId]) -> Choice:
         """Choose a server for a call's next attempt.
@@ -38,7 +38,7 @@
         pick = self.picker.pick(call)
         subset = self.read_subset(call.deployment)
         servers = frozenset(pick.servers) or subset
-        avoided = self.find_closed().union(excluded)
+        avoided = self.find_throttled().union(excluded)
         try:
             return self._choose(call, pick.version, servers, avoided)
         except RequestError as error:
--- a/libs/daemon/fireflyhitch_daemon/service_answers.py
+++ b/libs/daemon/fireflyhitch_daemon/service_responses.py
@@ -7,7 +7,7 @@
 from urllib3 import HTTPResponse
 
 from fireflyhitch_daemon.dispatch import DEADLINE_HEADER, MILLISECONDS
-from fireflyhitch_daemon.front import OUTCOME_HEADER, Header, Response
+from fireflyhitch_daemon.http_server import OUTCOME_HEADER, Header, Response
 from fireflyhitch_ledger.operations import Answer, AnswerHeader
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.errors import RequestError
@@ -16,7 +16,7 @@
 from fireflyhitch_routing.choices import ResultStatus
 
 # Headers that belong to one connection, or that this daemon sets itself.
-OWN_HEADERS = frozenset(
+EXCLUDED_HEADERS = frozenset(
     (
         'authorization',
         'connection',
@@ -42,24 +42,26 @@
 
     :param seconds_left: until the caller's deadline.
     """
-    headers = {name: text for name, text in given.items() if name not in OWN_HEADERS}
+    headers = {
+        name: text for name, text in given.items() if name not in EXCLUDED_HEADERS
+    }
     headers['X-Request-Id'] = request_id
     headers[DEADLINE_HEADER] = str(int(seconds_left * MILLISECONDS))
     return headers
 
 
-def take_answer(received: HTTPResponse) -> Response:
+def build_response(received: HTTPResponse) -> Response:
     """Return a backend server's answer as the caller gets it."""
     headers = tuple(
         Header(name, text)
         for name, text in received.headers.items()
-        if name.lower() not in OWN_HEADERS
+        if name.lower() not in EXCLUDED_HEADERS
     )
     ran = Header(OUTCOME_HEADER, Outcome.RAN.value)
     return Response(received.status, received.data, (*headers, ran))
 
 
-def keep_answer(answer: Response) -> Answer:
+def build_stored_answer(answer: Response) -> Answer:
     """Return an answer as the ledger keeps it."""
     headers = tuple(
         AnswerHeader(name=header.name, value=header.value) for header in answer.headers
@@ -73,14 +75,14 @@
     return Response(answer.status, answer.body, headers)
 
 
-def judge_answer(answer: Response) -> ResultStatus:
+def classify_response(answer: Response) -> ResultStatus:
     """Return what an answer says of the backend server."""
     if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return ResultStatus.FAILED
     return ResultStatus.SUCCEEDED
 
 
-def describe_unreached(server: BackendServer, error: OSError) -> RequestError:
+def describe_connect_failure(server: BackendServer, error: OSError) -> RequestError:
     """Return the error for a call of which nothing was sent."""
     return RequestError(
         f'the backend server was not reached: {error!r}',
--- a/libs/daemon/fireflyhitch_daemon/services.py
+++ b/libs/daemon/fireflyhitch_daemon/services.py
@@ -10,22 +10,22 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import HTTPError
 
-from fireflyhitch_daemon.accounts import Accounts, EndedCall
 from fireflyhitch_daemon.crash_guard import CrashGuard
 from fireflyhitch_daemon.dispatch import open_connection
-from fireflyhitch_daemon.front import OUTCOME_HEADER, CallerRequest, Response
+from fireflyhitch_daemon.http_server import OUTCOME_HEADER, CallerRequest, Response
 from fireflyhitch_daemon.limit_guard import LIMIT_HEADER, LimitGuard
 from fireflyhitch_daemon.parsing import authenticate, find_service, read_deadline
+from fireflyhitch_daemon.recorder import CallRecorder, FinishedCall
 from fireflyhitch_daemon.selection import Selection
-from fireflyhitch_daemon.service_answers import (
+from fireflyhitch_daemon.service_responses import (
+    build_response,
+    build_stored_answer,
+    classify_response,
+    describe_connect_failure,
     describe_lost,
     describe_refused,
-    describe_unreached,
     forward_headers,
-    judge_answer,
-    keep_answer,
     restore_answer,
-    take_answer,
 )
 from fireflyhitch_ledger.keys import MAX_KEY_CHARACTERS, CallKey, digest_body
 from fireflyhitch_ledger.ledger import Ledger
@@ -55,16 +55,16 @@
 from fireflyhitch_settings.schema import Configuration, ServiceDeployment
 
 SERVICES_PREFIX = '/services/'
-LEAST_SECONDS = 0.001
+MIN_TIMEOUT_SECONDS = 0.001
 # How a connection fails, as the libraries beneath say it.
-BROKEN = (HTTPError, HTTPException, OSError, ValueError)
+CONNECTION_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 KEY_HEADER = 'idempotency-key'
 # Methods that HTTP defines as idempotent may be sent again after a lost answer.
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE'))
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceParts:
+class ServiceDependencies:
     """What calls of plain services are made with."""
 
     clock: Clock
@@ -72,7 +72,7 @@
     admission: Admission
     retries: RetryBudget
     ledger: Ledger
-    accounts: Accounts
+    recorder: CallRecorder
     crashes: CrashGuard
     limits: LimitGuard
 
@@ -102,9 +102,9 @@
 class ServiceCalls:
     """Answers calls below ``/services/`` on the thread that brings them."""
 
-    def __init__(self, parts: ServiceParts) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, deps: ServiceDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._lock = Lock()
         self._running = 0
 
@@ -137,10 +137,10 @@
         configuration: Configuration,
         request_id: RequestId,
     ) -> Response:
-        service = self._read_call(request, configuration, request_id)
-        self._parts.crashes.check(service.content)
-        permit = self._parts.admission.admit(service.call)
-        self._parts.retries.record_call(service.call.customer)
+        service = self._parse_call(request, configuration, request_id)
+        self._deps.crashes.check(service.content)
+        permit = self._deps.admission.admit(service.call)
+        self._deps.retries.record_call(service.call.customer)
         started = self._clock.monotonic()
         try:
             answer = self._run(service)
@@ -148,11 +148,11 @@
             self._record(service, started, error.status, error.outcome)
             raise
         finally:
-            self._parts.admission.release(permit, service.call.prompt_tokens)
+            self._deps.admission.release(permit, service.call.prompt_tokens)
         self._record(service, started, answer.status, Outcome.RAN)
         return answer
 
-    def _read_call(
+    def _parse_call(
         self,
         request: CallerRequest,
         configuration: Configuration,
@@ -206,7 +206,7 @@
         call, request = service.call, service.request
         key = CallKey(call.customer, call.deployment, service.key)
         digest = digest_body(request.method, service.target, request.body)
-        claim = self._parts.ledger.claim(key, digest, call)
+        claim = self._deps.ledger.claim(key, digest, call)
         if isinstance(claim, Claimed):
             service.claim = claim.attempt
             return None
@@ -219,18 +219,18 @@
     def _send(self, service: _ServiceCall) -> Response:
         """Send to one server after another, as far as that is safe."""
         while True:
-            choice = self._parts.selection.choose(service.call, service.tried)
+            choice = self._deps.selection.choose(service.call, service.tried)
             try:
                 return self._send_once(service, choice)
             except RequestError as error:
-                if not self._may_repeat(service, error):
+                if not self._may_retry(service, error):
                     raise
 
     def _send_once(self, service: _ServiceCall, choice: Choice) -> Response:
         service.tried.add(choice.server.server_id)
         service.server = choice.server
         service.attempts += 1
-        ticket = self._parts.selection.router.start(choice, service.call)
+        ticket = self._deps.selection.router.start(choice, service.call)
         started = self._clock.monotonic()
         try:
             answer = self._attempt(service, choice.server, started)
@@ -239,7 +239,7 @@
             failed = ResultStatus.REFUSED if refused else ResultStatus.FAILED
             self._finish(ticket, failed, started)
             raise
-        self._finish(ticket, judge_answer(answer), started)
+        self._finish(ticket, classify_response(answer), started)
         return answer
 
     def _attempt(
@@ -254,26 +254,26 @@
         try:
             connection = open_connection(server.address)
         except OSError as error:
-            raise describe_unreached(server, error) from error
+            raise describe_connect_failure(server, error) from error
         try:
             self._mark_sent(service)
-            self._parts.limits.record_sent(server)
+            self._deps.limits.record_sent(server)
             received = self._exchange(service, connection)
-        except BROKEN as error:
-            self._parts.crashes.record_broken_response(server, service.content, started)
+        except CONNECTION_ERRORS as error:
+            self._deps.crashes.record_broken_response(server, service.content, started)
             raise describe_lost(server, error) from error
         finally:
             connection.close()
-        self._parts.limits.record_response(
+        self._deps.limits.record_response(
             server, received.headers.get(LIMIT_HEADER), started
         )
         if received.headers.get(OUTCOME_HEADER) == Outcome.NOT_RUN.value:
             raise describe_refused(server, received)
-        answer = take_answer(received)
-        if judge_answer(answer) is ResultStatus.SUCCEEDED:
-            self._parts.crashes.record_response(service.content)
+        answer = build_response(received)
+        if classify_response(answer) is ResultStatus.SUCCEEDED:
+            self._deps.crashes.record_response(service.content)
         if service.claim is not None:
-            self._parts.ledger.record_ran(service.claim, keep_answer(answer))
+            self._deps.ledger.record_ran(service.claim, build_stored_answer(answer))
             service.claim = None
         return answer
 
@@ -283,14 +283,14 @@
             # A claim that lapsed is refused here, and the ledger records that
             # itself; there must be no second record of it.
             service.claim = None
-            self._parts.ledger.mark_sent(claim)
+            self._deps.ledger.mark_sent(claim)
             service.claim = claim
         service.sent = True
 
     def _exchange(
         self, service: _ServiceCall, connection: HTTPConnection
     ) -> HTTPResponse:
-        left = max(service.call.deadline - self._clock.monotonic(), LEAST_SECONDS)
+        left = max(service.call.deadline - self._clock.monotonic(), MIN_TIMEOUT_SECONDS)
         assert connection.sock is not None
         connection.sock.settimeout(left)
         connection.request(
@@ -303,7 +303,7 @@
         )
         return connection.getresponse()
 
-    def _may_repeat(self, service: _ServiceCall, error: RequestError) -> bool:
+    def _may_retry(self, service: _ServiceCall, error: RequestError) -> bool:
         """Tell whether another server may be tried.
 
         A claimed call that was sent is never sent again under its claim, also
@@ -311,12 +311,12 @@
         """
         if service.claim is not None and service.sent:
             return False
-        if self._parts.crashes.find_remaining_hold(service.content):
+        if self._deps.crashes.find_remaining_hold(service.content):
             return False
         not_run = error.outcome is Outcome.NOT_RUN
         if not not_run and service.request.method not in IDEMPOTENT_METHODS:
             return False
-        return self._parts.retries.take(service.call, error.outcome)
+        return self._deps.retries.take(service.call, error.outcome)
 
     def _record_failure(self, service: _ServiceCall, error: RequestError) -> None:
         claim = service.claim
@@ -324,14 +324,14 @@
             return
         service.claim = None
         if error.outcome is Outcome.NOT_RUN:
-            self._parts.ledger.record_not_run(claim, refused=service.sent)
+            self._deps.ledger.record_not_run(claim, refused=service.sent)
             return
-        self._parts.ledger.record_unknown(claim)
+        self._deps.ledger.record_unknown(claim)
 
     def _finish(self, ticket: Ticket, result: ResultStatus, started: float) -> None:
         seconds = self._clock.monotonic() - started
-        self._parts.selection.router.finish(ticket, CallResult(result, seconds=seconds))
-        self._parts.accounts.record_attempt(
+        self._deps.selection.router.finish(ticket, CallResult(result, seconds=seconds))
+        self._deps.recorder.record_attempt(
             ticket,
             ok=result is ResultStatus.SUCCEEDED,
             first_token=seconds,
@@ -342,8 +342,8 @@
         self, service: _ServiceCall, started: float, status: int, outcome: Outcome
     ) -> None:
         seconds = self._clock.monotonic() - started
-        self._parts.accounts.record_call(
-            EndedCall(
+        self._deps.recorder.record_call(
+            FinishedCall(
                 call=service.call,
                 server=service.server,
                 status=status,
--- a/libs/daemon/fireflyhitch_daemon/sse.py
+++ b/libs/daemon/fireflyhitch_daemon/sse.py
@@ -36,7 +36,7 @@
     ERROR = 'error'
 
 
-def take_ending(events: list[bytes]) -> Ending:
+def pop_ending(events: list[bytes]) -> Ending:
     """Take the events off that end a stream, and return which end it is.
 
     An engine that fails in mid answer says so in an event. Passed on, it would
--- a/libs/daemon/tests/conftest.py
+++ b/libs/daemon/tests/conftest.py
@@ -1,20 +1,20 @@
 """Sites that tests share, or have for themselves."""
 
 import pytest
-from small_site import SmallSite
+from local_cluster import LocalCluster
 
 
 @pytest.fixture(scope='module')
-def site():
+def cluster():
     """Return a site that the tests of a module share."""
-    small = SmallSite()
+    small = LocalCluster()
     yield small
     small.close()
 
 
 @pytest.fixture
-def fresh_site():
+def fresh_cluster():
     """Return a site of its own, for a test that takes parts of it away."""
-    small = SmallSite()
+    small = LocalCluster()
     yield small
     small.close()
--- a/libs/daemon/tests/small_site.py
+++ b/libs/daemon/tests/local_cluster.py
@@ -27,7 +27,7 @@
 OTHER_KEY = 'other-key'
 TOKEN = 'operator-token'
 DOMAINS = ('north', 'south')
-PATIENCE_SECONDS = 30
+TIMEOUT_SECONDS = 30
 
 
 def hash_key(text):
@@ -36,7 +36,7 @@
 
 def wait_until(condition):
     """Wait until a condition holds; what it returns is returned."""
-    ends = time.monotonic() + PATIENCE_SECONDS
+    ends = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < ends:
         found = condition()
         if found:
@@ -45,7 +45,7 @@
     raise AssertionError('did not come about')
 
 
-class SmallSite:
+class LocalCluster:
     """Two daemons in two failure domains, three engines, two plain services."""
 
     def __init__(self, tls=None):
@@ -54,7 +54,7 @@
         authority = tls['authority'] if tls else None
         self._stack = ExitStack()
         self.http = urllib3.PoolManager(
-            retries=False, timeout=PATIENCE_SECONDS, ca_certs=authority
+            retries=False, timeout=TIMEOUT_SECONDS, ca_certs=authority
         )
         self.store = self._start(EtcdServer(SystemClock()))
         self.platform = self._start(PlatformServer(make_world()))
@@ -130,7 +130,7 @@
                 'failure_domain': DOMAINS[number],
                 'admin_token_sha256': hash_key(TOKEN),
                 'peer_key': 'peers',
-                'seeds': seeds or self._first_seeds(),
+                'seeds': seeds or self._find_seeds(),
                 'limits': {'max_body_bytes': 100000},
                 'tls': self._tls,
                 'platform': {
@@ -146,7 +146,7 @@
         self._seeds = [daemon.describe()['peers']]
         return daemon
 
-    def _first_seeds(self):
+    def _find_seeds(self):
         return getattr(self, '_seeds', [])
 
     def _is_ready(self, daemon):
--- a/libs/daemon/tests/test_callers.py
+++ b/libs/daemon/tests/test_caller_api.py
@@ -3,77 +3,81 @@
 import json
 
 import pytest
+from local_cluster import OTHER_KEY, wait_until
 from openai import APIStatusError
-from small_site import OTHER_KEY, wait_until
 
 from fireflyhitch_standins.answers import join_messages, write_answer
 
 PATH = '/v1/chat/completions'
 
 
-def ask(prompt):
+def build_messages(prompt):
     return [{'role': 'user', 'content': prompt}]
 
 
-def expect(prompt, count):
-    return write_answer(join_messages(ask(prompt)), count)
+def expected_text(prompt, count):
+    return write_answer(join_messages(build_messages(prompt)), count)
 
 
 class TestModelCalls:
     """Chat and text completions, streamed and whole."""
 
-    def test_whole_chat_answer_has_text_reason_and_usage(self, site):
-        answer = site.client().chat.completions.create(
-            model='assistant', messages=ask('one'), max_tokens=7
+    def test_whole_chat_answer_has_text_reason_and_usage(self, cluster):
+        answer = cluster.client().chat.completions.create(
+            model='assistant', messages=build_messages('one'), max_tokens=7
         )
-        assert answer.choices[0].message.content == expect('one', 7)
+        assert answer.choices[0].message.content == expected_text('one', 7)
         assert answer.choices[0].finish_reason == 'length'
         assert answer.usage.completion_tokens == 7
 
-    def test_streamed_chat_answer_comes_in_order(self, site):
-        stream = site.client().chat.completions.create(
-            model='assistant', messages=ask('two'), max_tokens=9, stream=True
+    def test_streamed_chat_answer_comes_in_order(self, cluster):
+        stream = cluster.client().chat.completions.create(
+            model='assistant', messages=build_messages('two'), max_tokens=9, stream=True
         )
         pieces = [chunk.choices[0].delta.content or '' for chunk in stream]
-        assert ''.join(pieces) == expect('two', 9)
+        assert ''.join(pieces) == expected_text('two', 9)
 
-    def test_text_completion(self, site):
-        answer = site.client().completions.create(
+    def test_text_completion(self, cluster):
+        answer = cluster.client().completions.create(
             model='assistant', prompt='three', max_tokens=4
         )
         assert answer.choices[0].text == write_answer('three', 4)
 
-    def test_models_are_listed(self, site):
-        assert [model.id for model in site.client().models.list()] == ['assistant']
+    def test_models_are_listed(self, cluster):
+        assert [model.id for model in cluster.client().models.list()] == ['assistant']
 
-    def test_events_have_ids_that_count_up(self, site):
-        stream = site.open_stream(0, 'four', 5)
+    def test_events_have_ids_that_count_up(self, cluster):
+        stream = cluster.open_stream(0, 'four', 5)
         lines = stream.read().split(b'\n')
         ids = [line for line in lines if line.startswith(b'id: ')]
         assert ids == [b'id: %d' % number for number in range(1, len(ids) + 1)]
         assert stream.headers['Fireflyhitch-Request-Id']
 
-    def test_caller_that_goes_away_cancels_the_stream(self, site):
+    def test_caller_that_goes_away_cancels_the_stream(self, cluster):
         """The caller closes its connection in mid answer and does not come back.
 
         The daemon keeps the answer for two seconds, then closes its connection
         to the engine, which stops generating: nobody waits for the tokens.
         """
-        stream = site.open_stream(0, 'long', 100000)
+        stream = cluster.open_stream(0, 'long', 100000)
         stream.read(100)
-        assert site.running() == 1
+        assert cluster.running() == 1
         stream.close()
-        wait_until(lambda: site.running() == 0)
+        wait_until(lambda: cluster.running() == 0)
 
-    def test_deadline_ends_the_answer_with_an_error(self, site):
+    def test_deadline_ends_the_answer_with_an_error(self, cluster):
         """The caller gives 300 ms for an answer that takes longer.
 
         The first tokens come; at the deadline the stream ends with an error that
         says that the call ran, and the engine's stream is cancelled.
         """
-        body = {'model': 'assistant', 'messages': ask('x'), 'max_tokens': 100000}
+        body = {
+            'model': 'assistant',
+            'messages': build_messages('x'),
+            'max_tokens': 100000,
+        }
         headers = {'Fireflyhitch-Deadline-Ms': '300'}
-        answer = site.call(
+        answer = cluster.call(
             0, 'POST', PATH, body=json.dumps(body), headers=headers.items()
         )
         assert answer.status == 504
@@ -108,57 +112,57 @@
             ('/nowhere', '', 404, 'not_found'),
         ],
     )
-    def test_bad_request(self, site, path, body, status, code):
-        answer = site.call(0, 'POST', path, body=body)
+    def test_bad_request(self, cluster, path, body, status, code):
+        answer = cluster.call(0, 'POST', path, body=body)
         assert answer.status == status
         assert answer.json()['error']['code'] == code
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
         assert answer.headers['Fireflyhitch-Request-Id']
 
-    def test_wrong_key(self, site):
+    def test_wrong_key(self, cluster):
         with pytest.raises(APIStatusError) as caught:
-            site.client(key='guess').models.list()
+            cluster.client(key='guess').models.list()
         assert caught.value.status_code == 401
 
-    def test_wrong_method(self, site):
-        assert site.call(0, 'GET', PATH).status == 405
+    def test_wrong_method(self, cluster):
+        assert cluster.call(0, 'GET', PATH).status == 405
 
-    def test_deadline_that_is_no_number(self, site):
+    def test_deadline_that_is_no_number(self, cluster):
         headers = {'Fireflyhitch-Deadline-Ms': 'soon'}
-        body = json.dumps({'model': 'assistant', 'messages': ask('x')})
-        answer = site.call(0, 'POST', PATH, body=body, headers=headers.items())
+        body = json.dumps({'model': 'assistant', 'messages': build_messages('x')})
+        answer = cluster.call(0, 'POST', PATH, body=body, headers=headers.items())
         assert answer.json()['error']['code'] == 'deadline'
 
 
 class TestReturningCallers:
     """``GET /v1/requests/{id}`` for callers that lost their connection."""
 
-    def test_rest_of_an_answer_comes_from_another_daemon(self, site):
+    def test_rest_of_an_answer_comes_from_another_daemon(self, cluster):
         """A caller loses its connection after some events.
 
         It asks another daemon with its last event id. That daemon finds the one
         which has the answer by the request's id and passes the rest on.
         """
-        stream = site.open_stream(0, 'return', 40)
+        stream = cluster.open_stream(0, 'return', 40)
         request_id = stream.headers['Fireflyhitch-Request-Id']
         stream.read(400)
         stream.close()
         headers = {'Last-Event-ID': '2'}
         path = f'/v1/requests/{request_id}'
-        rest = site.call(1, 'GET', path, headers=headers.items())
+        rest = cluster.call(1, 'GET', path, headers=headers.items())
         assert rest.status == 200
         assert rest.data.startswith(b'id: 3\n')
         assert rest.data.endswith(b'data: [DONE]\n\n')
 
-    def test_finished_answer_is_still_there(self, site):
-        stream = site.open_stream(0, 'again', 3)
+    def test_finished_answer_is_still_there(self, cluster):
+        stream = cluster.open_stream(0, 'again', 3)
         whole = stream.read()
         path = f'/v1/requests/{stream.headers["Fireflyhitch-Request-Id"]}'
-        assert site.call(0, 'GET', path).data == whole
+        assert cluster.call(0, 'GET', path).data == whole
 
-    def test_other_customers_request_does_not_exist(self, site):
-        stream = site.open_stream(0, 'private', 3)
+    def test_other_customers_request_does_not_exist(self, cluster):
+        stream = cluster.open_stream(0, 'private', 3)
         stream.read()
         path = f'/v1/requests/{stream.headers["Fireflyhitch-Request-Id"]}'
-        assert site.call(0, 'GET', path, key=OTHER_KEY).status == 404
-        assert site.call(1, 'GET', path, key=OTHER_KEY).status == 404
+        assert cluster.call(0, 'GET', path, key=OTHER_KEY).status == 404
+        assert cluster.call(1, 'GET', path, key=OTHER_KEY).status == 404
--- a/libs/daemon/tests/test_followers.py
+++ b/libs/daemon/tests/test_caller_connections.py
@@ -3,8 +3,8 @@
 import select
 import socket
 
-from fireflyhitch_daemon.exchange import Exchange, ExchangeState, Follower
-from fireflyhitch_daemon.followers import Followers
+from fireflyhitch_daemon.connections import CallerConnections
+from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.states import Priority
 from fireflyhitch_recovery.answers import AnswerLog
@@ -33,12 +33,12 @@
         the end; dropped after the events, it would take the answer for cut off.
         """
         here, caller = socket.socketpair()
-        followers = Followers(select.epoll(), lambda exchange: None)
+        connections = CallerConnections(select.epoll(), lambda exchange: None)
         exchange = make_exchange([b'{"a":1}', b'{"a":2}', b'{"a":3}'])
-        follower = Follower(here, streaming=True, position=1)
-        followers.add(exchange, follower)
+        connection = CallerConnection(here, streaming=True, position=1)
+        connections.add(exchange, connection)
         exchange.state = ExchangeState.DONE
-        followers.finish(exchange, follower)
+        connections.finish(exchange, connection)
         received = caller.makefile('rb').read()
         assert b'id: 2\ndata: {"a":2}' in received
         assert b'id: 3\ndata: {"a":3}' in received
@@ -47,13 +47,13 @@
 
     def test_moved_answer_ends_without_its_last_event(self):
         here, caller = socket.socketpair()
-        followers = Followers(select.epoll(), lambda exchange: None)
+        connections = CallerConnections(select.epoll(), lambda exchange: None)
         exchange = make_exchange([b'{"a":1}'])
-        follower = Follower(here, streaming=True)
-        followers.add(exchange, follower)
-        followers.catch_up(exchange, follower)
+        connection = CallerConnection(here, streaming=True)
+        connections.add(exchange, connection)
+        connections.catch_up(exchange, connection)
         exchange.state = ExchangeState.MOVED
-        followers.finish(exchange, follower)
+        connections.finish(exchange, connection)
         received = caller.makefile('rb').read()
         assert b'retry: ' in received
         assert b'[DONE]' not in received
--- a/libs/daemon/tests/test_crash_guard.py
+++ b/libs/daemon/tests/test_crash_guard.py
@@ -11,18 +11,18 @@
 PATH = '/services/bookings/visits'
 CRASHING = 'crashing'
 # After the third server has ended, and all daemons may know it.
-MOST_REPEATS = 3
-KNOWN_SECONDS = 3
-MOST_TRIES = 100
+MAX_CRASHES_AFTER_HOLD = 3
+PROPAGATION_SECONDS = 3
+MAX_TRIES = 100
 
 
 class CrashingServices:
     """Has plain services end under one body, and others start in their place."""
 
-    def __init__(self, site):
+    def __init__(self, cluster):
         self.ended = 0
-        self._servers = site.platform.world.servers
-        self._cloud = site.platform.world.cloud
+        self._servers = cluster.platform.world.servers
+        self._cloud = cluster.platform.world.cloud
         for instance, server in list(self._servers.items()):
             if isinstance(server, ServiceServer):
                 self._watch(instance, server)
@@ -55,14 +55,14 @@
         self._watch(successor, self._servers[successor])
 
 
-def ask(site, number, body):
-    return site.call(number, 'PUT', PATH, body=body)
+def send_call(cluster, number, body):
+    return cluster.call(number, 'PUT', PATH, body=body)
 
 
-def ask_harmless(site, number):
+def call_until_served(cluster, number):
     """Ask until there is a server again; not so often that the limit is reached."""
-    for _ in range(MOST_TRIES):
-        answer = ask(site, number, 'harmless')
+    for _ in range(MAX_TRIES):
+        answer = send_call(cluster, number, 'harmless')
         if answer.status == 200:
             return
         assert json.loads(answer.data)['error']['code'] != 'held'
@@ -70,23 +70,25 @@
     raise AssertionError('no server')
 
 
-class TestCallsThatEndServers:
-    def test_a_call_that_ended_three_servers_is_held_by_all_daemons(self, fresh_site):
-        services = CrashingServices(fresh_site)
+class TestCrashingCalls:
+    def test_a_call_that_ended_three_servers_is_held_by_all_daemons(
+        self, fresh_cluster
+    ):
+        services = CrashingServices(fresh_cluster)
         for turn in range(8):
-            ask(fresh_site, turn % 2, CRASHING)
-            ask_harmless(fresh_site, 1)
+            send_call(fresh_cluster, turn % 2, CRASHING)
+            call_until_served(fresh_cluster, 1)
             time.sleep(1)
             if services.ended >= 3:
                 break
-        time.sleep(KNOWN_SECONDS)
+        time.sleep(PROPAGATION_SECONDS)
         before = services.ended
         answers = []
         for turn in range(6):
-            ask_harmless(fresh_site, 1)
-            answers.append(ask(fresh_site, turn % 2, CRASHING))
-        assert services.ended - before <= MOST_REPEATS
+            call_until_served(fresh_cluster, 1)
+            answers.append(send_call(fresh_cluster, turn % 2, CRASHING))
+        assert services.ended - before <= MAX_CRASHES_AFTER_HOLD
         assert answers[-1].status == 503
         assert answers[-1].headers['Fireflyhitch-Outcome'] == 'not-run'
         assert json.loads(answers[-1].data)['error']['code'] == 'held'
-        ask_harmless(fresh_site, 0)
+        call_until_served(fresh_cluster, 0)
--- a/libs/daemon/tests/test_front.py
+++ b/libs/daemon/tests/test_http_server.py
@@ -6,7 +6,7 @@
 import pytest
 import urllib3
 
-from fireflyhitch_daemon.front import Response, build_server
+from fireflyhitch_daemon.http_server import Response, build_server
 from fireflyhitch_settings.bootstrap import Limits, Listener
 
 
--- a/libs/daemon/tests/test_requests.py
+++ b/libs/daemon/tests/test_request_lookup.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from fireflyhitch_daemon.front import DETACHED, CallerRequest
-from fireflyhitch_daemon.requests import RequestAnswers
+from fireflyhitch_daemon.http_server import DETACHED, CallerRequest
+from fireflyhitch_daemon.request_lookup import RequestLookup
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_recovery.inflight import InFlight, make_request_id
@@ -41,7 +41,7 @@
         forwarder = SimpleNamespace(
             forward=lambda request, address: asked.append(address)
         )
-        answers = RequestAnswers(
+        answers = RequestLookup(
             'here', None, in_flight, locations, messenger, forwarder
         )
         path = f'/v1/requests/{make_request_id("there")}'
--- a/libs/daemon/tests/test_service_answers.py
+++ b/libs/daemon/tests/test_service_responses.py
@@ -1,6 +1,6 @@
 """Tests of what passes between a caller and a plain service."""
 
-from fireflyhitch_daemon.service_answers import forward_headers
+from fireflyhitch_daemon.service_responses import forward_headers
 
 
 class TestForwardHeaders:
--- a/libs/daemon/tests/test_services.py
+++ b/libs/daemon/tests/test_services.py
@@ -8,17 +8,17 @@
 PATH = '/services/bookings/visits'
 
 
-def book(site, number, key, body='{}'):
+def book(cluster, number, key, body='{}'):
     headers = {'Idempotency-Key': key}
-    return site.call(number, 'POST', PATH, body=body, headers=headers.items())
+    return cluster.call(number, 'POST', PATH, body=body, headers=headers.items())
 
 
-def book_into(answers, site, number):
-    answers.append(book(site, number, 'both'))
+def append_booking(answers, cluster, number):
+    answers.append(book(cluster, number, 'both'))
 
 
-def change_services(site, **settings):
-    for server in site.platform.world.servers.values():
+def change_services(cluster, **settings):
+    for server in cluster.platform.world.servers.values():
         if isinstance(server.settings, ServiceSettings):
             server.settings = ServiceSettings(**settings)
 
@@ -26,7 +26,7 @@
 class TestRepeatedCalls:
     """A key runs once, whoever asks and wherever."""
 
-    def test_two_daemons_at_once_run_it_once(self, site):
+    def test_two_daemons_at_once_run_it_once(self, cluster):
         """The caller, in doubt, sends one booking to two daemons at once.
 
         Both try to claim the key; the compare-and-swap lets one win. The other
@@ -34,7 +34,8 @@
         """
         answers = []
         threads = [
-            threading.Thread(target=book_into, args=(answers, site, n)) for n in (0, 1)
+            threading.Thread(target=append_booking, args=(answers, cluster, n))
+            for n in (0, 1)
         ]
         for thread in threads:
             thread.start()
@@ -42,91 +43,91 @@
             thread.join()
         assert {answer.status for answer in answers} <= {200, 409}
         assert 200 in {answer.status for answer in answers}
-        assert site.runs()['both'] == 1
+        assert cluster.runs()['both'] == 1
 
-    def test_repeat_gets_the_stored_answer(self, site):
-        first = book(site, 0, 'again')
-        second = book(site, 1, 'again')
+    def test_repeat_gets_the_stored_answer(self, cluster):
+        first = book(cluster, 0, 'again')
+        second = book(cluster, 1, 'again')
         assert second.data == first.data
         assert second.headers['Fireflyhitch-Outcome'] == 'ran'
-        assert site.runs()['again'] == 1
+        assert cluster.runs()['again'] == 1
 
-    def test_same_key_with_another_body_is_refused(self, site):
-        book(site, 0, 'body')
-        answer = book(site, 0, 'body', body='{"other": 1}')
+    def test_same_key_with_another_body_is_refused(self, cluster):
+        book(cluster, 0, 'body')
+        answer = book(cluster, 0, 'body', body='{"other": 1}')
         assert answer.status == 422
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
 
-    def test_refused_call_was_not_run_and_may_come_again(self, site):
+    def test_refused_call_was_not_run_and_may_come_again(self, cluster):
         """The backend server refuses before execution and says so.
 
         The claim is given back, so the caller's next try runs, once.
         """
-        change_services(site, refuse=True)
-        refused = book(site, 0, 'refused')
-        change_services(site)
+        change_services(cluster, refuse=True)
+        refused = book(cluster, 0, 'refused')
+        change_services(cluster)
         assert refused.status == 503
         assert refused.headers['Fireflyhitch-Outcome'] == 'not-run'
-        assert site.runs()['refused'] == 0
-        assert book(site, 1, 'refused').status == 200
-        assert site.runs()['refused'] == 1
+        assert cluster.runs()['refused'] == 0
+        assert book(cluster, 1, 'refused').status == 200
+        assert cluster.runs()['refused'] == 1
 
-    def test_lost_answer_is_unknown_and_never_sent_again(self, site):
+    def test_lost_answer_is_unknown_and_never_sent_again(self, cluster):
         """The backend server runs the call, then the connection breaks.
 
         Nobody can tell whether it ran: the caller is told so, and so is every
         repeat. A second send would be the doubled booking.
         """
-        change_services(site, drop_share=1)
-        lost = book(site, 0, 'lost')
-        change_services(site)
+        change_services(cluster, drop_share=1)
+        lost = book(cluster, 0, 'lost')
+        change_services(cluster)
         assert lost.status == 502
         assert lost.headers['Fireflyhitch-Outcome'] == 'unknown'
-        again = book(site, 1, 'lost')
+        again = book(cluster, 1, 'lost')
         assert again.status == 409
         assert again.json()['error']['code'] == 'outcome_unknown'
-        assert site.runs()['lost'] == 1
+        assert cluster.runs()['lost'] == 1
 
 
 class TestKeys:
     """Keys that cannot be taken."""
 
-    def test_key_of_more_than_255_characters_is_refused(self, site):
-        answer = book(site, 0, 'k' * 256)
+    def test_key_of_more_than_255_characters_is_refused(self, cluster):
+        answer = book(cluster, 0, 'k' * 256)
         assert answer.status == 400
         assert answer.json()['error']['code'] == 'idempotency_key_required'
-        assert book(site, 0, 'k' * 255).status == 200
+        assert book(cluster, 0, 'k' * 255).status == 200
 
 
 class TestOutage:
     """The key-value service is away."""
 
-    def test_call_that_cannot_be_claimed_is_not_run(self, fresh_site):
+    def test_call_that_cannot_be_claimed_is_not_run(self, fresh_cluster):
         """The store refuses every call when a booking comes in.
 
         It cannot be claimed, so it is refused before anything is sent; model
         calls go on. Once the store is back the same key runs, once.
         """
-        address = f'{fresh_site.store.url}/standin/faults'
-        fresh_site.http.request('PUT', address, json={'outage': True})
-        refused = book(fresh_site, 0, 'outage')
+        address = f'{fresh_cluster.store.url}/standin/faults'
+        fresh_cluster.http.request('PUT', address, json={'outage': True})
+        refused = book(fresh_cluster, 0, 'outage')
         assert refused.status == 503
         assert refused.headers['Fireflyhitch-Outcome'] == 'not-run'
         assert refused.headers['Retry-After']
-        answer = fresh_site.client().chat.completions.create(
+        answer = fresh_cluster.client().chat.completions.create(
             model='assistant', messages=[{'role': 'user', 'content': 'x'}], max_tokens=2
         )
         assert answer.choices
-        fresh_site.http.request('PUT', address, json={'outage': False})
-        assert book(fresh_site, 0, 'outage').status == 200
-        assert fresh_site.runs()['outage'] == 1
+        fresh_cluster.http.request('PUT', address, json={'outage': False})
+        assert book(fresh_cluster, 0, 'outage').status == 200
+        assert fresh_cluster.runs()['outage'] == 1
 
 
-class TestPassing:
+class TestForwarding:
     """What reaches the service and comes back."""
 
-    def test_method_path_query_and_body_reach_the_service(self, site):
-        answer = site.call(0, 'PUT', '/services/bookings/a/b?c=1', body='text')
+    def test_method_path_query_and_body_reach_the_service(self, cluster):
+        answer = cluster.call(0, 'PUT', '/services/bookings/a/b?c=1', body='text')
         seen = json.loads(answer.data)
         assert seen['method'] == 'PUT'
         assert seen['path'].startswith('/a/b')
--- a/libs/daemon/tests/test_sse.py
+++ b/libs/daemon/tests/test_sse.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from fireflyhitch_daemon.sse import Ending, render_events, split_events, take_ending
+from fireflyhitch_daemon.sse import Ending, pop_ending, render_events, split_events
 
 
 class TestSplitEvents:
@@ -33,7 +33,7 @@
         ],
     )
     def test_ending(self, events, ending, left):
-        assert take_ending(events) is ending
+        assert pop_ending(events) is ending
         assert events == left
 
 
--- a/libs/daemon/tests/test_tls.py
+++ b/libs/daemon/tests/test_tls.py
@@ -2,7 +2,7 @@
 
 import pytest
 import trustme
-from small_site import SmallSite
+from local_cluster import LocalCluster
 from urllib3.exceptions import HTTPError
 
 
@@ -35,17 +35,17 @@
         The open stream goes on with what it agreed; new connections get the new
         certificate. A caller that trusts another authority is not served.
         """
-        site = SmallSite(write_files(authority, tmp_path))
+        cluster = LocalCluster(write_files(authority, tmp_path))
         try:
-            stream = site.open_stream(0, 'secret', 60)
+            stream = cluster.open_stream(0, 'secret', 60)
             head = stream.read(200)
             write_files(authority, tmp_path)
-            site.daemons[0].reload_tls()
-            assert site.call(0, 'GET', '/v1/models').status == 200
+            cluster.daemons[0].reload_tls()
+            assert cluster.call(0, 'GET', '/v1/models').status == 200
             body = head + stream.read()
             assert body.endswith(b'data: [DONE]\n\n')
-            plain = site.entry(0).replace('https', 'http')
+            plain = cluster.entry(0).replace('https', 'http')
             with pytest.raises(HTTPError):
-                site.http.request('GET', f'{plain}/v1/models', timeout=2)
+                cluster.http.request('GET', f'{plain}/v1/models', timeout=2)
         finally:
-            site.close()
+            cluster.close()
