--- a/libs/daemon/tests/conftest.py
+++ b/libs/daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Sites that tests share, or have for themselves."""
+"""Fixtures of clusters, shared per module or fresh for a test."""
 
 import pytest
 from local_cluster import LocalCluster
@@ -6,7 +6,7 @@
 
 @pytest.fixture(scope='module')
 def cluster():
-    """Return a site that the tests of a module share."""
+    """Provide a cluster shared by the tests of a module."""
     small = LocalCluster()
     yield small
     small.close()
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def fresh_cluster():
-    """Return a site of its own, for a test that takes parts of it away."""
+    """Provide a new cluster, for a test that stops parts of it."""
     small = LocalCluster()
     yield small
     small.close()
--- a/libs/daemon/tests/local_cluster.py
+++ b/libs/daemon/tests/local_cluster.py
@@ -1,4 +1,4 @@
-"""A small site in this process: stand-ins and two daemons on loopback."""
+"""A cluster in this process: two daemons and simulated services on loopback."""
 
 import hashlib
 import json
@@ -35,14 +35,14 @@
 
 
 def wait_until(condition):
-    """Wait until a condition holds; what it returns is returned."""
+    """Wait until a condition returns a true value, and return that value."""
     ends = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < ends:
         found = condition()
         if found:
             return found
         time.sleep(0.01)
-    raise AssertionError('did not come about')
+    raise AssertionError(f'condition not met in {TIMEOUT_SECONDS} s')
 
 
 class LocalCluster:
--- a/libs/daemon/tests/test_admin.py
+++ b/libs/daemon/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' interface."""
+"""Tests of the HTTP API for operators."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -19,13 +19,13 @@
 
 
 class TestConfiguration:
-    """Proposals by operators who race, err or lose answers."""
+    """Concurrent and invalid proposals of operators."""
 
-    def test_of_two_operators_one_wins_and_the_other_sees_both_sides(self, cluster):
-        """Two operators propose against the revision that both saw.
+    def test_second_of_two_proposals_gets_a_conflict(self, cluster):
+        """Two operators propose a configuration with the same expected revision.
 
         The first is accepted and in force at both daemons; the second gets a
-        conflict with the configuration in force, and nothing is changed.
+        conflict with the configuration in force, and changes nothing.
         """
         seen = read_revision(cluster, 0)
         first = propose(cluster, 0, make_configuration(), seen, 'first')
@@ -37,14 +37,14 @@
         assert second.json()['current_revision'] == accepted
         assert second.json()['configuration']['deployments']
 
-    def test_configuration_that_contradicts_itself_is_refused(self, cluster):
+    def test_inconsistent_configuration_is_rejected(self, cluster):
         good = make_configuration()
         twice = good.model_copy(update={'deployments': good.deployments * 2})
         answer = propose(cluster, 0, twice, read_revision(cluster, 0), 'twice')
         assert answer.status == 400
         assert 'deployments' in answer.json()['error']['message']
 
-    def test_move_whose_date_has_passed_is_refused(self, cluster):
+    def test_move_with_a_past_date_is_rejected(self, cluster):
         past = datetime.now(UTC) - timedelta(days=1)
         document = make_configuration().model_dump(mode='json')
         move = {'to_version': 'v2', 'move_by': past.isoformat()}
@@ -58,15 +58,15 @@
 
 
 class TestStatus:
-    """What operators see."""
+    """Status, burn and drain."""
 
-    def test_status_names_revision_by_failure_domain(self, cluster):
+    def test_status_lists_failure_domains(self, cluster):
         status = cluster.admin(0, 'GET', '/admin/status').json()
         domains = {one['failure_domain'] for one in status['failure_domains']}
         assert domains == set(DOMAINS)
         assert status['invariant_violations'] == 0
 
-    def test_wrong_token_sees_nothing(self, cluster):
+    def test_wrong_token_is_rejected(self, cluster):
         address = cluster.daemons[0].describe()['admin']
         headers = {'Authorization': f'Bearer {TOKEN}x'}
         url = f'http://{address}/admin/status'
@@ -83,10 +83,10 @@
         assert set(burn['failure_domains']) == set(DOMAINS)
         assert burn['rows']
 
-    def test_drained_server_gets_no_new_work_anywhere(self, fresh_cluster):
+    def test_drained_server_is_unlisted_at_all_daemons(self, fresh_cluster):
         """The operator drains one engine at one daemon.
 
-        The mark spreads by peers; the other daemon stops using the engine too.
+        The leaving mark is broadcast; the other daemon stops using the engine too.
         """
         servers = fresh_cluster.admin(0, 'GET', '/admin/status').json()[
             'backend_servers'
--- a/libs/daemon/tests/test_caller_api.py
+++ b/libs/daemon/tests/test_caller_api.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface, with the clients that callers use."""
+"""Tests of the HTTP API for callers, with the clients that callers use."""
 
 import json
 
@@ -20,9 +20,9 @@
 
 
 class TestModelCalls:
-    """Chat and text completions, streamed and whole."""
+    """Chat and text completions, streamed and as a single body."""
 
-    def test_whole_chat_answer_has_text_reason_and_usage(self, cluster):
+    def test_unstreamed_chat_answer_has_text_reason_and_usage(self, cluster):
         answer = cluster.client().chat.completions.create(
             model='assistant', messages=build_messages('one'), max_tokens=7
         )
@@ -30,7 +30,7 @@
         assert answer.choices[0].finish_reason == 'length'
         assert answer.usage.completion_tokens == 7
 
-    def test_streamed_chat_answer_comes_in_order(self, cluster):
+    def test_streamed_chat_answer_is_in_order(self, cluster):
         stream = cluster.client().chat.completions.create(
             model='assistant', messages=build_messages('two'), max_tokens=9, stream=True
         )
@@ -46,18 +46,18 @@
     def test_models_are_listed(self, cluster):
         assert [model.id for model in cluster.client().models.list()] == ['assistant']
 
-    def test_events_have_ids_that_count_up(self, cluster):
+    def test_event_ids_are_consecutive(self, cluster):
         stream = cluster.open_stream(0, 'four', 5)
         lines = stream.read().split(b'\n')
         ids = [line for line in lines if line.startswith(b'id: ')]
         assert ids == [b'id: %d' % number for number in range(1, len(ids) + 1)]
         assert stream.headers['Fireflyhitch-Request-Id']
 
-    def test_caller_that_goes_away_cancels_the_stream(self, cluster):
-        """The caller closes its connection in mid answer and does not come back.
+    def test_disconnected_caller_cancels_the_stream(self, cluster):
+        """The caller closes its connection in mid answer and does not reconnect.
 
         The daemon keeps the answer for two seconds, then closes its connection
-        to the engine, which stops generating: nobody waits for the tokens.
+        to the engine, which stops generating.
         """
         stream = cluster.open_stream(0, 'long', 100000)
         stream.read(100)
@@ -66,10 +66,10 @@
         wait_until(lambda: cluster.running() == 0)
 
     def test_deadline_ends_the_answer_with_an_error(self, cluster):
-        """The caller gives 300 ms for an answer that takes longer.
+        """The deadline of 300 ms is shorter than the answer takes.
 
-        The first tokens come; at the deadline the stream ends with an error that
-        says that the call ran, and the engine's stream is cancelled.
+        The first tokens arrive; at the deadline the answer ends with an error
+        with outcome "ran", and the engine's stream is cancelled.
         """
         body = {
             'model': 'assistant',
@@ -85,8 +85,8 @@
         assert answer.json()['error']['code'] == 'deadline_exceeded'
 
 
-class TestRefusals:
-    """Bad input gets a status, a code and an outcome, and loses nothing."""
+class TestInvalidRequests:
+    """Invalid requests get a status, a code and the outcome "not-run"."""
 
     @pytest.mark.parametrize(
         ('path', 'body', 'status', 'code'),
@@ -127,21 +127,21 @@
     def test_wrong_method(self, cluster):
         assert cluster.call(0, 'GET', PATH).status == 405
 
-    def test_deadline_that_is_no_number(self, cluster):
+    def test_deadline_that_is_not_a_number(self, cluster):
         headers = {'Fireflyhitch-Deadline-Ms': 'soon'}
         body = json.dumps({'model': 'assistant', 'messages': build_messages('x')})
         answer = cluster.call(0, 'POST', PATH, body=body, headers=headers.items())
         assert answer.json()['error']['code'] == 'deadline'
 
 
-class TestReturningCallers:
+class TestReconnectingCallers:
     """``GET /v1/requests/{id}`` for callers that lost their connection."""
 
-    def test_rest_of_an_answer_comes_from_another_daemon(self, cluster):
+    def test_remaining_events_are_forwarded_by_another_daemon(self, cluster):
         """A caller loses its connection after some events.
 
-        It asks another daemon with its last event id. That daemon finds the one
-        which has the answer by the request's id and passes the rest on.
+        It asks another daemon, with its last event id. That daemon locates the
+        owner by the request id and forwards the remaining events.
         """
         stream = cluster.open_stream(0, 'return', 40)
         request_id = stream.headers['Fireflyhitch-Request-Id']
@@ -154,13 +154,13 @@
         assert rest.data.startswith(b'id: 3\n')
         assert rest.data.endswith(b'data: [DONE]\n\n')
 
-    def test_finished_answer_is_still_there(self, cluster):
+    def test_finished_answer_is_still_available(self, cluster):
         stream = cluster.open_stream(0, 'again', 3)
         whole = stream.read()
         path = f'/v1/requests/{stream.headers["Fireflyhitch-Request-Id"]}'
         assert cluster.call(0, 'GET', path).data == whole
 
-    def test_other_customers_request_does_not_exist(self, cluster):
+    def test_other_customers_request_is_not_found(self, cluster):
         stream = cluster.open_stream(0, 'private', 3)
         stream.read()
         path = f'/v1/requests/{stream.headers["Fireflyhitch-Request-Id"]}'
--- a/libs/daemon/tests/test_caller_connections.py
+++ b/libs/daemon/tests/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections on the relay's loop."""
+"""Tests of caller connections on the relay's event loop."""
 
 import select
 import socket
@@ -26,11 +26,11 @@
 class TestFinish:
     """The end of an answer."""
 
-    def test_caller_behind_the_end_gets_the_rest_and_the_end(self):
-        """A caller comes back just as its answer ends.
+    def test_caller_that_lags_gets_remaining_events_and_the_end(self):
+        """A caller reconnects just as its answer ends.
 
-        It is behind by two events when the end is sent. It gets them and then
-        the end; dropped after the events, it would take the answer for cut off.
+        It is two events behind when the end is sent, and must get them and then
+        the end. If it were closed after the events, the answer would look cut off.
         """
         here, caller = socket.socketpair()
         connections = CallerConnections(select.epoll(), lambda exchange: None)
--- a/libs/daemon/tests/test_crash_guard.py
+++ b/libs/daemon/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Tests of calls that end the servers they run on."""
+"""Tests of calls that crash the servers they run on."""
 
 import json
 import threading
@@ -10,14 +10,14 @@
 
 PATH = '/services/bookings/visits'
 CRASHING = 'crashing'
-# After the third server has ended, and all daemons may know it.
+# Crashes allowed after the third one was reported to all daemons.
 MAX_CRASHES_AFTER_HOLD = 3
 PROPAGATION_SECONDS = 3
 MAX_TRIES = 100
 
 
 class CrashingServices:
-    """Has plain services end under one body, and others start in their place."""
+    """Makes plain services crash on one body and starts replacements."""
 
     def __init__(self, cluster):
         self.ended = 0
@@ -41,7 +41,7 @@
         server._run = run_or_end
 
     def _replace(self, instance):
-        """Have an instance go without notice, and another start."""
+        """Kill an instance without notice and start another."""
         domain = instance.partition('-')[0]
         self._cloud.kill(instance)
         order = InstanceOrder(
@@ -60,18 +60,18 @@
 
 
 def call_until_served(cluster, number):
-    """Ask until there is a server again; not so often that the limit is reached."""
+    """Retry until a server is available, slowly enough to stay in the limit."""
     for _ in range(MAX_TRIES):
         answer = send_call(cluster, number, 'harmless')
         if answer.status == 200:
             return
         assert json.loads(answer.data)['error']['code'] != 'held'
         time.sleep(0.2)
-    raise AssertionError('no server')
+    raise AssertionError('no server became available')
 
 
 class TestCrashingCalls:
-    def test_a_call_that_ended_three_servers_is_held_by_all_daemons(
+    def test_a_call_that_crashed_three_servers_is_held_by_all_daemons(
         self, fresh_cluster
     ):
         services = CrashingServices(fresh_cluster)
--- a/libs/daemon/tests/test_http_server.py
+++ b/libs/daemon/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the front, over a real socket."""
+"""Tests of the HTTP server, over a real socket."""
 
 import socket
 import threading
@@ -27,7 +27,7 @@
     thread.join()
 
 
-class TestFront:
+class TestHttpServer:
     """Reading requests and writing answers."""
 
     def test_body_is_read_whole(self, address):
@@ -44,7 +44,7 @@
         answer = urllib3.request('POST', address, body=blocks)
         assert answer.status == 413
 
-    def test_unreadable_request_is_answered_in_the_error_form(self, address):
+    def test_malformed_request_is_answered_in_the_error_format(self, address):
         host, port = address.removeprefix('http://').split(':')
         with socket.create_connection((host, int(port))) as caller:
             caller.sendall(b'NONSENSE\r\n\r\n')
@@ -53,11 +53,11 @@
         assert b'Fireflyhitch-Outcome: not-run' in answer
         assert b'Fireflyhitch-Request-Id: id' in answer
 
-    def test_fault_of_the_handler_leaves_the_outcome_open(self, address):
-        """The handler fails with an error that nobody foresaw.
+    def test_unexpected_handler_error_gives_unknown_outcome(self, address):
+        """The handler raises an unexpected error.
 
-        The caller gets a 500 in the same form; whether the call ran is not known,
-        so "not-run" is not said.
+        The caller gets a 500 in the common error format. Whether the call ran is
+        unknown, so the outcome must not be "not-run".
         """
         answer = urllib3.request('POST', f'{address}/fault')
         assert answer.status == 500
--- a/libs/daemon/tests/test_limit_guard.py
+++ b/libs/daemon/tests/test_limit_guard.py
@@ -1,4 +1,4 @@
-"""Tests of servers that name a limit in their answers."""
+"""Tests of rate limits that servers announce in their answers."""
 
 import time
 
@@ -7,17 +7,17 @@
 
 PATH = '/services/bookings/visits'
 LIMIT = 2.0
-# What a server may get in any four seconds.
+# The most calls that a server may get in any four seconds.
 WINDOW_SECONDS = 4
 MAX_IN_WINDOW = 1.5 * WINDOW_SECONDS * LIMIT + 5
 PROPAGATION_SECONDS = 3
 TEST_SECONDS = 9
-# Both servers together get more than they take, and the caller stays in its own limit.
+# More calls than both servers allow together, but within the caller's own limit.
 CALL_INTERVAL_SECONDS = 0.1
 
 
 def record_arrivals(cluster, limit):
-    """Have plain services name a limit; return when each gets a call."""
+    """Make plain services announce a limit; return each one's arrival times."""
     arrivals = {}
     for instance, server in cluster.platform.world.servers.items():
         if isinstance(server, ServiceServer):
@@ -38,7 +38,7 @@
 
 
 class TestServerLimits:
-    def test_daemons_together_keep_to_a_servers_limit_and_use_it(self, fresh_cluster):
+    def test_daemons_together_respect_and_use_a_servers_limit(self, fresh_cluster):
         arrivals = record_arrivals(fresh_cluster, LIMIT)
         begin = time.monotonic()
         statuses = set()
--- a/libs/daemon/tests/test_reclaim_handler.py
+++ b/libs/daemon/tests/test_reclaim_handler.py
@@ -1,4 +1,4 @@
-"""Tests of servers and daemons that go while answers are under way."""
+"""Tests of servers and daemons that stop while answers are in progress."""
 
 import json
 import threading
@@ -31,13 +31,13 @@
 
 
 class TestLostServer:
-    """A backend server goes in mid answer."""
+    """A backend server stops in mid answer."""
 
-    def test_answer_goes_on_without_a_gap_or_a_repeat(self, fresh_cluster):
-        """The engine is killed after the first tokens, without notice.
+    def test_answer_continues_without_a_gap_or_a_repeat(self, fresh_cluster):
+        """The engine is killed without notice after the first tokens.
 
-        The daemon sees the connection end, sends prompt and text so far to
-        another engine, and the caller's stream goes on at the next token.
+        The daemon sees the connection close and sends the prompt and the text so
+        far to another engine; the caller's stream continues at the next token.
         """
         stream = fresh_cluster.open_stream(0, 'killed', 60)
         head = stream.read(600)
@@ -46,11 +46,11 @@
         assert read_text(body) == expected_text('killed', 60)
         assert body.count(b'data: [DONE]') == 1
 
-    def test_notice_moves_the_answer_before_the_server_goes(self, fresh_cluster):
-        """The cloud gives an engine two seconds; its answer takes longer.
+    def test_notice_moves_the_answer_before_the_server_stops(self, fresh_cluster):
+        """An engine gets two seconds' notice; its answer takes longer.
 
-        The daemon reads the notice, gives the engine no new work, and has the
-        answer go on at another one; the caller sees one whole answer.
+        The daemon reads the notice, sends the engine no further calls and moves
+        the answer to another engine; the caller gets one complete answer.
         """
         stream = fresh_cluster.open_stream(0, 'notice', 400)
         head = stream.read(600)
@@ -63,12 +63,12 @@
         leaving = fresh_cluster.admin(1, 'GET', '/admin/status').json()['leaving']
         assert leaving == [instance]
 
-    def test_moved_answer_takes_its_kv_cache_along(self, fresh_cluster):
-        """An engine with a long prompt gets a notice of two seconds.
+    def test_kv_cache_is_transferred_with_a_moved_answer(self, fresh_cluster):
+        """An engine with a long prompt gets two seconds' notice.
 
-        Computing prompt and text again would cost more than moving the cache, so
-        the cache is exported before the stream is dropped, and imported where
-        the answer goes on; the new engine computes next to nothing.
+        Recomputing prompt and text would cost more than moving the KV cache, so
+        the cache is exported before the stream is closed and imported at the next
+        engine, which recomputes fewer than 100 tokens.
         """
         prompt = ' '.join(f'word{number}' for number in range(400))
         stream = fresh_cluster.open_stream(0, prompt, 400)
@@ -83,12 +83,12 @@
 
 
 class TestDaemonShutdown:
-    """A daemon's own way out."""
+    """Graceful stop and reclaim of a daemon."""
 
-    def test_graceful_stop_cuts_off_no_answer(self, fresh_cluster):
-        """The daemon is told to stop while an answer is half way.
+    def test_graceful_stop_completes_answers(self, fresh_cluster):
+        """The daemon is stopped in mid answer.
 
-        It is not ready at once, finishes the answer, and only then stops.
+        It reports not ready at once, completes the answer, and only then stops.
         """
         stream = fresh_cluster.open_stream(0, 'stop', 60)
         head = stream.read(300)
@@ -102,17 +102,17 @@
     def test_notice_hands_the_answer_over_to_another_failure_domain(
         self, fresh_cluster
     ):
-        """The cloud gives the daemon's own instance three seconds' notice.
+        """The daemon's own instance gets three seconds' notice.
 
-        The answer cannot finish in that time. It is handed over with its tokens
-        so far; the caller's stream ends early, and its next request, to the
-        other daemon, brings the rest without a gap or a repeat.
+        The answer cannot complete in that time and is handed over with its tokens
+        so far. The caller's stream ends early, and its next request, to the other
+        daemon, returns the remaining events without a gap or a repeat.
         """
         stream = fresh_cluster.open_stream(0, 'moved', 500)
         request_id = stream.headers['Fireflyhitch-Request-Id']
         reclaim = {'notice_seconds': 3, 'instances': ['instance-0']}
         url = f'http://{fresh_cluster.platform.address}/standin/instances'
-        fresh_cluster.http.request('PUT', url, json=list_entry(fresh_cluster))
+        fresh_cluster.http.request('PUT', url, json=build_daemon_entry(fresh_cluster))
         url = f'http://{fresh_cluster.platform.address}/standin/reclaims'
         fresh_cluster.http.request('POST', url, json=reclaim)
         first = stream.read()
@@ -125,7 +125,7 @@
         assert read_text(first) + read_text(rest.data) == expected_text('moved', 500)
 
 
-def list_entry(cluster):
+def build_daemon_entry(cluster):
     return {
         'instance_id': 'instance-0',
         'role': 'entry',
--- a/libs/daemon/tests/test_request_lookup.py
+++ b/libs/daemon/tests/test_request_lookup.py
@@ -1,4 +1,4 @@
-"""Tests of finding the daemon that has an answer."""
+"""Tests of locating the daemon that has an answer."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -19,11 +19,11 @@
 class TestBusyPeer:
     """A peer that does not answer in time."""
 
-    def test_request_is_looked_for_at_the_daemon_that_accepted_it(self):
-        """A caller comes back to another daemon while the links are too slow.
+    def test_request_is_forwarded_to_the_daemon_that_accepted_it(self):
+        """A caller reconnects at another daemon while the links are too slow.
 
-        Nobody says where its request is. It is passed on to the daemon that its
-        id names, rather than told that the request does not exist.
+        No peer reports the location of its request. It must be forwarded to the
+        daemon named in its id rather than answered with 404.
         """
         network = MemoryPeerNetwork()
         messenger = network.join(HERE)
--- a/libs/daemon/tests/test_service_responses.py
+++ b/libs/daemon/tests/test_service_responses.py
@@ -1,12 +1,12 @@
-"""Tests of what passes between a caller and a plain service."""
+"""Tests of the conversion of headers for plain services."""
 
 from fireflyhitch_daemon.service_responses import forward_headers
 
 
 class TestForwardHeaders:
-    """A caller's headers on their way to a backend server."""
+    """The headers sent to a backend server."""
 
-    def test_key_stays_here_and_the_time_left_goes_along(self):
+    def test_api_key_is_dropped_and_remaining_time_is_sent(self):
         given = {
             'authorization': 'Bearer secret',
             'connection': 'keep-alive',
--- a/libs/daemon/tests/test_services.py
+++ b/libs/daemon/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Tests of plain services and calls that may not be repeated."""
+"""Tests of plain services and non-repeatable calls."""
 
 import json
 import threading
@@ -24,13 +24,13 @@
 
 
 class TestRepeatedCalls:
-    """A key runs once, whoever asks and wherever."""
+    """A call with an idempotency key runs once, whichever daemons get it."""
 
-    def test_two_daemons_at_once_run_it_once(self, cluster):
-        """The caller, in doubt, sends one booking to two daemons at once.
+    def test_concurrent_calls_to_two_daemons_run_once(self, cluster):
+        """The caller sends one booking to two daemons concurrently.
 
-        Both try to claim the key; the compare-and-swap lets one win. The other
-        gives the stored answer, or says that the call is in progress.
+        Both try to claim the key; the compare-and-swap succeeds for one. The other
+        returns the stored answer or an error that the call is in progress.
         """
         answers = []
         threads = [
@@ -58,10 +58,10 @@
         assert answer.status == 422
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
 
-    def test_refused_call_was_not_run_and_may_come_again(self, cluster):
-        """The backend server refuses before execution and says so.
+    def test_refused_call_was_not_run_and_can_be_retried(self, cluster):
+        """The backend server reports that it refused before execution.
 
-        The claim is given back, so the caller's next try runs, once.
+        The claim is released, so the caller's retry runs, once.
         """
         change_services(cluster, refuse=True)
         refused = book(cluster, 0, 'refused')
@@ -72,11 +72,11 @@
         assert book(cluster, 1, 'refused').status == 200
         assert cluster.runs()['refused'] == 1
 
-    def test_lost_answer_is_unknown_and_never_sent_again(self, cluster):
+    def test_lost_answer_is_unknown_and_never_resent(self, cluster):
         """The backend server runs the call, then the connection breaks.
 
-        Nobody can tell whether it ran: the caller is told so, and so is every
-        repeat. A second send would be the doubled booking.
+        The daemon cannot determine whether it ran: the caller and every repeat
+        get the outcome "unknown". Sending it again would book twice.
         """
         change_services(cluster, drop_share=1)
         lost = book(cluster, 0, 'lost')
@@ -90,7 +90,7 @@
 
 
 class TestKeys:
-    """Keys that cannot be taken."""
+    """Invalid idempotency keys."""
 
     def test_key_of_more_than_255_characters_is_refused(self, cluster):
         answer = book(cluster, 0, 'k' * 256)
@@ -100,13 +100,13 @@
 
 
 class TestOutage:
-    """The key-value service is away."""
+    """The key-value store is unavailable."""
 
     def test_call_that_cannot_be_claimed_is_not_run(self, fresh_cluster):
-        """The store refuses every call when a booking comes in.
+        """The store rejects every call when a booking arrives.
 
-        It cannot be claimed, so it is refused before anything is sent; model
-        calls go on. Once the store is back the same key runs, once.
+        It cannot be claimed, so it is rejected before anything is sent; model
+        calls still work. Once the store is available the same key runs, once.
         """
         address = f'{fresh_cluster.store.url}/standin/faults'
         fresh_cluster.http.request('PUT', address, json={'outage': True})
@@ -124,7 +124,7 @@
 
 
 class TestForwarding:
-    """What reaches the service and comes back."""
+    """Requests as they reach the service."""
 
     def test_method_path_query_and_body_reach_the_service(self, cluster):
         answer = cluster.call(0, 'PUT', '/services/bookings/a/b?c=1', body='text')
--- a/libs/daemon/tests/test_sse.py
+++ b/libs/daemon/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Tests of cutting and rendering server-sent events."""
+"""Tests of splitting and rendering server-sent events."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 
 
 class TestSplitEvents:
-    """Whole events are taken, whatever the pieces in which they arrive."""
+    """Splitting does not depend on the sizes of the received blocks."""
 
     @pytest.mark.parametrize('size', [1, 2, 7, 100])
-    def test_pieces_of_any_size_give_the_same_events(self, size):
+    def test_blocks_of_any_size_give_the_same_events(self, size):
         text = b': hello\n\ndata: {"a":1}\n\ndata: {"b":2}\n\ndata: [DONE]\n\n'
         rest = b''
         found = []
@@ -20,8 +20,8 @@
         assert not rest
 
 
-class TestTakeEnding:
-    """The events that end a stream are not the answer's."""
+class TestPopEnding:
+    """Events that end a stream are removed from the answer."""
 
     @pytest.mark.parametrize(
         ('events', 'ending', 'left'),
@@ -38,7 +38,7 @@
 
 
 class TestRenderEvents:
-    """Ids count up, with the attempt's tag."""
+    """Ids are consecutive and have the attempt's tag."""
 
     def test_ids(self):
         rendered = render_events([b'a', b'b'], 4, b'.2-x')
--- a/libs/daemon/tests/test_tls.py
+++ b/libs/daemon/tests/test_tls.py
@@ -7,7 +7,7 @@
 
 
 def write_files(authority, directory):
-    """Issue a certificate and write the files that the platform gives."""
+    """Issue a certificate and write the files that the platform provides."""
     issued = authority.issue_cert('127.0.0.1')
     files = {
         'certificate': directory / 'certificate.pem',
@@ -27,13 +27,13 @@
 
 
 class TestTls:
-    """Two daemons that talk TLS with callers, operators and each other."""
+    """Two daemons that use TLS with callers, operators and each other."""
 
-    def test_calls_stream_and_files_are_reloaded_under_them(self, authority, tmp_path):
-        """The platform replaces the certificate while an answer is under way.
+    def test_reloaded_files_do_not_break_open_streams(self, authority, tmp_path):
+        """The platform replaces the certificate while an answer is streamed.
 
-        The open stream goes on with what it agreed; new connections get the new
-        certificate. A caller that trusts another authority is not served.
+        The open stream is not affected; new connections use the new certificate.
+        A caller that connects without TLS gets an error.
         """
         cluster = LocalCluster(write_files(authority, tmp_path))
         try:
