--- a/libs/daemon/fireflyhitch_daemon/attempts.py
+++ b/libs/daemon/fireflyhitch_daemon/attempts.py
@@ -346,7 +346,7 @@
         step=Step.CONNECT.value,
         peer=server.address,
         error=repr(error),
-    ).warning('cannot connect to backend server')
+    ).warning('backend server could not be reached')
 
 
 def _log_cache_failure(
@@ -354,7 +354,7 @@
 ) -> None:
     logger.bind(
         request_id=exchange.call.request_id, step=error.step.value, peer=server
-    ).warning(f'KV cache transfer failed: {error.message}')
+    ).warning(f'KV cache could not be moved: {error.message}')
 
 
 def _describe_refusal(upstream: Upstream, reason: str) -> RequestError:
--- a/libs/daemon/tests/local_cluster.py
+++ b/libs/daemon/tests/local_cluster.py
@@ -42,7 +42,7 @@
         if found:
             return found
         time.sleep(0.01)
-    raise AssertionError(f'condition not met in {TIMEOUT_SECONDS} s')
+    raise AssertionError('condition not met before the timeout')
 
 
 class LocalCluster:
--- a/libs/daemon/tests/test_caller_connections.py
+++ b/libs/daemon/tests/test_caller_connections.py
@@ -3,7 +3,7 @@
 import select
 import socket
 
-from fireflyhitch_daemon.connections import CallerConnections
+from fireflyhitch_daemon.caller_connections import CallerConnections
 from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.states import Priority
