--- a/libs/daemon/fireflyhitch_daemon/caller_connections.py
+++ b/libs/daemon/fireflyhitch_daemon/caller_connections.py
@@ -1,4 +1,4 @@
-"""Caller connections on the relay's event loop."""
+"""Callers' connections on the relay's loop."""
 
 import select
 import ssl
@@ -18,10 +18,10 @@
 # the remaining events by its last event id.
 MAX_PENDING_BYTES = 1024 * 1024
 DRAIN_BYTES = 4096
-WOULD_BLOCK = (ssl.SSLWantReadError, ssl.SSLWantWriteError, BlockingIOError)
+RETRY_LATER = (ssl.SSLWantReadError, ssl.SSLWantWriteError, BlockingIOError)
 READABLE = select.EPOLLIN | select.EPOLLRDHUP
 WRITABLE = READABLE | select.EPOLLOUT
-HANGUP = select.EPOLLHUP | select.EPOLLERR | select.EPOLLRDHUP
+GONE = select.EPOLLHUP | select.EPOLLERR | select.EPOLLRDHUP
 
 
 class CallerConnections:
@@ -32,7 +32,7 @@
 
     def __init__(self, poll: select.epoll, on_left: Callable[[Exchange], None]) -> None:
         self._poll = poll
-        self._on_all_left = on_left
+        self._on_left = on_left
         self._by_descriptor: dict[int, tuple[Exchange, CallerConnection]] = {}
 
     def find(self, descriptor: int) -> tuple[Exchange, CallerConnection] | None:
@@ -88,7 +88,7 @@
             connection.pending.clear()
         try:
             sent = connection.sock.send(text)
-        except WOULD_BLOCK:
+        except RETRY_LATER:
             sent = 0
         except OSError:
             self._close(exchange, connection)
@@ -102,7 +102,7 @@
         self, exchange: Exchange, connection: CallerConnection, flags: int
     ) -> None:
         """Handle a socket event: flush pending bytes, or close after a hangup."""
-        if flags & HANGUP or (flags & select.EPOLLIN and not _is_connected(connection)):
+        if flags & GONE or (flags & select.EPOLLIN and not _is_connected(connection)):
             self._close(exchange, connection)
             return
         if flags & select.EPOLLOUT and connection.pending:
@@ -134,14 +134,14 @@
         connection.sock.close()
         exchange.connections.remove(connection)
         if not exchange.connections:
-            self._on_all_left(exchange)
+            self._on_left(exchange)
 
 
 def _is_connected(connection: CallerConnection) -> bool:
     """Discard what a caller sends; return whether it is still connected."""
     try:
         return bool(connection.sock.recv(DRAIN_BYTES))
-    except WOULD_BLOCK:
+    except RETRY_LATER:
         return True
     except OSError:
         return False
