--- a/libs/daemon/fireflyhitch_daemon/attempts.py
+++ b/libs/daemon/fireflyhitch_daemon/attempts.py
@@ -11,7 +11,7 @@
 
 from fireflyhitch_daemon.dispatch import (
     build_stream_body,
-    is_request_rejected,
+    is_invalid_request,
     make_attempt_id,
     send_call,
     send_resume,
@@ -77,7 +77,7 @@
         self._finish_ticket(
             exchange, ResultStatus.REFUSED if refused else ResultStatus.FAILED
         )
-        if is_request_rejected(upstream.status):
+        if is_invalid_request(upstream.status):
             raise _describe_refusal(upstream, reason)
         if not refused:
             exchange.sent = True
--- a/libs/daemon/fireflyhitch_daemon/calls.py
+++ b/libs/daemon/fireflyhitch_daemon/calls.py
@@ -57,7 +57,7 @@
 class ModelCalls:
     """The model calls of this daemon.
 
-    :param max_streams: the number of streams carried at once without delay.
+    :param max_streams: the maximum number of concurrent streams.
     """
 
     def __init__(self, deps: CallDependencies, max_streams: int) -> None:
--- a/libs/daemon/fireflyhitch_daemon/capacity.py
+++ b/libs/daemon/fireflyhitch_daemon/capacity.py
@@ -111,7 +111,7 @@
                 self._reconcile(deployment.name)
 
     def update_supplies(self, configuration: Configuration | None) -> None:
-        """Send the version moves the available and the needed servers."""
+        """Report the available and the needed servers to the version moves."""
         if configuration is None:
             return
         servers = self._deps.directory.list_servers()
@@ -130,14 +130,14 @@
     def _find_supply(
         self, deployment: Deployment, servers: Iterable[BackendServer]
     ) -> Supply:
-        own = tuple(one for one in servers if one.deployment == deployment.name)
+        matching = tuple(one for one in servers if one.deployment == deployment.name)
         need = self._describe(deployment)
-        ahead = self._deps.manager.find_start_time(deployment.name)
+        start_time = self._deps.manager.find_start_time(deployment.name)
         needed = max(
-            need.count_servers(version, ahead.total_seconds())
+            need.count_servers(version, start_time.total_seconds())
             for version in need.versions
         )
-        return Supply(own, needed, ahead)
+        return Supply(matching, needed, start_time)
 
     def _reconcile(self, deployment: DeploymentId) -> None:
         """Have engines load the version they are listed with if they lack it."""
--- a/libs/daemon/fireflyhitch_daemon/crash_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/crash_guard.py
@@ -20,13 +20,13 @@
 from fireflyhitch_routing.crashes import CrashReport, CrashTracker, ServerCrash
 from fireflyhitch_routing.quarantine import Quarantine
 
-# A refused connection fails at once; a call's next attempt waits for the probe.
+# Short, since a call's next attempt waits for the probe; a refusal comes at once.
 PROBE_TIMEOUT_SECONDS = 0.1
 # Within this time an exiting process has closed all its sockets.
 EXIT_SECONDS = 0.1
 # A server unresponsive for longer is no longer listed or is partitioned.
 MAX_RECHECK_SECONDS = 6.0
-# Within this time daemons have reported a response to the same call.
+# Within this time daemons have reported their responses to a call.
 REPORT_DELAY_SECONDS = 1.0
 
 
--- a/libs/daemon/fireflyhitch_daemon/dispatch.py
+++ b/libs/daemon/fireflyhitch_daemon/dispatch.py
@@ -107,7 +107,7 @@
     return json.dumps(request).encode()
 
 
-def is_request_rejected(status: int) -> bool:
+def is_invalid_request(status: int) -> bool:
     """Return whether a status means that the request itself is invalid."""
     if status in {HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS}:
         return False
--- a/libs/daemon/fireflyhitch_daemon/reclaim_handler.py
+++ b/libs/daemon/fireflyhitch_daemon/reclaim_handler.py
@@ -117,12 +117,12 @@
 
     def _migrate_answers(self, server: BackendServerId, time_left: timedelta) -> None:
         """Move the answers that a leaving server cannot finish to other servers."""
-        there = [
+        affected = [
             exchange
             for exchange in self._deps.calls.list_open()
             if exchange.ticket and exchange.ticket.choice.server.server_id == server
         ]
-        plan = self._plan(there, time_left)
+        plan = self._plan(affected, time_left)
         logger.bind(
             step=Step.RESUME.value,
             peer=server,
--- a/libs/daemon/fireflyhitch_daemon/relay.py
+++ b/libs/daemon/fireflyhitch_daemon/relay.py
@@ -71,7 +71,7 @@
         self._upstreams: dict[int, tuple[Exchange, Upstream]] = {}
         self._connections = CallerConnections(self._poll, self._on_all_left)
         self._exchanges: set[Exchange] = set()
-        self._parked: list[Upstream] = []
+        self._moved_upstreams: list[Upstream] = []
         self._stopping = False
         self._next_sweep = 0.0
         self._thread = threading.Thread(target=self._run, name='relay', daemon=True)
@@ -291,7 +291,7 @@
         if state is ExchangeState.MOVED:
             # Engines cancel a stream when its connection closes, and the peer may
             # not have resumed it yet: keep it open until this process exits.
-            self._parked.append(upstream)
+            self._moved_upstreams.append(upstream)
             return
         upstream.close()
 
