--- a/libs/daemon/tests/test_crash_guard.py
+++ b/libs/daemon/tests/test_crash_guard.py
@@ -30,7 +30,7 @@
     def _watch(self, instance, server):
         run = server._run
 
-        def run_or_end(request, reply):
+        def run_or_crash(request, reply):
             if request.body != CRASHING.encode():
                 run(request, reply)
                 return
@@ -38,7 +38,7 @@
             reply.abort()
             threading.Thread(target=self._replace, args=(instance,)).start()
 
-        server._run = run_or_end
+        server._run = run_or_crash
 
     def _replace(self, instance):
         """Kill an instance without notice and start another."""
