--- a/libs/daemon/fireflyhitch_daemon/relay.py
+++ b/libs/daemon/fireflyhitch_daemon/relay.py
@@ -1,8 +1,9 @@
-"""One thread that carries all streams between backend servers and callers.
+"""Relays all streams between backend servers and callers on one thread.
 
-A thread a stream costs some 200 microseconds a chunk, mostly in the hand-over
-of the interpreter lock; one loop over epoll costs a fraction of it. The path of
-a chunk therefore decodes nothing: it is cut into events, given ids, and sent.
+With one thread per stream each chunk costs about 200 microseconds, mostly for
+switching the interpreter lock; a single epoll loop costs a fraction of that. To
+keep the loop fast, chunks are not decoded: they are split into events, given ids
+and sent.
 """
 
 import os
@@ -15,15 +16,15 @@
 
 from loguru import logger
 
-from fireflyhitch_daemon.exchange import Exchange, ExchangeState, Follower
-from fireflyhitch_daemon.followers import Followers
+from fireflyhitch_daemon.caller_connections import CallerConnections
+from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
 from fireflyhitch_daemon.replies import describe_fault, describe_timeout
 from fireflyhitch_daemon.sse import (
     Ending,
+    pop_ending,
     render_chunk,
     render_events,
     split_events,
-    take_ending,
 )
 from fireflyhitch_daemon.upstream import Upstream
 from fireflyhitch_model.clock import Clock
@@ -34,20 +35,20 @@
 from fireflyhitch_recovery.continuation import adapt_event
 
 SWEEP_SECONDS = 0.1
-# A backend server that is silent this long in mid answer is taken for lost:
-# engines that still work send a token at least every few seconds.
+# A backend server that sends nothing for this long in mid answer counts as failed:
+# working engines send a token at least every few seconds.
 STALL_SECONDS = 5.0
-# One that has not begun by then is taken for lost too; a healthy engine that is
-# this far behind is refused by routing before the call is sent.
+# A backend server without a first event by then counts as failed too; routing
+# does not choose a healthy engine with a queue this long.
 START_SECONDS = 20.0
-# A caller that lost its connection may come back for the rest this long; after
-# that nobody waits for the answer and the engine's stream is cancelled.
+# A disconnected caller may reconnect for this long; after that the answer is
+# abandoned and the engine's stream is cancelled.
 RECONNECT_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class RelayEvents:
-    """Whom the relay tells; each function must return at once."""
+class RelayCallbacks:
+    """Callbacks of the relay; they run on its thread and must not block."""
 
     lost: Callable[[Exchange, Upstream, str], None]
     first_event: Callable[[Exchange], None]
@@ -61,16 +62,16 @@
 class Relay:
     """The event loop; its public methods may be called from any thread."""
 
-    def __init__(self, clock: Clock, events: RelayEvents) -> None:
+    def __init__(self, clock: Clock, callbacks: RelayCallbacks) -> None:
         self._clock = clock
-        self._events = events
+        self._callbacks = callbacks
         self._poll = select.epoll()
         self._wake = os.eventfd(0, os.EFD_NONBLOCK)
         self._commands: deque[Command] = deque()
         self._upstreams: dict[int, tuple[Exchange, Upstream]] = {}
-        self._followers = Followers(self._poll, self._note_left)
+        self._connections = CallerConnections(self._poll, self._on_all_left)
         self._exchanges: set[Exchange] = set()
-        self._parked: list[Upstream] = []
+        self._moved_upstreams: list[Upstream] = []
         self._stopping = False
         self._next_sweep = 0.0
         self._thread = threading.Thread(target=self._run, name='relay', daemon=True)
@@ -81,33 +82,33 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the loop; streams still open are cut off."""
+        """Stop the loop; streams still open are closed."""
         self._stopping = True
         self._notify()
         self._thread.join()
 
     def attach(self, exchange: Exchange, upstream: Upstream) -> None:
-        """Read an exchange's answer from a new attempt."""
-        self.run(partial(self._attach, exchange, upstream))
+        """Read an exchange's answer from a new attempt's connection."""
+        self.run(partial(self._attach_upstream, exchange, upstream))
 
-    def follow(self, exchange: Exchange, follower: Follower) -> None:
-        """Send an exchange's answer to one more caller's connection."""
-        self.run(partial(self._follow, exchange, follower))
+    def add_connection(self, exchange: Exchange, connection: CallerConnection) -> None:
+        """Send an exchange's answer to a further caller connection."""
+        self.run(partial(self._add_connection, exchange, connection))
 
     def fail(self, exchange: Exchange, error: RequestError) -> None:
         """End an exchange with an error."""
         self.run(partial(self._fail, exchange, error))
 
     def complete(self, exchange: Exchange) -> None:
-        """End an exchange whose answer turned out to be whole."""
+        """End an exchange whose answer is already complete."""
         self.run(partial(self._end, exchange, ExchangeState.DONE))
 
-    def drop(self, exchange: Exchange, reason: str) -> None:
-        """Leave an exchange's backend server and have the answer go on elsewhere."""
+    def drop_upstream(self, exchange: Exchange, reason: str) -> None:
+        """Close an exchange's upstream and report the attempt as lost."""
         self.run(partial(self._drop_upstream, exchange, reason))
 
     def run(self, command: Command) -> None:
-        """Run a short function on the loop's thread."""
+        """Run a short, non-blocking function on the loop's thread."""
         self._commands.append(command)
         self._notify()
 
@@ -129,9 +130,9 @@
         if descriptor == self._wake:
             self._run_commands()
             return
-        following = self._followers.find(descriptor)
-        if following is not None:
-            self._guard(following[0], self._followers.serve, *following, flags)
+        receiving = self._connections.find(descriptor)
+        if receiving is not None:
+            self._guard(receiving[0], self._connections.serve, *receiving, flags)
 
     def _run_commands(self) -> None:
         os.eventfd_read(self._wake)
@@ -140,8 +141,8 @@
             try:
                 command()
             except Exception:
-                # One request's fault must not end the loop, which would cut
-                # off every other stream of the process.
+                # An error in one request must not end the loop, which would
+                # close every other stream of the process.
                 logger.exception('relay command failed')
 
     def _guard(
@@ -150,15 +151,15 @@
         try:
             step(*arguments)
         except Exception as error:
-            # As above: only this exchange ends.
+            # As above: only this exchange fails.
             logger.bind(request_id=exchange.call.request_id).exception('relay failed')
             self._fail(exchange, describe_fault(error))
 
-    def _attach(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _attach_upstream(self, exchange: Exchange, upstream: Upstream) -> None:
         if not exchange.open:
-            # It ended while its next attempt was being sent.
+            # The exchange ended while its next attempt was being sent.
             upstream.close()
-            self._events.orphaned(exchange)
+            self._callbacks.orphaned(exchange)
             return
         exchange.upstream = upstream
         exchange.timing.last_event = self._clock.monotonic()
@@ -167,31 +168,31 @@
         self._upstreams[descriptor] = (exchange, upstream)
         self._poll.register(descriptor, select.EPOLLIN)
 
-    def _forget(self, upstream: Upstream) -> None:
+    def _unregister(self, upstream: Upstream) -> None:
         descriptor = upstream.sock.fileno()
         if self._upstreams.pop(descriptor, None) is not None:
             self._poll.unregister(descriptor)
 
-    def _follow(self, exchange: Exchange, follower: Follower) -> None:
-        self._followers.add(exchange, follower)
-        exchange.left_until = None
+    def _add_connection(self, exchange: Exchange, connection: CallerConnection) -> None:
+        self._connections.add(exchange, connection)
+        exchange.reconnect_until = None
         if exchange.open:
             self._exchanges.add(exchange)
-            self._followers.catch_up(exchange, follower)
+            self._connections.catch_up(exchange, connection)
             return
-        self._followers.finish(exchange, follower)
+        self._connections.finish(exchange, connection)
 
     def _read(self, exchange: Exchange, upstream: Upstream) -> None:
         more = upstream.read()
         if upstream.body:
-            self._take_body(exchange, upstream)
+            self._process_body(exchange, upstream)
         if more or exchange.upstream is not upstream:
             return
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
-        self._lose(exchange, upstream, 'connection ended in mid answer')
+        self._report_loss(exchange, upstream, 'connection ended in mid answer')
 
-    def _take_body(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _process_body(self, exchange: Exchange, upstream: Upstream) -> None:
         invariant(
             exchange.upstream is upstream,
             Invariant.ANSWER_OWNER,
@@ -202,70 +203,70 @@
         events, upstream.body = split_events(upstream.body)  # noqa: WPS414
         if not events:
             return
-        ending = take_ending(events)
+        ending = pop_ending(events)
         if upstream.continuation is not None:
             events = _adapt(upstream, events)
-        self._note_progress(exchange)
+        self._record_progress(exchange)
         if events and upstream.stream.extend(events):
             self._relay(exchange, upstream, events)
         if ending is Ending.DONE:
-            self._take_end(exchange, upstream)
+            self._finish_stream(exchange, upstream)
         elif ending is Ending.ERROR:
             self._drop_upstream(exchange, 'the engine reported an error')
 
     def _relay(
         self, exchange: Exchange, upstream: Upstream, events: list[bytes]
     ) -> None:
-        """Send new events to all callers; those up to date share one rendering."""
+        """Send new events to all callers; up-to-date callers share one rendering."""
         before = exchange.relayed
         exchange.relayed = before + len(events)
         chunk = b''
-        for follower in tuple(exchange.followers):
-            if not follower.streaming:
+        for connection in tuple(exchange.connections):
+            if not connection.streaming:
                 continue
-            if follower.position != before:
-                self._followers.catch_up(exchange, follower)
+            if connection.position != before:
+                self._connections.catch_up(exchange, connection)
                 continue
             if not chunk:
                 chunk = render_chunk(render_events(events, before + 1, upstream.tag))
-            follower.position = exchange.relayed
-            self._followers.send(exchange, follower, chunk)
+            connection.position = exchange.relayed
+            self._connections.send(exchange, connection, chunk)
 
-    def _note_progress(self, exchange: Exchange) -> None:
+    def _record_progress(self, exchange: Exchange) -> None:
         now = self._clock.monotonic()
         timing = exchange.timing
         if timing.first_event is None:
             timing.first_event = now
             exchange.state = ExchangeState.STREAMING
-            self._events.first_event(exchange)
+            self._callbacks.first_event(exchange)
         else:
             timing.longest_gap = max(timing.longest_gap, now - timing.last_event)
         timing.last_event = now
 
-    def _take_end(self, exchange: Exchange, upstream: Upstream) -> None:
+    def _finish_stream(self, exchange: Exchange, upstream: Upstream) -> None:
         upstream.stream.finish(AnswerEnd.COMPLETE)
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
         exchange.upstream = None
-        # While the answer is held for a peer, whether it ends here is open; the
-        # sweep sees what became of it.
+        # While an answer is held for a hand-over it is not yet decided whether it
+        # ends at this daemon; the sweep handles the result.
         if exchange.tracked.log.state is LogState.OPEN:
             self._end(exchange, ExchangeState.DONE)
 
-    def _lose(self, exchange: Exchange, upstream: Upstream, reason: str) -> None:
+    def _report_loss(self, exchange: Exchange, upstream: Upstream, reason: str) -> None:
         exchange.upstream = None
         if upstream.error_body:
             detail = upstream.error_body.decode(errors='replace')
             reason = f'status {upstream.status}: {detail}'
-        self._events.lost(exchange, upstream, reason)
+        self._callbacks.lost(exchange, upstream, reason)
 
     def _drop_upstream(self, exchange: Exchange, reason: str) -> None:
         upstream = exchange.upstream
         if upstream is None:
             return
-        self._forget(upstream)
+        self._unregister(upstream)
         upstream.close()
-        self._lose(exchange, upstream, reason)
+        self._report_loss(exchange, upstream, reason)
 
     def _fail(self, exchange: Exchange, error: RequestError) -> None:
         if exchange.open:
@@ -279,24 +280,24 @@
         upstream = exchange.upstream
         exchange.upstream = None
         if upstream is not None:
-            self._forget(upstream)
-            self._let_go(upstream, state)
+            self._unregister(upstream)
+            self._release(upstream, state)
         self._exchanges.discard(exchange)
-        for follower in tuple(exchange.followers):
-            self._followers.finish(exchange, follower)
-        self._events.ended(exchange)
+        for connection in tuple(exchange.connections):
+            self._connections.finish(exchange, connection)
+        self._callbacks.ended(exchange)
 
-    def _let_go(self, upstream: Upstream, state: ExchangeState) -> None:
+    def _release(self, upstream: Upstream, state: ExchangeState) -> None:
         if state is ExchangeState.MOVED:
-            # Engines cancel a stream whose connection closes, and the peer may
-            # not have taken it up yet: it stays open until this process ends.
-            self._parked.append(upstream)
+            # Engines cancel a stream when its connection closes, and the peer may
+            # not have resumed it yet: keep it open until this process exits.
+            self._moved_upstreams.append(upstream)
             return
         upstream.close()
 
-    def _note_left(self, exchange: Exchange) -> None:
+    def _on_all_left(self, exchange: Exchange) -> None:
         if exchange.open:
-            exchange.left_until = self._clock.monotonic() + RECONNECT_SECONDS
+            exchange.reconnect_until = self._clock.monotonic() + RECONNECT_SECONDS
 
     def _sweep(self) -> None:
         now = self._clock.monotonic()
@@ -315,46 +316,46 @@
         if log.end is not None:
             self._end(exchange, ExchangeState.DONE)
             return
-        self._check_times(exchange, now)
+        self._check_deadlines(exchange, now)
 
-    def _check_times(self, exchange: Exchange, now: float) -> None:
-        if exchange.left_until is not None and now > exchange.left_until:
+    def _check_deadlines(self, exchange: Exchange, now: float) -> None:
+        if exchange.reconnect_until is not None and now > exchange.reconnect_until:
             self._end(exchange, ExchangeState.ABANDONED)
             return
         if now > exchange.call.deadline:
             self._fail(exchange, describe_timeout(exchange))
             return
-        self._check_pace(exchange, now)
+        self._check_stall(exchange, now)
 
     def _catch_up(self, exchange: Exchange) -> None:
-        """Send what came in while the answer was held, if it was."""
+        """Send events that arrived while the answer was held for a hand-over."""
         upstream = exchange.upstream
         if upstream is None or exchange.relayed == len(upstream.stream.events):
             return
-        for follower in tuple(exchange.followers):
-            self._followers.catch_up(exchange, follower)
+        for connection in tuple(exchange.connections):
+            self._connections.catch_up(exchange, connection)
         exchange.relayed = exchange.tracked.log.count()
 
-    def _check_pace(self, exchange: Exchange, now: float) -> None:
+    def _check_stall(self, exchange: Exchange, now: float) -> None:
         started = exchange.timing.first_event is not None
-        patience = STALL_SECONDS if started else START_SECONDS
-        if now - exchange.timing.last_event > patience:
+        limit_seconds = STALL_SECONDS if started else START_SECONDS
+        if now - exchange.timing.last_event > limit_seconds:
             self._drop_upstream(exchange, 'silent for too long')
 
 
 def _adapt(upstream: Upstream, events: list[bytes]) -> list[bytes]:
-    """Make a continuation's events those of the answer that it continues."""
+    """Rewrite a continuation's events as events of the original answer."""
     continuation = upstream.continuation
     assert continuation is not None
     first, tokens = continuation.first, continuation.generated_tokens
     adapted = [adapt_event(event, first, tokens) for event in events]
-    return [event for event in adapted if not _opens_answer(event)]
+    return [event for event in adapted if not _is_role_event(event)]
 
 
-def _opens_answer(event: bytes) -> bool:
-    """Tell whether an event only says that an answer begins.
+def _is_role_event(event: bytes) -> bool:
+    """Return whether an event only carries the role that starts an answer.
 
-    An engine opens each stream with the speaker's role; in mid answer a caller
-    would take it for a second message.
+    Engines start each stream with such an event; in mid answer callers would
+    treat it as a second message.
     """
     return b'"role"' in event and b'"content": ""' in event
--- a/libs/daemon/fireflyhitch_daemon/requests.py
+++ b/libs/daemon/fireflyhitch_daemon/request_lookup.py
@@ -1,12 +1,12 @@
-"""The rest of an answer, for callers that lost their connection or were moved."""
+"""Remaining events of answers whose callers lost the connection or were moved."""
 
 from http import HTTPStatus
 
 from fireflyhitch_daemon.assembly import assemble_answer
 from fireflyhitch_daemon.calls import ModelCalls
-from fireflyhitch_daemon.exchange import Follower
+from fireflyhitch_daemon.exchange import CallerConnection
 from fireflyhitch_daemon.forwarding import FORWARDED_HEADER, Forwarder
-from fireflyhitch_daemon.front import (
+from fireflyhitch_daemon.http_server import (
     DETACHED,
     JSON_TYPE,
     CallerRequest,
@@ -30,8 +30,8 @@
 STREAM_TYPE = 'text/event-stream'
 
 
-class RequestAnswers:
-    """Answers ``GET /v1/requests/{id}`` from here, or from the daemon that has it."""
+class RequestLookup:
+    """Answers ``GET /v1/requests/{id}`` locally or by forwarding to the owner."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
     def answer(
         self, request: CallerRequest, customer: CustomerId
     ) -> Response | Detached:
-        """Give a caller the events behind the last one that it has.
+        """Return the events after the last one that the caller received.
 
-        :raises RequestError: 404 if nobody in reach has the request, or it is
-            another customer's.
+        :raises RequestError: 404 if no reachable daemon has the request, or if it
+            belongs to another customer.
         """
         request_id = RequestId(request.path.removeprefix(REQUESTS_PREFIX))
         last = parse_event_id(request.headers.get(LAST_EVENT_HEADER, ''))
@@ -66,26 +66,28 @@
         streaming = _wants_stream(request, tracked)
         exchange = self._calls.find_open(request_id)
         if exchange is not None:
-            follower = Follower(request.detach(), streaming, position=last.number)
-            self._calls.relay.follow(exchange, follower)
+            connection = CallerConnection(
+                request.detach(), streaming, position=last.number
+            )
+            self._calls.relay.add_connection(exchange, connection)
             return DETACHED
-        return _render_finished(tracked, last, streaming)
+        return _render_complete(tracked, last, streaming)
 
     def _forward(self, request: CallerRequest, request_id: RequestId) -> Detached:
         if FORWARDED_HEADER in request.headers:
-            raise _describe_missing(request_id)
-        holder = self._find_holder(request_id)
+            raise _describe_not_found(request_id)
+        owner = self._find_owner(request_id)
         for daemon in self._messenger.live():
-            if daemon.daemon_id == holder and holder != self._daemon_id:
+            if daemon.daemon_id == owner and owner != self._daemon_id:
                 return self._forward_to(request, request_id, daemon.entry_address)
-        raise _describe_missing(request_id)
+        raise _describe_not_found(request_id)
 
-    def _find_holder(self, request_id: RequestId) -> DaemonId | None:
+    def _find_owner(self, request_id: RequestId) -> DaemonId | None:
         """Return the daemon that has a request, or else the one that accepted it.
 
-        On a busy machine a peer may not say in time where a request is. The
-        daemon that its id names answers for itself then; a caller must not be
-        told that its request is gone because a question went unanswered.
+        A busy peer may not answer the lookup in time. The request then goes to
+        the daemon named in its id, since a lookup that timed out must not give
+        the caller a 404.
         """
         location = self._locations.find(request_id)
         if location is not None:
@@ -102,7 +104,7 @@
         try:
             self._forwarder.forward(request, address)
         except OSError as error:
-            raise _describe_missing(request_id) from error
+            raise _describe_not_found(request_id) from error
         return DETACHED
 
 
@@ -112,7 +114,7 @@
     return STREAM_TYPE in request.headers.get('accept', '')
 
 
-def _render_finished(
+def _render_complete(
     tracked: TrackedRequest, last: EventId, streaming: bool
 ) -> Response:
     part = tracked.log.read_after(last.number)
@@ -131,7 +133,7 @@
     return Response(HTTPStatus.OK, body, (Header('Content-Type', JSON_TYPE),))
 
 
-def _describe_missing(request_id: RequestId) -> RequestError:
+def _describe_not_found(request_id: RequestId) -> RequestError:
     return RequestError(
         f'no daemon in reach has the request {request_id}',
         step=Step.ANSWER,
--- a/libs/daemon/fireflyhitch_daemon/service_answers.py
+++ b/libs/daemon/fireflyhitch_daemon/service_responses.py
@@ -1,4 +1,4 @@
-"""What passes between a caller and a plain service, and how it can fail."""
+"""Converts headers, responses and errors between callers and plain services."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -7,7 +7,7 @@
 from urllib3 import HTTPResponse
 
 from fireflyhitch_daemon.dispatch import DEADLINE_HEADER, MILLISECONDS
-from fireflyhitch_daemon.front import OUTCOME_HEADER, Header, Response
+from fireflyhitch_daemon.http_server import OUTCOME_HEADER, Header, Response
 from fireflyhitch_ledger.operations import Answer, AnswerHeader
 from fireflyhitch_model.backends import BackendServer
 from fireflyhitch_model.errors import RequestError
@@ -15,8 +15,8 @@
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_routing.choices import ResultStatus
 
-# Headers that belong to one connection, or that this daemon sets itself.
-OWN_HEADERS = frozenset(
+# Headers of a single connection, or that this daemon sets itself.
+EXCLUDED_HEADERS = frozenset(
     (
         'authorization',
         'connection',
@@ -38,29 +38,31 @@
 def forward_headers(
     given: Mapping[str, str], request_id: RequestId, seconds_left: float
 ) -> dict[str, str]:
-    """Return a caller's headers as the backend server gets them.
+    """Return the headers to send to the backend server for a caller's request.
 
     :param seconds_left: until the caller's deadline.
     """
-    headers = {name: text for name, text in given.items() if name not in OWN_HEADERS}
+    headers = {
+        name: text for name, text in given.items() if name not in EXCLUDED_HEADERS
+    }
     headers['X-Request-Id'] = request_id
     headers[DEADLINE_HEADER] = str(int(seconds_left * MILLISECONDS))
     return headers
 
 
-def take_answer(received: HTTPResponse) -> Response:
-    """Return a backend server's answer as the caller gets it."""
+def build_response(received: HTTPResponse) -> Response:
+    """Return the caller's response for a backend server's response."""
     headers = tuple(
         Header(name, text)
         for name, text in received.headers.items()
-        if name.lower() not in OWN_HEADERS
+        if name.lower() not in EXCLUDED_HEADERS
     )
     ran = Header(OUTCOME_HEADER, Outcome.RAN.value)
     return Response(received.status, received.data, (*headers, ran))
 
 
-def keep_answer(answer: Response) -> Answer:
-    """Return an answer as the ledger keeps it."""
+def build_stored_answer(answer: Response) -> Answer:
+    """Return a response in the form that the ledger stores."""
     headers = tuple(
         AnswerHeader(name=header.name, value=header.value) for header in answer.headers
     )
@@ -68,20 +70,20 @@
 
 
 def restore_answer(answer: Answer) -> Response:
-    """Return an answer that the ledger kept."""
+    """Return the response for an answer stored by the ledger."""
     headers = tuple(Header(header.name, header.value) for header in answer.headers)
     return Response(answer.status, answer.body, headers)
 
 
-def judge_answer(answer: Response) -> ResultStatus:
-    """Return what an answer says of the backend server."""
+def classify_response(answer: Response) -> ResultStatus:
+    """Return whether a response counts as a failure of the backend server."""
     if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return ResultStatus.FAILED
     return ResultStatus.SUCCEEDED
 
 
-def describe_unreached(server: BackendServer, error: OSError) -> RequestError:
-    """Return the error for a call of which nothing was sent."""
+def describe_connect_failure(server: BackendServer, error: OSError) -> RequestError:
+    """Return the error for a call that was not sent."""
     return RequestError(
         f'the backend server was not reached: {error!r}',
         step=Step.CONNECT,
@@ -104,7 +106,7 @@
 
 
 def describe_lost(server: BackendServer, error: Exception) -> RequestError:
-    """Return the error for a call that was sent and whose answer was lost."""
+    """Return the error for a call that was sent but whose answer was lost."""
     return RequestError(
         f'the answer was lost: {error!r}',
         step=Step.FIRST_BYTE,
--- a/libs/daemon/fireflyhitch_daemon/services.py
+++ b/libs/daemon/fireflyhitch_daemon/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: at most once where a call may not be repeated."""
+"""Calls to plain services; non-repeatable calls are executed at most once."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
@@ -10,22 +10,22 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import HTTPError
 
-from fireflyhitch_daemon.accounts import Accounts, EndedCall
+from fireflyhitch_daemon.call_recorder import CallRecorder, FinishedCall
 from fireflyhitch_daemon.crash_guard import CrashGuard
 from fireflyhitch_daemon.dispatch import open_connection
-from fireflyhitch_daemon.front import OUTCOME_HEADER, CallerRequest, Response
+from fireflyhitch_daemon.http_server import OUTCOME_HEADER, CallerRequest, Response
 from fireflyhitch_daemon.limit_guard import LIMIT_HEADER, LimitGuard
 from fireflyhitch_daemon.parsing import authenticate, find_service, read_deadline
 from fireflyhitch_daemon.selection import Selection
-from fireflyhitch_daemon.service_answers import (
+from fireflyhitch_daemon.service_responses import (
+    build_response,
+    build_stored_answer,
+    classify_response,
+    describe_connect_failure,
     describe_lost,
     describe_refused,
-    describe_unreached,
     forward_headers,
-    judge_answer,
-    keep_answer,
     restore_answer,
-    take_answer,
 )
 from fireflyhitch_ledger.keys import MAX_KEY_CHARACTERS, CallKey, digest_body
 from fireflyhitch_ledger.ledger import Ledger
@@ -55,35 +55,35 @@
 from fireflyhitch_settings.schema import Configuration, ServiceDeployment
 
 SERVICES_PREFIX = '/services/'
-LEAST_SECONDS = 0.001
-# How a connection fails, as the libraries beneath say it.
-BROKEN = (HTTPError, HTTPException, OSError, ValueError)
+MIN_TIMEOUT_SECONDS = 0.001
+# Exceptions by which the underlying libraries report a failed connection.
+CONNECTION_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
 KEY_HEADER = 'idempotency-key'
-# Methods that HTTP defines as idempotent may be sent again after a lost answer.
+# Methods that HTTP defines as idempotent may be retried after a lost answer.
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE'))
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceParts:
-    """What calls of plain services are made with."""
+class ServiceDependencies:
+    """What ``ServiceCalls`` depends on."""
 
     clock: Clock
     selection: Selection
     admission: Admission
     retries: RetryBudget
     ledger: Ledger
-    accounts: Accounts
+    recorder: CallRecorder
     crashes: CrashGuard
     limits: LimitGuard
 
 
 @dataclass(slots=True)
 class _ServiceCall:
-    """One call and what became of it so far.
+    """A call and its state.
 
-    :param content: the same for all calls that ask the same of it.
-    :param claim: set while the call may not be repeated and is ours to send.
-    :param sent: whether any attempt's first byte went out.
+    :param content: equal for all calls with the same request.
+    :param claim: set while a non-repeatable call is claimed by this daemon.
+    :param sent: whether any attempt was started on a connection.
     """
 
     call: Call
@@ -100,16 +100,16 @@
 
 
 class ServiceCalls:
-    """Answers calls below ``/services/`` on the thread that brings them."""
+    """Answers calls below ``/services/`` on the thread that reads them."""
 
-    def __init__(self, parts: ServiceParts) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, deps: ServiceDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._lock = Lock()
         self._running = 0
 
     def count_running(self) -> int:
-        """Return how many calls are in progress."""
+        """Return the number of calls in progress."""
         with self._lock:
             return self._running
 
@@ -121,7 +121,7 @@
     ) -> Response:
         """Answer a call.
 
-        :raises RequestError: with what is known of its execution.
+        :raises RequestError: with the known outcome of the call.
         """
         with self._lock:
             self._running += 1
@@ -137,10 +137,10 @@
         configuration: Configuration,
         request_id: RequestId,
     ) -> Response:
-        service = self._read_call(request, configuration, request_id)
-        self._parts.crashes.check(service.content)
-        permit = self._parts.admission.admit(service.call)
-        self._parts.retries.record_call(service.call.customer)
+        service = self._parse_call(request, configuration, request_id)
+        self._deps.crashes.check(service.content)
+        permit = self._deps.admission.admit(service.call)
+        self._deps.retries.record_call(service.call.customer)
         started = self._clock.monotonic()
         try:
             answer = self._run(service)
@@ -148,11 +148,11 @@
             self._record(service, started, error.status, error.outcome)
             raise
         finally:
-            self._parts.admission.release(permit, service.call.prompt_tokens)
+            self._deps.admission.release(permit, service.call.prompt_tokens)
         self._record(service, started, answer.status, Outcome.RAN)
         return answer
 
-    def _read_call(
+    def _parse_call(
         self,
         request: CallerRequest,
         configuration: Configuration,
@@ -201,12 +201,12 @@
             raise
 
     def _claim(self, service: _ServiceCall) -> Response | None:
-        """Claim the call; return the stored answer if it ran before."""
+        """Claim the call, or return the stored answer if it ran before."""
         assert service.key is not None
         call, request = service.call, service.request
         key = CallKey(call.customer, call.deployment, service.key)
         digest = digest_body(request.method, service.target, request.body)
-        claim = self._parts.ledger.claim(key, digest, call)
+        claim = self._deps.ledger.claim(key, digest, call)
         if isinstance(claim, Claimed):
             service.claim = claim.attempt
             return None
@@ -217,20 +217,20 @@
         raise build_refusal(claim)
 
     def _send(self, service: _ServiceCall) -> Response:
-        """Send to one server after another, as far as that is safe."""
+        """Try servers one after another, as long as a retry is safe."""
         while True:
-            choice = self._parts.selection.choose(service.call, service.tried)
+            choice = self._deps.selection.choose(service.call, service.tried)
             try:
                 return self._send_once(service, choice)
             except RequestError as error:
-                if not self._may_repeat(service, error):
+                if not self._may_retry(service, error):
                     raise
 
     def _send_once(self, service: _ServiceCall, choice: Choice) -> Response:
         service.tried.add(choice.server.server_id)
         service.server = choice.server
         service.attempts += 1
-        ticket = self._parts.selection.router.start(choice, service.call)
+        ticket = self._deps.selection.router.start(choice, service.call)
         started = self._clock.monotonic()
         try:
             answer = self._attempt(service, choice.server, started)
@@ -239,58 +239,58 @@
             failed = ResultStatus.REFUSED if refused else ResultStatus.FAILED
             self._finish(ticket, failed, started)
             raise
-        self._finish(ticket, judge_answer(answer), started)
+        self._finish(ticket, classify_response(answer), started)
         return answer
 
     def _attempt(
         self, service: _ServiceCall, server: BackendServer, started: float
     ) -> Response:
-        """Send once to one server.
+        """Send the call to a server once.
 
-        :param started: monotonic seconds at which this attempt began.
-        :raises RequestError: ``not-run`` where nothing was sent or the server
-            says that it refused the call before executing it.
+        :param started: monotonic time in seconds at which this attempt began.
+        :raises RequestError: ``not-run`` if nothing was sent or the server
+            reported that it refused the call before executing it.
         """
         try:
             connection = open_connection(server.address)
         except OSError as error:
-            raise describe_unreached(server, error) from error
+            raise describe_connect_failure(server, error) from error
         try:
             self._mark_sent(service)
-            self._parts.limits.record_sent(server)
+            self._deps.limits.record_sent(server)
             received = self._exchange(service, connection)
-        except BROKEN as error:
-            self._parts.crashes.record_broken_response(server, service.content, started)
+        except CONNECTION_ERRORS as error:
+            self._deps.crashes.record_broken_response(server, service.content, started)
             raise describe_lost(server, error) from error
         finally:
             connection.close()
-        self._parts.limits.record_response(
+        self._deps.limits.record_response(
             server, received.headers.get(LIMIT_HEADER), started
         )
         if received.headers.get(OUTCOME_HEADER) == Outcome.NOT_RUN.value:
             raise describe_refused(server, received)
-        answer = take_answer(received)
-        if judge_answer(answer) is ResultStatus.SUCCEEDED:
-            self._parts.crashes.record_response(service.content)
+        answer = build_response(received)
+        if classify_response(answer) is ResultStatus.SUCCEEDED:
+            self._deps.crashes.record_response(service.content)
         if service.claim is not None:
-            self._parts.ledger.record_ran(service.claim, keep_answer(answer))
+            self._deps.ledger.record_ran(service.claim, build_stored_answer(answer))
             service.claim = None
         return answer
 
     def _mark_sent(self, service: _ServiceCall) -> None:
         claim = service.claim
         if claim is not None:
-            # A claim that lapsed is refused here, and the ledger records that
-            # itself; there must be no second record of it.
+            # The ledger rejects an expired claim here and records that itself;
+            # without a claim set no second record is written.
             service.claim = None
-            self._parts.ledger.mark_sent(claim)
+            self._deps.ledger.mark_sent(claim)
             service.claim = claim
         service.sent = True
 
     def _exchange(
         self, service: _ServiceCall, connection: HTTPConnection
     ) -> HTTPResponse:
-        left = max(service.call.deadline - self._clock.monotonic(), LEAST_SECONDS)
+        left = max(service.call.deadline - self._clock.monotonic(), MIN_TIMEOUT_SECONDS)
         assert connection.sock is not None
         connection.sock.settimeout(left)
         connection.request(
@@ -303,20 +303,20 @@
         )
         return connection.getresponse()
 
-    def _may_repeat(self, service: _ServiceCall, error: RequestError) -> bool:
-        """Tell whether another server may be tried.
+    def _may_retry(self, service: _ServiceCall, error: RequestError) -> bool:
+        """Return whether another server may be tried.
 
-        A claimed call that was sent is never sent again under its claim, also
-        when it was refused: the claim is given back, and the caller comes again.
+        A claimed call that was sent is never resent under the same claim, even if
+        it was refused: the claim is released and the caller has to retry.
         """
         if service.claim is not None and service.sent:
             return False
-        if self._parts.crashes.find_remaining_hold(service.content):
+        if self._deps.crashes.find_remaining_hold(service.content):
             return False
         not_run = error.outcome is Outcome.NOT_RUN
         if not not_run and service.request.method not in IDEMPOTENT_METHODS:
             return False
-        return self._parts.retries.take(service.call, error.outcome)
+        return self._deps.retries.take(service.call, error.outcome)
 
     def _record_failure(self, service: _ServiceCall, error: RequestError) -> None:
         claim = service.claim
@@ -324,14 +324,14 @@
             return
         service.claim = None
         if error.outcome is Outcome.NOT_RUN:
-            self._parts.ledger.record_not_run(claim, refused=service.sent)
+            self._deps.ledger.record_not_run(claim, refused=service.sent)
             return
-        self._parts.ledger.record_unknown(claim)
+        self._deps.ledger.record_unknown(claim)
 
     def _finish(self, ticket: Ticket, result: ResultStatus, started: float) -> None:
         seconds = self._clock.monotonic() - started
-        self._parts.selection.router.finish(ticket, CallResult(result, seconds=seconds))
-        self._parts.accounts.record_attempt(
+        self._deps.selection.router.finish(ticket, CallResult(result, seconds=seconds))
+        self._deps.recorder.record_attempt(
             ticket,
             ok=result is ResultStatus.SUCCEEDED,
             first_token=seconds,
@@ -342,8 +342,8 @@
         self, service: _ServiceCall, started: float, status: int, outcome: Outcome
     ) -> None:
         seconds = self._clock.monotonic() - started
-        self._parts.accounts.record_call(
-            EndedCall(
+        self._deps.recorder.record_call(
+            FinishedCall(
                 call=service.call,
                 server=service.server,
                 status=status,
--- a/libs/daemon/tests/conftest.py
+++ b/libs/daemon/tests/conftest.py
@@ -1,20 +1,20 @@
-"""Sites that tests share, or have for themselves."""
+"""Fixtures of clusters, shared per module or fresh for a test."""
 
 import pytest
-from small_site import SmallSite
+from local_cluster import LocalCluster
 
 
 @pytest.fixture(scope='module')
-def site():
-    """Return a site that the tests of a module share."""
-    small = SmallSite()
+def cluster():
+    """Provide a cluster shared by the tests of a module."""
+    small = LocalCluster()
     yield small
     small.close()
 
 
 @pytest.fixture
-def fresh_site():
-    """Return a site of its own, for a test that takes parts of it away."""
-    small = SmallSite()
+def fresh_cluster():
+    """Provide a new cluster, for a test that stops parts of it."""
+    small = LocalCluster()
     yield small
     small.close()
--- a/libs/daemon/tests/test_followers.py
+++ b/libs/daemon/tests/test_caller_connections.py
@@ -1,10 +1,10 @@
-"""Tests of callers' connections on the relay's loop."""
+"""Tests of caller connections on the relay's event loop."""
 
 import select
 import socket
 
-from fireflyhitch_daemon.exchange import Exchange, ExchangeState, Follower
-from fireflyhitch_daemon.followers import Followers
+from fireflyhitch_daemon.caller_connections import CallerConnections
+from fireflyhitch_daemon.exchange import CallerConnection, Exchange, ExchangeState
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.states import Priority
 from fireflyhitch_recovery.answers import AnswerLog
@@ -26,19 +26,19 @@
 class TestFinish:
     """The end of an answer."""
 
-    def test_caller_behind_the_end_gets_the_rest_and_the_end(self):
-        """A caller comes back just as its answer ends.
+    def test_caller_that_lags_gets_remaining_events_and_the_end(self):
+        """A caller reconnects just as its answer ends.
 
-        It is behind by two events when the end is sent. It gets them and then
-        the end; dropped after the events, it would take the answer for cut off.
+        It is two events behind when the end is sent, and must get them and then
+        the end. If it were closed after the events, the answer would look cut off.
         """
         here, caller = socket.socketpair()
-        followers = Followers(select.epoll(), lambda exchange: None)
+        connections = CallerConnections(select.epoll(), lambda exchange: None)
         exchange = make_exchange([b'{"a":1}', b'{"a":2}', b'{"a":3}'])
-        follower = Follower(here, streaming=True, position=1)
-        followers.add(exchange, follower)
+        connection = CallerConnection(here, streaming=True, position=1)
+        connections.add(exchange, connection)
         exchange.state = ExchangeState.DONE
-        followers.finish(exchange, follower)
+        connections.finish(exchange, connection)
         received = caller.makefile('rb').read()
         assert b'id: 2\ndata: {"a":2}' in received
         assert b'id: 3\ndata: {"a":3}' in received
@@ -47,13 +47,13 @@
 
     def test_moved_answer_ends_without_its_last_event(self):
         here, caller = socket.socketpair()
-        followers = Followers(select.epoll(), lambda exchange: None)
+        connections = CallerConnections(select.epoll(), lambda exchange: None)
         exchange = make_exchange([b'{"a":1}'])
-        follower = Follower(here, streaming=True)
-        followers.add(exchange, follower)
-        followers.catch_up(exchange, follower)
+        connection = CallerConnection(here, streaming=True)
+        connections.add(exchange, connection)
+        connections.catch_up(exchange, connection)
         exchange.state = ExchangeState.MOVED
-        followers.finish(exchange, follower)
+        connections.finish(exchange, connection)
         received = caller.makefile('rb').read()
         assert b'retry: ' in received
         assert b'[DONE]' not in received
--- a/libs/daemon/tests/test_crash_guard.py
+++ b/libs/daemon/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Tests of calls that end the servers they run on."""
+"""Tests of calls that crash the servers they run on."""
 
 import json
 import threading
@@ -10,19 +10,19 @@
 
 PATH = '/services/bookings/visits'
 CRASHING = 'crashing'
-# After the third server has ended, and all daemons may know it.
-MOST_REPEATS = 3
-KNOWN_SECONDS = 3
-MOST_TRIES = 100
+# Crashes allowed after the third one was reported to all daemons.
+MAX_CRASHES_AFTER_HOLD = 3
+PROPAGATION_SECONDS = 3
+MAX_TRIES = 100
 
 
 class CrashingServices:
-    """Has plain services end under one body, and others start in their place."""
+    """Makes plain services crash on one body and starts replacements."""
 
-    def __init__(self, site):
+    def __init__(self, cluster):
         self.ended = 0
-        self._servers = site.platform.world.servers
-        self._cloud = site.platform.world.cloud
+        self._servers = cluster.platform.world.servers
+        self._cloud = cluster.platform.world.cloud
         for instance, server in list(self._servers.items()):
             if isinstance(server, ServiceServer):
                 self._watch(instance, server)
@@ -30,7 +30,7 @@
     def _watch(self, instance, server):
         run = server._run
 
-        def run_or_end(request, reply):
+        def run_or_crash(request, reply):
             if request.body != CRASHING.encode():
                 run(request, reply)
                 return
@@ -38,10 +38,10 @@
             reply.abort()
             threading.Thread(target=self._replace, args=(instance,)).start()
 
-        server._run = run_or_end
+        server._run = run_or_crash
 
     def _replace(self, instance):
-        """Have an instance go without notice, and another start."""
+        """Kill an instance without notice and start another."""
         domain = instance.partition('-')[0]
         self._cloud.kill(instance)
         order = InstanceOrder(
@@ -55,38 +55,40 @@
         self._watch(successor, self._servers[successor])
 
 
-def ask(site, number, body):
-    return site.call(number, 'PUT', PATH, body=body)
+def send_call(cluster, number, body):
+    return cluster.call(number, 'PUT', PATH, body=body)
 
 
-def ask_harmless(site, number):
-    """Ask until there is a server again; not so often that the limit is reached."""
-    for _ in range(MOST_TRIES):
-        answer = ask(site, number, 'harmless')
+def call_until_served(cluster, number):
+    """Retry until a server is available, slowly enough to stay in the limit."""
+    for _ in range(MAX_TRIES):
+        answer = send_call(cluster, number, 'harmless')
         if answer.status == 200:
             return
         assert json.loads(answer.data)['error']['code'] != 'held'
         time.sleep(0.2)
-    raise AssertionError('no server')
+    raise AssertionError('no server became available')
 
 
-class TestCallsThatEndServers:
-    def test_a_call_that_ended_three_servers_is_held_by_all_daemons(self, fresh_site):
-        services = CrashingServices(fresh_site)
+class TestCrashingCalls:
+    def test_a_call_that_crashed_three_servers_is_held_by_all_daemons(
+        self, fresh_cluster
+    ):
+        services = CrashingServices(fresh_cluster)
         for turn in range(8):
-            ask(fresh_site, turn % 2, CRASHING)
-            ask_harmless(fresh_site, 1)
+            send_call(fresh_cluster, turn % 2, CRASHING)
+            call_until_served(fresh_cluster, 1)
             time.sleep(1)
             if services.ended >= 3:
                 break
-        time.sleep(KNOWN_SECONDS)
+        time.sleep(PROPAGATION_SECONDS)
         before = services.ended
         answers = []
         for turn in range(6):
-            ask_harmless(fresh_site, 1)
-            answers.append(ask(fresh_site, turn % 2, CRASHING))
-        assert services.ended - before <= MOST_REPEATS
+            call_until_served(fresh_cluster, 1)
+            answers.append(send_call(fresh_cluster, turn % 2, CRASHING))
+        assert services.ended - before <= MAX_CRASHES_AFTER_HOLD
         assert answers[-1].status == 503
         assert answers[-1].headers['Fireflyhitch-Outcome'] == 'not-run'
         assert json.loads(answers[-1].data)['error']['code'] == 'held'
-        ask_harmless(fresh_site, 0)
+        call_until_served(fresh_cluster, 0)
--- a/libs/daemon/tests/test_requests.py
+++ b/libs/daemon/tests/test_request_lookup.py
@@ -1,10 +1,10 @@
-"""Tests of finding the daemon that has an answer."""
+"""Tests of locating the daemon that has an answer."""
 
 from datetime import timedelta
 from types import SimpleNamespace
 
-from fireflyhitch_daemon.front import DETACHED, CallerRequest
-from fireflyhitch_daemon.requests import RequestAnswers
+from fireflyhitch_daemon.http_server import DETACHED, CallerRequest
+from fireflyhitch_daemon.request_lookup import RequestLookup
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.peers import Daemon
 from fireflyhitch_recovery.inflight import InFlight, make_request_id
@@ -19,11 +19,11 @@
 class TestBusyPeer:
     """A peer that does not answer in time."""
 
-    def test_request_is_looked_for_at_the_daemon_that_accepted_it(self):
-        """A caller comes back to another daemon while the links are too slow.
+    def test_request_is_forwarded_to_the_daemon_that_accepted_it(self):
+        """A caller reconnects at another daemon while the links are too slow.
 
-        Nobody says where its request is. It is passed on to the daemon that its
-        id names, rather than told that the request does not exist.
+        No peer reports the location of its request. It must be forwarded to the
+        daemon named in its id rather than answered with 404.
         """
         network = MemoryPeerNetwork()
         messenger = network.join(HERE)
@@ -41,7 +41,7 @@
         forwarder = SimpleNamespace(
             forward=lambda request, address: asked.append(address)
         )
-        answers = RequestAnswers(
+        answers = RequestLookup(
             'here', None, in_flight, locations, messenger, forwarder
         )
         path = f'/v1/requests/{make_request_id("there")}'
--- a/libs/daemon/tests/test_tls.py
+++ b/libs/daemon/tests/test_tls.py
@@ -2,12 +2,12 @@
 
 import pytest
 import trustme
-from small_site import SmallSite
+from local_cluster import LocalCluster
 from urllib3.exceptions import HTTPError
 
 
 def write_files(authority, directory):
-    """Issue a certificate and write the files that the platform gives."""
+    """Issue a certificate and write the files that the platform provides."""
     issued = authority.issue_cert('127.0.0.1')
     files = {
         'certificate': directory / 'certificate.pem',
@@ -27,25 +27,25 @@
 
 
 class TestTls:
-    """Two daemons that talk TLS with callers, operators and each other."""
+    """Two daemons that use TLS with callers, operators and each other."""
 
-    def test_calls_stream_and_files_are_reloaded_under_them(self, authority, tmp_path):
-        """The platform replaces the certificate while an answer is under way.
+    def test_reloaded_files_do_not_break_open_streams(self, authority, tmp_path):
+        """The platform replaces the certificate while an answer is streamed.
 
-        The open stream goes on with what it agreed; new connections get the new
-        certificate. A caller that trusts another authority is not served.
+        The open stream is not affected; new connections use the new certificate.
+        A caller that connects without TLS gets an error.
         """
-        site = SmallSite(write_files(authority, tmp_path))
+        cluster = LocalCluster(write_files(authority, tmp_path))
         try:
-            stream = site.open_stream(0, 'secret', 60)
+            stream = cluster.open_stream(0, 'secret', 60)
             head = stream.read(200)
             write_files(authority, tmp_path)
-            site.daemons[0].reload_tls()
-            assert site.call(0, 'GET', '/v1/models').status == 200
+            cluster.daemons[0].reload_tls()
+            assert cluster.call(0, 'GET', '/v1/models').status == 200
             body = head + stream.read()
             assert body.endswith(b'data: [DONE]\n\n')
-            plain = site.entry(0).replace('https', 'http')
+            plain = cluster.entry(0).replace('https', 'http')
             with pytest.raises(HTTPError):
-                site.http.request('GET', f'{plain}/v1/models', timeout=2)
+                cluster.http.request('GET', f'{plain}/v1/models', timeout=2)
         finally:
-            site.close()
+            cluster.close()
