--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -10,12 +10,12 @@
 from fireflyhitch_membership.records import pack, unpack
 from fireflyhitch_membership.revisions import (
     InForce,
-    RevisionKeeper,
+    RevisionTracker,
     Source,
 )
 from fireflyhitch_membership.scope import choose_watchers
 from fireflyhitch_membership.snapshots import Section
-from fireflyhitch_membership.spreading import ConfigurationSpreader, DomainRevision
+from fireflyhitch_membership.spreading import ConfigurationSync, DomainRevision
 from fireflyhitch_membership.storing import (
     Accepted,
     Backoff,
@@ -50,8 +50,8 @@
 POLL_SECONDS = 300.0
 # A daemon without any configuration asks its peers before it asks the store.
 FIRST_POLL_SECONDS = 1.0
-FIRST_BACKOFF_SECONDS = 0.5
-LONGEST_BACKOFF_SECONDS = 15.0
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 15.0
 JITTER = (0.75, 1.25)
 STOP_SECONDS = 1.0
 
@@ -74,19 +74,17 @@
         self._clock = clock
         self._stopping = threading.Event()
         self._wake = threading.Event()
-        self._revisions = RevisionKeeper(clock)
+        self._revisions = RevisionTracker(clock)
         self._stored = StoredConfiguration(
             store, self._revisions, clock, self._announce
         )
-        self._spreader = ConfigurationSpreader(
+        self._spreader = ConfigurationSync(
             messenger, here, self._revisions, clock, self._wake
         )
         self._rng = random.Random(here.daemon_id)
-        self._backoff = Backoff(
-            FIRST_BACKOFF_SECONDS, LONGEST_BACKOFF_SECONDS, self._rng
-        )
+        self._backoff = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         self._next_poll = clock.monotonic() + self._jitter(FIRST_POLL_SECONDS)
-        self._next_exchange = clock.monotonic()
+        self._next_gossip = clock.monotonic()
         self._next_sweep = clock.monotonic() + self._jitter(POLL_SECONDS)
         self._threads: list[threading.Thread] = []
 
@@ -98,7 +96,7 @@
         )
         for arguments in rounds:
             thread = threading.Thread(
-                target=self._repeat, args=arguments, name='configuration', daemon=True
+                target=self._run_loop, args=arguments, name='configuration', daemon=True
             )
             self._threads.append(thread)
             thread.start()
@@ -159,12 +157,12 @@
             return timedelta(seconds=self._jitter(ROLE_SECONDS))
         try:
             at = self._stored.read()
-            self._note_success()
+            self._on_success()
             if watches:
                 self._sweep()
                 self._stored.watch(at)
         except PlatformError as error:
-            return self._note_failure(error)
+            return self._on_failure(error)
         return timedelta()
 
     def follow_peers_once(self) -> timedelta:
@@ -173,14 +171,14 @@
         :returns: how long to wait unless a pull is wanted before.
         """
         self._wake.clear()
-        self._spreader.pull_wanted()
+        self._spreader.pull_pending()
         now = self._clock.monotonic()
-        if now >= self._next_exchange:
-            self._next_exchange = now + self._jitter(DIGEST_SECONDS)
-            self._spreader.exchange()
+        if now >= self._next_gossip:
+            self._next_gossip = now + self._jitter(DIGEST_SECONDS)
+            self._spreader.gossip()
             if self._revisions.record.revision == ABSENT:
-                self._spreader.load()
-        rest = self._next_exchange - self._clock.monotonic()
+                self._spreader.pull_initial()
+        rest = self._next_gossip - self._clock.monotonic()
         return timedelta(seconds=max(rest, 0))
 
     def _sweep(self) -> None:
@@ -192,14 +190,14 @@
     def _announce(self) -> None:
         self._spreader.announce(is_entry=True)
 
-    def _note_success(self) -> None:
+    def _on_success(self) -> None:
         if self._backoff.reset():
             logger.bind(step=Step.STORE_READ.value).info('store is back')
         nothing_yet = self._revisions.record.revision == ABSENT
-        period = LONGEST_BACKOFF_SECONDS if nothing_yet else POLL_SECONDS
+        period = MAX_BACKOFF_SECONDS if nothing_yet else POLL_SECONDS
         self._next_poll = self._clock.monotonic() + self._jitter(period)
 
-    def _note_failure(self, error: PlatformError) -> timedelta:
+    def _on_failure(self, error: PlatformError) -> timedelta:
         if self._backoff.failures == 0:
             logger.bind(step=error.step.value, peer=error.peer).warning(
                 'store cannot be reached', error=error.message
@@ -208,7 +206,7 @@
         self._next_poll = self._clock.monotonic() + delay.total_seconds()
         return delay
 
-    def _repeat(self, work: Callable[[], timedelta], wake: threading.Event) -> None:
+    def _run_loop(self, work: Callable[[], timedelta], wake: threading.Event) -> None:
         while not self._stopping.is_set():
             try:
                 rest = work()
--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -35,10 +35,10 @@
         self._links: Links | None = None
         self._numbers = itertools.count(1)
         self._pending: dict[int, asyncio.Future[PeerMessage]] = {}
-        self._quick: dict[str, AnyHandler] = {}
-        self._by_task: dict[str, AsyncHandler] = {}
+        self._inline_handlers: dict[str, AnyHandler] = {}
+        self._async_handlers: dict[str, AsyncHandler] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._slow: dict[str, AnyHandler] = {}
+        self._thread_handlers: dict[str, AnyHandler] = {}
         self._pool = ThreadPoolExecutor(HANDLER_THREADS, 'peer-handler')
         self._waiting = 0
 
@@ -46,17 +46,17 @@
         """Use the links."""
         self._links = links
 
-    def handle_quickly(self, kind: str, handler: AnyHandler) -> None:
+    def handle_inline(self, kind: str, handler: AnyHandler) -> None:
         """Have a handler that never blocks called on the loop."""
-        self._quick[kind] = handler
+        self._inline_handlers[kind] = handler
 
-    def handle_by_task(self, kind: str, handler: AsyncHandler) -> None:
+    def handle_async(self, kind: str, handler: AsyncHandler) -> None:
         """Have a handler that waits for other messages run as a task."""
-        self._by_task[kind] = handler
+        self._async_handlers[kind] = handler
 
     def handle(self, kind: str, handler: AnyHandler) -> None:
         """Have a handler called in a thread."""
-        self._slow[kind] = handler
+        self._thread_handlers[kind] = handler
 
     def run(self, work: Callable[[], object]) -> None:
         """Do work in a thread; dropped if too much waits already."""
@@ -107,30 +107,30 @@
             )
             return
         if frame.answers is not None:
-            self._settle(frame.answers, message)
+            self._resolve(frame.answers, message)
             return
-        self.hand_out(peer, message, frame.ask)
+        self.dispatch(peer, message, frame.ask)
 
-    def hand_out(
+    def dispatch(
         self, peer: DaemonId, message: PeerMessage, ask: int | None = None
     ) -> None:
         """Call the handler of a message and send its answer, if it was asked."""
-        quick = self._quick.get(message.kind)
+        quick = self._inline_handlers.get(message.kind)
         if quick is not None:
             self._answer(peer, quick(peer, message), ask)
             return
-        by_task = self._by_task.get(message.kind)
+        by_task = self._async_handlers.get(message.kind)
         if by_task is not None:
-            work = self._answer_by_task(by_task, peer, message, ask)
+            work = self._answer_async(by_task, peer, message, ask)
             task = asyncio.get_running_loop().create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        slow = self._slow.get(message.kind)
+        slow = self._thread_handlers.get(message.kind)
         if slow is not None:
             loop = asyncio.get_running_loop()
-            self.run(lambda: self._handle_slowly(loop, slow, peer, message, ask))
+            self.run(lambda: self._handle_in_thread(loop, slow, peer, message, ask))
 
-    async def _answer_by_task(
+    async def _answer_async(
         self,
         handler: AsyncHandler,
         peer: DaemonId,
@@ -139,7 +139,7 @@
     ) -> None:
         self._answer(peer, await handler(peer, message), ask)
 
-    def _handle_slowly(
+    def _handle_in_thread(
         self,
         loop: asyncio.AbstractEventLoop,
         handler: AnyHandler,
@@ -157,7 +157,7 @@
         if answer is not None and ask is not None:
             self._send(peer, answer.kind, encode(answer, answers=ask))
 
-    def _settle(self, number: int, message: PeerMessage) -> None:
+    def _resolve(self, number: int, message: PeerMessage) -> None:
         pending = self._pending.get(number)
         if pending is not None and not pending.done():
             pending.set_result(message)
--- a/libs/membership/fireflyhitch_membership/heads.py
+++ b/libs/membership/fireflyhitch_membership/heads.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from fireflyhitch_membership.records import (
-    UNREADABLE,
+    DECODE_ERRORS,
     ConfigurationRecord,
     apply_difference,
     pack_difference,
@@ -24,7 +24,7 @@
 HEAD_FORMAT = 1
 BODY_PREFIX = 'fireflyhitch/configuration.bodies/'
 # A daemon that read a head just before it was replaced still finds its body.
-KEPT_BODIES = 3
+MAX_BODIES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
         base.revision,
         base.content,
         pack_difference(base, record),
-        (*earlier, body)[-KEPT_BODIES:],
+        (*earlier, body)[-MAX_BODIES:],
     )
 
 
@@ -122,7 +122,7 @@
             base64.b64decode(document['difference']),
             tuple(Body(str(key), Revision(at)) for key, at in document['bodies']),
         )
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise PlatformError(
             'unreadable configuration head', step=Step.CONFIGURE, peer=peer
         ) from error
--- a/libs/membership/fireflyhitch_membership/links.py
+++ b/libs/membership/fireflyhitch_membership/links.py
@@ -24,9 +24,9 @@
 # and its repetition makes a busy daemon busier.
 OPEN_SECONDS = 4.0
 # A daemon that meets many at once opens its links one after the other.
-OPEN_AT_ONCE = 4
+MAX_CONCURRENT_OPENS = 4
 # Heartbeats cross a link in use more often than this.
-SILENT_SECONDS = 3.0
+UNRESPONSIVE_SECONDS = 3.0
 SEND_SECONDS = 2.0
 # For the closing handshake of a link; a peer that is gone does not answer it.
 CLOSE_SECONDS = 1.0
@@ -35,7 +35,7 @@
 IDLE_SECONDS = 120.0
 BACKOFF_SECONDS = 0.3
 # At 12 KB/s it would take a peer minutes to empty more.
-QUEUED_FRAMES = 256
+MAX_QUEUED_FRAMES = 256
 BACKOFF_JITTER = (0.5, 1.5)
 # A WebSocket frame's header with its mask (8), TCP with timestamps (32), IP (20).
 FRAME_OVERHEAD_BYTES = 60
@@ -43,7 +43,7 @@
 # Decides whether a frame of a kind goes out to a peer; for tests of lost messages.
 LinkFilter = Callable[[DaemonId, str], bool]
 # The library would write lines that are no JSON to standard error.
-_silent_log = logging.Logger('peer-links', logging.CRITICAL + 1)
+_null_logger = logging.Logger('peer-links', logging.CRITICAL + 1)
 LINK_ERRORS = (OSError, EOFError, KeyError, WebSocketException, PeerError)
 
 
@@ -84,14 +84,14 @@
 
     :param own: returns this daemon's record.
     :param find: returns a peer's record, or ``None``.
-    :param greeted: told of each peer that proved the key.
-    :param received: takes a peer's frame; it must not block.
+    :param on_authenticated: told of each peer that proved the key.
+    :param on_frame: takes a peer's frame; it must not block.
     """
 
     own: Callable[[], MemberRecord]
     find: Callable[[DaemonId], MemberRecord | None]
-    greeted: Callable[[MemberRecord], None]
-    received: Callable[[DaemonId, Frame], None]
+    on_authenticated: Callable[[MemberRecord], None]
+    on_frame: Callable[[DaemonId, Frame], None]
 
 
 class Links:
@@ -104,8 +104,8 @@
         self._server: Server | None = None
         self._sockets: dict[DaemonId, Any] = {}
         self._queues: dict[DaemonId, asyncio.Queue[bytes]] = {}
-        self._heard: dict[DaemonId, float] = {}
-        self._opening = asyncio.Semaphore(OPEN_AT_ONCE)
+        self._last_received: dict[DaemonId, float] = {}
+        self._opening = asyncio.Semaphore(MAX_CONCURRENT_OPENS)
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> int:
@@ -122,7 +122,7 @@
             ping_interval=None,
             max_size=MAX_FRAME_BYTES,
             close_timeout=CLOSE_SECONDS,
-            logger=_silent_log,
+            logger=_null_logger,
         )
         port: int = next(iter(self._server.sockets)).getsockname()[1]
         return port
@@ -153,7 +153,7 @@
             return True
         queue = self._queues.get(peer)
         if queue is None:
-            queue = asyncio.Queue(QUEUED_FRAMES)
+            queue = asyncio.Queue(MAX_QUEUED_FRAMES)
             self._queues[peer] = queue
             self._start(self._write(peer, queue))
         if queue.full():
@@ -164,7 +164,7 @@
         queue.put_nowait(frame)
         return True
 
-    async def contact(self, address: str) -> MemberRecord:
+    async def open_link(self, address: str) -> MemberRecord:
         """Open a link to an address of which the daemon is not known.
 
         :raises PeerError: if nobody there proves the key in time.
@@ -183,14 +183,14 @@
         network has healed. A new connection gets through at once.
         """
         socket = self._sockets.pop(peer, None)
-        self._heard.pop(peer, None)
+        self._last_received.pop(peer, None)
         if socket is not None:
             self._start(socket.close())
 
-    async def drop_if_silent(self, peer: DaemonId) -> None:
+    async def drop_if_unresponsive(self, peer: DaemonId) -> None:
         """Close the link to a peer from which nothing came for a while."""
         now = asyncio.get_running_loop().time()
-        if now - self._heard.get(peer, now) > SILENT_SECONDS:
+        if now - self._last_received.get(peer, now) > UNRESPONSIVE_SECONDS:
             await self.drop(peer)
 
     async def _write(self, peer: DaemonId, queue: 'asyncio.Queue[bytes]') -> None:
@@ -249,13 +249,13 @@
             max_size=MAX_FRAME_BYTES,
             open_timeout=OPEN_SECONDS,
             close_timeout=CLOSE_SECONDS,
-            logger=_silent_log,
+            logger=_null_logger,
         )
         try:
             peer = await open_handshake(
                 socket, self._options.peer_key, self._hooks.own(), address
             )
-            self._refuse_self(peer, address)
+            self._reject_self(peer, address)
         except BaseException:
             await socket.close()
             raise
@@ -263,7 +263,7 @@
         self._adopt(peer, socket)
         return peer
 
-    def _refuse_self(self, peer: MemberRecord, address: str) -> None:
+    def _reject_self(self, peer: MemberRecord, address: str) -> None:
         if peer.daemon_id == self._hooks.own().daemon_id:
             raise PeerError('own address', step=Step.CONNECT, peer=address)
 
@@ -284,16 +284,16 @@
 
     def _adopt(self, peer: MemberRecord, socket: Any) -> None:
         self._sockets[peer.daemon_id] = socket
-        self._heard[peer.daemon_id] = asyncio.get_running_loop().time()
-        self._hooks.greeted(peer)
+        self._last_received[peer.daemon_id] = asyncio.get_running_loop().time()
+        self._hooks.on_authenticated(peer)
 
     async def _read(self, peer: DaemonId, socket: Any) -> None:
         try:
             async for content in socket:
-                self._heard[peer] = asyncio.get_running_loop().time()
+                self._last_received[peer] = asyncio.get_running_loop().time()
                 self.counts.frames_in += 1
                 self.counts.bytes_in += len(content) + FRAME_OVERHEAD_BYTES
-                self._hooks.received(peer, decode(content, peer))
+                self._hooks.on_frame(peer, decode(content, peer))
         except LINK_ERRORS as error:
             logger.bind(step=Step.PEER.value, peer=peer).info(
                 'link lost', error=repr(error)
--- a/libs/membership/fireflyhitch_membership/marks.py
+++ b/libs/membership/fireflyhitch_membership/marks.py
@@ -16,7 +16,7 @@
 # Eleven days of 1,800 restarts or failures a day, in about 4 MB.
 MAX_LEAVING_MARKS = 20000
 
-_PROMISES = {
+_INVARIANTS = {
     MarkKind.LEAVING: Invariant.LEAVING_STAYS,
     MarkKind.WITHDRAWN: Invariant.WITHDRAWN_STAYS,
 }
@@ -42,7 +42,7 @@
         :returns: those that were news.
         """
         with self._lock:
-            return tuple(mark for mark in marks if self._raise_to(mark))
+            return tuple(mark for mark in marks if self._apply(mark))
 
     def number_of(self, kind: MarkKind, key: str) -> int:
         """Return up to which number a key is marked; 0 if not at all."""
@@ -76,20 +76,20 @@
         with self._lock:
             return tuple(self._buckets)
 
-    def differing(self, theirs: tuple[int, ...]) -> tuple[Mark, ...]:
+    def differing(self, remote: tuple[int, ...]) -> tuple[Mark, ...]:
         """Return the marks of the buckets that differ from a peer's."""
-        if not theirs:
+        if not remote:
             return ()
-        if len(theirs) != BUCKETS:
+        if len(remote) != BUCKETS:
             return self.all()
-        mine = self.bucket_digests()
+        local = self.bucket_digests()
         return tuple(
             mark
             for mark in self.all()
-            if mine[_bucket_of(mark)] != theirs[_bucket_of(mark)]
+            if local[_bucket_of(mark)] != remote[_bucket_of(mark)]
         )
 
-    def _raise_to(self, mark: Mark) -> bool:
+    def _apply(self, mark: Mark) -> bool:
         key = (mark.kind, mark.key)
         before = self._numbers.get(key, 0)
         if mark.number <= before:
@@ -101,14 +101,14 @@
         self._numbers[key] = mark.number
         invariant(
             self._numbers[key] > before,
-            _PROMISES[mark.kind],
+            _INVARIANTS[mark.kind],
             f'{mark.key}: {before} to {mark.number}',
             step=Step.PEER,
         )
-        self._bound_leaving(mark.kind)
+        self._evict_oldest_leaving(mark.kind)
         return True
 
-    def _bound_leaving(self, kind: MarkKind) -> None:
+    def _evict_oldest_leaving(self, kind: MarkKind) -> None:
         if kind is not MarkKind.LEAVING or len(self._numbers) <= MAX_LEAVING_MARKS:
             return
         oldest = next(key for key in self._numbers if key[0] is MarkKind.LEAVING)
--- a/libs/membership/fireflyhitch_membership/members.py
+++ b/libs/membership/fireflyhitch_membership/members.py
@@ -14,12 +14,12 @@
 
 # A process stopped for less is suspected but keeps its place: on waking up it
 # finds the suspicion in the next probe and contradicts it.
-SUSPICION = timedelta(seconds=5)
+SUSPICION_TIMEOUT = timedelta(seconds=5)
 # Longer than regions lose each other, so that a side that comes back does not
 # bring a leaving daemon back.
 GONE_RETENTION = timedelta(hours=1)
 # The statuses under which a daemon gets work and duties.
-SERVING = frozenset((MemberStatus.ALIVE, MemberStatus.SUSPECT))
+SERVING_STATUSES = frozenset((MemberStatus.ALIVE, MemberStatus.SUSPECT))
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         """Return this daemon's record."""
         return self._own
 
-    def listen_at(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Set the address at which this daemon accepts links."""
         with self._lock:
             self._own = self._own.model_copy(update={'peer': address})
@@ -72,7 +72,10 @@
         """
         with self._lock:
             changed = [
-                news for record in records for news in self._merge_one(record) if news
+                change
+                for record in records
+                for change in self._merge_one(record)
+                if change
             ]
             if changed:
                 self._prune()
@@ -94,10 +97,10 @@
             for entry in tuple(self._entries.values()):
                 age = timedelta(seconds=now - entry.changed)
                 status = entry.record.status
-                if status is MemberStatus.SUSPECT and age > SUSPICION:
+                if status is MemberStatus.SUSPECT and age > SUSPICION_TIMEOUT:
                     dead = _with_status(entry.record, MemberStatus.DEAD)
                     died.extend(self._merge_one(dead))
-                elif status not in SERVING and age > GONE_RETENTION:
+                elif status not in SERVING_STATUSES and age > GONE_RETENTION:
                     self._entries.pop(entry.record.daemon_id)
             return tuple(died)
 
@@ -130,7 +133,7 @@
         """Return the records behind ``live``."""
         with self._lock:
             records = [self._own, *(one.record for one in self._entries.values())]
-        return [record for record in records if record.status in SERVING]
+        return [record for record in records if record.status in SERVING_STATUSES]
 
     def domains(self) -> frozenset[FailureDomainId]:
         """Return all failure domains heard of, with or without live daemons."""
@@ -146,7 +149,7 @@
                 if entry.record.status is MemberStatus.SUSPECT
             )
 
-    def gone_addresses(self) -> frozenset[str]:
+    def dead_addresses(self) -> frozenset[str]:
         """Return the addresses of daemons that were declared dead."""
         with self._lock:
             return frozenset(
@@ -167,23 +170,23 @@
             return found
 
     def differing(
-        self, domain: FailureDomainId, theirs: dict[FailureDomainId, int]
+        self, domain: FailureDomainId, remote: dict[FailureDomainId, int]
     ) -> tuple[MemberRecord, ...]:
         """Return the records of failure domains that differ from a peer's.
 
         Those that are gone go along, since only they explain the difference.
         """
         with self._lock:
-            mine = self.digests(domain)
+            local = self.digests(domain)
             differ = {
                 one
-                for one in mine.keys() | theirs.keys()
-                if mine.get(one) != theirs.get(one)
+                for one in local.keys() | remote.keys()
+                if local.get(one) != remote.get(one)
             }
             gone = [
                 entry.record
                 for entry in self._entries.values()
-                if entry.record.status not in SERVING
+                if entry.record.status not in SERVING_STATUSES
             ]
             known = [*self._visible_from(domain), *gone, self._own]
             chosen = {
@@ -193,9 +196,9 @@
 
     def _merge_one(self, record: MemberRecord) -> tuple[MemberRecord, ...]:
         if record.daemon_id == self._own.daemon_id:
-            return self._contradict(record)
+            return self._refute(record)
         known = self._entries.get(record.daemon_id)
-        if known is None and record.status not in SERVING:
+        if known is None and record.status not in SERVING_STATUSES:
             return ()
         if known is not None and _rank(record) <= _rank(known.record):
             return ()
@@ -203,7 +206,7 @@
         self._live = None
         return (record,)
 
-    def _contradict(self, record: MemberRecord) -> tuple[MemberRecord, ...]:
+    def _refute(self, record: MemberRecord) -> tuple[MemberRecord, ...]:
         if _rank(record) <= _rank(self._own) and record.peer == self._own.peer:
             return ()
         if record.incarnation < self._own.incarnation:
@@ -220,8 +223,8 @@
         serving = self.serving()
         if domain == self._own.domain:
             return serving
-        mine = [one.daemon_id for one in serving if one.domain == self._own.domain]
-        chosen = frozenset(choose_summary(self._own.domain, mine))
+        local = [one.daemon_id for one in serving if one.domain == self._own.domain]
+        chosen = frozenset(choose_summary(self._own.domain, local))
         return [
             record
             for record in serving
--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -21,7 +21,7 @@
     StateUpdate,
 )
 from fireflyhitch_membership.probing import Prober
-from fireflyhitch_membership.relaying import Relayer
+from fireflyhitch_membership.relaying import Broadcaster
 from fireflyhitch_membership.snapshots import Section
 from fireflyhitch_membership.wire import encode_body
 from fireflyhitch_model.clock import Clock
@@ -48,7 +48,7 @@
 # A version is withdrawn or not; it has no incarnations.
 WITHDRAWN = 1
 
-Returned = TypeVar('Returned')
+Result = TypeVar('Result')
 
 
 class PeerNetwork:
@@ -64,17 +64,17 @@
         self._marks = MarkTable()
         self._exchange = Exchange()
         epoch = int(clock.now().timestamp())
-        self._relayer = Relayer(self._exchange, self._members, epoch << EPOCH_BITS)
+        self._relayer = Broadcaster(self._exchange, self._members, epoch << EPOCH_BITS)
         self._prober = Prober(
             self._exchange, self._members, self._marks, self._relayer.spread, clock
         )
-        self._prober.changed = self._tell_members
-        self._prober.marked = self._tell_marks
+        self._prober.changed = self._notify_members
+        self._prober.marked = self._notify_marks
         self._prober.addresses = frozenset(options.seeds)
         hooks = LinkHooks(
             lambda: self._members.own,
             self._members.get,
-            self._prober.greet,
+            self._prober.add_peer,
             self._exchange.receive,
         )
         self._links = Links(options, hooks)
@@ -106,7 +106,7 @@
         """
         self._thread.start()
         port = self._call(self._links.listen(), START_SECONDS)
-        self._members.listen_at(f'{self._options.host}:{port}')
+        self._members.set_address(f'{self._options.host}:{port}')
         self._call(self._join(), START_SECONDS)
         self._loop.call_soon_threadsafe(self._prober.start, self._links)
 
@@ -229,19 +229,19 @@
         update = StateUpdate.model_validate(cbor2.loads(content))
         changed = self._members.merge(update.members)
         marks = self._marks.merge(update.marks)
-        self._loop.call_soon_threadsafe(self._tell_members, changed)
-        self._loop.call_soon_threadsafe(self._tell_marks, marks)
+        self._loop.call_soon_threadsafe(self._notify_members, changed)
+        self._loop.call_soon_threadsafe(self._notify_marks, marks)
 
     def _add_marks(self, marks: list[Mark] | tuple[Mark, ...]) -> None:
         news = self._marks.merge(marks)
         if news:
-            self._loop.call_soon_threadsafe(self._prober.note_marks, news)
+            self._loop.call_soon_threadsafe(self._prober.publish_marks, news)
 
-    def _tell_members(self, _changed: tuple[MemberRecord, ...]) -> None:
+    def _notify_members(self, _changed: tuple[MemberRecord, ...]) -> None:
         for callback in tuple(self._on_members):
             self._exchange.run(callback)
 
-    def _tell_marks(self, marks: tuple[Mark, ...]) -> None:
+    def _notify_marks(self, marks: tuple[Mark, ...]) -> None:
         for callback in tuple(self._on_marks):
             self._exchange.run(partial(callback, marks))
 
@@ -262,7 +262,7 @@
         await self._links.close()
         self._exchange.close()
 
-    def _call(self, work: Coroutine[Any, Any, Returned], seconds: float) -> Returned:
+    def _call(self, work: Coroutine[Any, Any, Result], seconds: float) -> Result:
         if threading.current_thread() is self._thread or not self._thread.is_alive():
             work.close()
             raise PeerError('no waiting on this thread', step=Step.PEER)
--- a/libs/membership/fireflyhitch_membership/probing.py
+++ b/libs/membership/fireflyhitch_membership/probing.py
@@ -49,7 +49,7 @@
 # A round that took longer than this was not held up by its peers' timeouts.
 PAUSE_SECONDS = 3.0
 # How often a daemon with peers still looks for ones it lost or never knew.
-SEARCH_ROUNDS = 4
+DISCOVERY_ROUNDS = 4
 
 Seen = tuple[Incarnation, MemberStatus]
 Spread = Callable[[PeerMessage, Scope], None]
@@ -78,21 +78,21 @@
         self._marks = marks
         self._spread = spread
         self._clock = clock
-        self._turns: list[DaemonId] = []
-        self._far_turns: list[DaemonId] = []
+        self._local_turns: list[DaemonId] = []
+        self._remote_turns: list[DaemonId] = []
         self._syncing: set[DaemonId] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        exchange.handle_quickly(Probe.kind, self._answer_probe)
-        exchange.handle_quickly(StateUpdate.kind, self._take_update)
-        exchange.handle_quickly(SyncRequest.kind, self._answer_sync)
-        exchange.handle_by_task(IndirectProbe.kind, self._start_indirect)
+        exchange.handle_inline(Probe.kind, self._answer_probe)
+        exchange.handle_inline(StateUpdate.kind, self._apply_update)
+        exchange.handle_inline(SyncRequest.kind, self._answer_sync)
+        exchange.handle_async(IndirectProbe.kind, self._start_indirect)
 
     async def join(self, links: Links) -> None:
         """Find a first peer, so that its soft state can be asked for at once."""
         addresses = sorted(self.addresses)
         for address in random.sample(addresses, min(JOIN_ATTEMPTS, len(addresses))):
             try:
-                found = await links.contact(address)
+                found = await links.open_link(address)
             except PeerError:
                 continue
             await self._probe(found.daemon_id)
@@ -102,23 +102,23 @@
         """Begin to probe."""
         self._start(self._run(links))
 
-    def note(self, changed: tuple[MemberRecord, ...]) -> None:
+    def publish_members(self, changed: tuple[MemberRecord, ...]) -> None:
         """Spread news about members that arose here."""
         if not changed:
             return
         self._spread(StateUpdate(members=changed), Scope.FAILURE_DOMAIN)
         self.changed(changed)
 
-    def note_marks(self, marks: tuple[Mark, ...]) -> None:
+    def publish_marks(self, marks: tuple[Mark, ...]) -> None:
         """Spread marks that were made here."""
         if not marks:
             return
         self._spread(StateUpdate(marks=marks), Scope.EVERYWHERE)
         self.marked(marks)
 
-    def greet(self, peer: MemberRecord) -> None:
+    def add_peer(self, peer: MemberRecord) -> None:
         """Take in a daemon that proved the shared key on a new link."""
-        self.note(self._members.merge((peer,)))
+        self.publish_members(self._members.merge((peer,)))
 
     def stop(self) -> None:
         """End what runs."""
@@ -129,39 +129,39 @@
         rounds = 0
         while True:
             began = self._clock.monotonic()
-            self._start(self._probe_near(links))
+            self._start(self._probe_local(links))
             for suspect in self._members.suspects():
                 # The probe carries the suspicion, so that it is contradicted at
                 # once even if the news of it were lost.
-                self._start(self._probe_quietly(suspect))
-            self._start(self._probe_far(links))
-            if rounds % SEARCH_ROUNDS == 0 or len(self._members.live()) < 2:
-                self._start(self._search(links))
+                self._start(self._probe_suspect(suspect))
+            self._start(self._probe_remote(links))
+            if rounds % DISCOVERY_ROUNDS == 0 or len(self._members.live()) < 2:
+                self._start(self._discover(links))
             rounds += 1
             await asyncio.sleep(PERIOD_SECONDS * random.uniform(*JITTER))
             if self._clock.monotonic() - began > PAUSE_SECONDS:
                 logger.bind(step=Step.PEER.value).warning('process was paused')
                 self._members.restart_suspicions()
-            self.note(self._members.expire())
+            self.publish_members(self._members.expire())
 
-    async def _probe_near(self, links: Links) -> None:
+    async def _probe_local(self, links: Links) -> None:
         own = self._members.own
-        near = [
+        local = [
             daemon
             for daemon in self._members.live()
             if daemon.failure_domain == own.domain
         ]
-        target = _take_turn(self._turns, near, own.daemon_id)
+        target = _next_turn(self._local_turns, local, own.daemon_id)
         if target is not None:
             await self._probe_or_suspect(target, links)
 
-    async def _probe_far(self, links: Links) -> None:
+    async def _probe_remote(self, links: Links) -> None:
         own = self._members.own
         live = self._members.live()
         if own.daemon_id not in choose_carriers(own.domain, live):
             return
-        far = [daemon for daemon in live if daemon.failure_domain != own.domain]
-        target = _take_turn(self._far_turns, far, own.daemon_id)
+        remote = [daemon for daemon in live if daemon.failure_domain != own.domain]
+        target = _next_turn(self._remote_turns, remote, own.daemon_id)
         if target is not None:
             await self._probe_or_suspect(target, links)
 
@@ -170,15 +170,15 @@
         for _ in range(DIRECT_PROBES):
             if await self._probe(target):
                 return
-        await links.drop_if_silent(target)
+        await links.drop_if_unresponsive(target)
         if await self._probe_indirectly(target):
             return
         if self._clock.monotonic() - began > PAUSE_SECONDS:
             # This process was stopped, so the answers' lateness proves nothing.
             return
-        self.note(self._members.suspect(target))
+        self.publish_members(self._members.suspect(target))
 
-    async def _probe_quietly(self, target: DaemonId) -> None:
+    async def _probe_suspect(self, target: DaemonId) -> None:
         await self._probe(target)
 
     async def _probe(self, target: DaemonId) -> bool:
@@ -197,8 +197,8 @@
         except PeerError:
             return False
         if isinstance(answer, ProbeAnswer):
-            self.note(self._members.merge((answer.me,)))
-            self._contradict(answer.seen)
+            self.publish_members(self._members.merge((answer.me,)))
+            self._refute(answer.seen)
             self._compare(answer.me, answer.members, answer.marks)
         return True
 
@@ -224,13 +224,13 @@
     async def _start_indirect(
         self, _sender: DaemonId, request: IndirectProbe
     ) -> IndirectAnswer:
-        self.note(self._members.merge((request.target,)))
+        self.publish_members(self._members.merge((request.target,)))
         reached = await self._probe(request.target.daemon_id)
         return IndirectAnswer(reached=reached)
 
     def _answer_probe(self, sender: DaemonId, probe: Probe) -> ProbeAnswer:
-        self.note(self._members.merge((probe.me,)))
-        self._contradict(probe.seen)
+        self.publish_members(self._members.merge((probe.me,)))
+        self._refute(probe.seen)
         self._compare(probe.me, probe.members, probe.marks)
         known = self._members.get(sender)
         return ProbeAnswer(
@@ -240,12 +240,14 @@
             seen=(known.incarnation, known.status) if known else None,
         )
 
-    def _contradict(self, seen: Seen | None) -> None:
+    def _refute(self, seen: Seen | None) -> None:
         if seen is None:
             return
         incarnation, status = seen
         claim = {'incarnation': incarnation, 'status': status}
-        self.note(self._members.merge((self._members.own.model_copy(update=claim),)))
+        self.publish_members(
+            self._members.merge((self._members.own.model_copy(update=claim),))
+        )
 
     def _compare(self, peer: MemberRecord, members: int, marks: int) -> None:
         same_members = members == self._digest_for(peer)
@@ -268,7 +270,7 @@
         finally:
             self._syncing.discard(peer.daemon_id)
         if isinstance(answer, StateUpdate):
-            self._take(peer.domain, answer, hand_on=peer.domain != request.domain)
+            self._apply(peer.domain, answer, rebroadcast=peer.domain != request.domain)
 
     def _answer_sync(self, _sender: DaemonId, request: SyncRequest) -> StateUpdate:
         return StateUpdate(
@@ -276,21 +278,21 @@
             marks=self._marks.differing(request.marks),
         )
 
-    def _take_update(self, sender: DaemonId, update: StateUpdate) -> None:
+    def _apply_update(self, sender: DaemonId, update: StateUpdate) -> None:
         known = self._members.get(sender)
         own = self._members.own
-        self._take(known.domain if known else own.domain, update, hand_on=False)
+        self._apply(known.domain if known else own.domain, update, rebroadcast=False)
 
-    def _take(
-        self, domain: FailureDomainId, update: StateUpdate, *, hand_on: bool
+    def _apply(
+        self, domain: FailureDomainId, update: StateUpdate, *, rebroadcast: bool
     ) -> None:
         own = self._members.own
         records = update.members
         if domain != own.domain:
-            records = tuple(_soften(record, own.domain) for record in records)
+            records = tuple(_downgrade_death(record, own.domain) for record in records)
         changed = self._members.merge(records)
         marks = self._marks.merge(update.marks)
-        if hand_on and (changed or marks):
+        if rebroadcast and (changed or marks):
             news = StateUpdate(members=changed, marks=marks)
             self._spread(news, Scope.FAILURE_DOMAIN)
         elif own != self._members.own:
@@ -302,15 +304,15 @@
         if marks:
             self.marked(marks)
 
-    async def _search(self, links: Links) -> None:
+    async def _discover(self, links: Links) -> None:
         """Try one address behind which there may be a daemon not known alive."""
         known = {daemon.peer_address for daemon in self._members.live()}
         known.add(self._members.own.peer)
-        candidates = (self.addresses | self._members.gone_addresses()) - known
+        candidates = (self.addresses | self._members.dead_addresses()) - known
         if not candidates:
             return
         try:
-            found = await links.contact(random.choice(sorted(candidates)))
+            found = await links.open_link(random.choice(sorted(candidates)))
         except PeerError:
             return
         await self._probe(found.daemon_id)
@@ -325,7 +327,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _take_turn(
+def _next_turn(
     turns: list[DaemonId], members: Iterable[Daemon], here: DaemonId
 ) -> DaemonId | None:
     """Return the next of an order that comes round to each member."""
@@ -339,7 +341,7 @@
     return turns.pop() if turns else None
 
 
-def _soften(record: MemberRecord, domain: FailureDomainId) -> MemberRecord:
+def _downgrade_death(record: MemberRecord, domain: FailureDomainId) -> MemberRecord:
     """Take another failure domain's death notice only as a suspicion.
 
     When a cut heals, each side holds the other's daemons for dead. Taken as it
--- a/libs/membership/fireflyhitch_membership/records.py
+++ b/libs/membership/fireflyhitch_membership/records.py
@@ -25,12 +25,12 @@
 MAX_TEXT_BYTES = 33554432
 # A proposal whose answer was lost is settled within seconds; at 42,000 changes
 # a day this remembers a minute of them.
-REMEMBERED_CHANGES = 32
+MAX_RECENT_CHANGES = 32
 # The lists of the configuration and what names an item of each.
 ITEM_KEYS: Mapping[str, str] = {'deployments': 'name', 'customers': 'customer_id'}
 
 # What reading a document of another shape raises.
-UNREADABLE = (ValueError, LookupError, TypeError, zlib.error)
+DECODE_ERRORS = (ValueError, LookupError, TypeError, zlib.error)
 
 Json = dict[str, Any]
 
@@ -62,7 +62,7 @@
         """
         return parse_configuration(self.text)
 
-    def accepted_as(self, change_id: ChangeId) -> Revision:
+    def accepted_revision(self, change_id: ChangeId) -> Revision:
         """Return at which revision a recent change was accepted, or 0."""
         return dict(self.recent).get(change_id, ABSENT)
 
@@ -74,7 +74,7 @@
         Defaults are written out: a release with other defaults must not change
         what the operator accepted.
         """
-        recent = (*self.recent, (change_id, revision))[-REMEMBERED_CHANGES:]
+        recent = (*self.recent, (change_id, revision))[-MAX_RECENT_CHANGES:]
         text = write_canonical(configuration.model_dump(mode='json'))
         return ConfigurationRecord(revision, change_id, recent, text)
 
@@ -107,7 +107,7 @@
             tuple((ChangeId(one), Revision(at)) for one, at in document['recent']),
             write_canonical(document['configuration']),
         )
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise PlatformError(
             'unreadable configuration', step=Step.CONFIGURE, peer=peer
         ) from error
@@ -154,7 +154,7 @@
         recent = tuple(
             (ChangeId(one), Revision(at)) for one, at in difference['recent']
         )
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     return ConfigurationRecord(revision, change_id, recent, write_canonical(new))
 
--- a/libs/membership/fireflyhitch_membership/relaying.py
+++ b/libs/membership/fireflyhitch_membership/relaying.py
@@ -14,12 +14,12 @@
 from fireflyhitch_model.peers import Daemon, PeerMessage, Scope
 
 # Copies arrive within seconds; at 100 messages a second this holds a minute.
-REMEMBERED = 6000
+MAX_REMEMBERED_MESSAGES = 6000
 
 Deliver = Callable[[DaemonId, PeerMessage], None]
 
 
-class Relayer:
+class Broadcaster:
     """Spreads messages and hands on those of others, each once.
 
     A failure domain is entered at its two carriers, so that one may fail. A
@@ -33,9 +33,9 @@
         # Numbers of an earlier life of this process must not recur.
         self._numbers = itertools.count(epoch)
         self._seen: cachetools.LRUCache[tuple[DaemonId, int], None] = (
-            cachetools.LRUCache(REMEMBERED)
+            cachetools.LRUCache(MAX_REMEMBERED_MESSAGES)
         )
-        exchange.handle_quickly(Relay.kind, self._receive)
+        exchange.handle_inline(Relay.kind, self._receive)
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
         """Send a message to all daemons of a scope but this one."""
@@ -64,7 +64,7 @@
         )
         self._send(relay, [hop for hop in hops if hop not in {sender, relay.origin}])
         message = read_message(relay.inner, relay.body, relay.origin)
-        self._exchange.hand_out(relay.origin, message)
+        self._exchange.dispatch(relay.origin, message)
 
     def _send(self, relay: Relay, hops: list[DaemonId]) -> None:
         for hop in dict.fromkeys(hops):
--- a/libs/membership/fireflyhitch_membership/revisions.py
+++ b/libs/membership/fireflyhitch_membership/revisions.py
@@ -18,7 +18,7 @@
 from fireflyhitch_settings.schema import Configuration
 
 # Enough for peers a few seconds behind at a change every two seconds.
-REMEMBERED_RECORDS = 16
+MAX_EARLIER_RECORDS = 16
 
 
 class Source(Enum):
@@ -53,7 +53,7 @@
     since: datetime
 
 
-class RevisionKeeper:
+class RevisionTracker:
     """Holds the record in force; safe to use from any thread."""
 
     def __init__(self, clock: Clock) -> None:
@@ -61,10 +61,10 @@
         self._lock = Lock()
         self._record = NOTHING
         self._in_force: InForce | None = None
-        self._complaint = ''
+        self._last_refusal = ''
         self._callbacks: list[Callable[[InForce], None]] = []
         self._earlier: cachetools.LRUCache[Revision, ConfigurationRecord] = (
-            cachetools.LRUCache(REMEMBERED_RECORDS)
+            cachetools.LRUCache(MAX_EARLIER_RECORDS)
         )
 
     @property
@@ -95,7 +95,7 @@
         try:
             configuration = record.configuration
         except ValidationError as error:
-            self._complain(f'invalid configuration {record.revision}', source, peer)
+            self._log_refusal(f'invalid configuration {record.revision}', source, peer)
             logger.bind(step=Step.CONFIGURE.value).debug('errors', error=str(error))
             return Adoption.INVALID
         with self._lock:
@@ -105,7 +105,7 @@
         if adoption is not Adoption.ADOPTED:
             self._report(adoption, record, source, peer)
             return adoption
-        self._complaint = ''
+        self._last_refusal = ''
         logger.bind(step=Step.CONFIGURE.value, peer=peer, source=source.value).info(
             'configuration in force', revision=record.revision
         )
@@ -116,7 +116,7 @@
     def report_divergence(self, revision: Revision, peer: str) -> None:
         """Log that a peer has other content in force under the same revision."""
         text = f'another configuration {revision} than the one in force'
-        self._complain(text, Source.PEER, peer)
+        self._log_refusal(text, Source.PEER, peer)
 
     def _compare(self, record: ConfigurationRecord) -> Adoption:
         if record.revision > self._record.revision:
@@ -156,15 +156,15 @@
             # brings the store forward again.
             held = self._record.revision
             text = f'store holds {record.revision}, older than {held} in force'
-            self._complain(text, source, peer)
+            self._log_refusal(text, source, peer)
         if adoption is Adoption.DIVERGENT:
             text = f'another configuration {record.revision} than the one in force'
-            self._complain(text, source, peer)
+            self._log_refusal(text, source, peer)
 
-    def _complain(self, text: str, source: Source, peer: str | None) -> None:
-        if text == self._complaint:
+    def _log_refusal(self, text: str, source: Source, peer: str | None) -> None:
+        if text == self._last_refusal:
             return
-        self._complaint = text
+        self._last_refusal = text
         logger.bind(step=Step.CONFIGURE.value, peer=peer, source=source.value).error(
             'configuration refused', reason=text
         )
--- a/libs/membership/fireflyhitch_membership/scope.py
+++ b/libs/membership/fireflyhitch_membership/scope.py
@@ -14,7 +14,7 @@
 
 # Two, so that one may fail without any gap.
 WATCHERS_PER_DOMAIN = 2
-CARRIERS_PER_DOMAIN = 2
+GATEWAYS_PER_DOMAIN = 2
 # How many daemons of a failure domain the others know by name.
 SUMMARY_MEMBERS = 8
 # A failure domain of 42 is reached in three hops.
@@ -34,7 +34,7 @@
 ) -> list[DaemonId]:
     """Return the daemons that exchange state with other failure domains."""
     members = members_of(domain, daemons)
-    return rank_by_hash(f'carry/{domain}', members)[:CARRIERS_PER_DOMAIN]
+    return rank_by_hash(f'carry/{domain}', members)[:GATEWAYS_PER_DOMAIN]
 
 
 def choose_summary(
--- a/libs/membership/fireflyhitch_membership/snapshots.py
+++ b/libs/membership/fireflyhitch_membership/snapshots.py
@@ -67,15 +67,15 @@
         return None
 
     def _rank_peers(self) -> list[DaemonId]:
-        near: list[DaemonId] = []
-        far: list[DaemonId] = []
+        local: list[DaemonId] = []
+        remote: list[DaemonId] = []
         for daemon in self._messenger.live():
             if daemon.daemon_id == self._here.daemon_id:
                 continue
             same_domain = daemon.failure_domain == self._here.failure_domain
-            (near if same_domain else far).append(daemon.daemon_id)
+            (local if same_domain else remote).append(daemon.daemon_id)
         key = f'snapshot/{self._here.daemon_id}'
-        return rank_by_hash(key, near) + rank_by_hash(key, far)
+        return rank_by_hash(key, local) + rank_by_hash(key, remote)
 
     def _merge(self, peer: DaemonId, snapshot: Snapshot) -> None:
         for name, content in snapshot.sections.items():
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -21,7 +21,7 @@
     pack_difference,
     unpack,
 )
-from fireflyhitch_membership.revisions import Adoption, RevisionKeeper, Source
+from fireflyhitch_membership.revisions import Adoption, RevisionTracker, Source
 from fireflyhitch_membership.scope import (
     choose_carriers,
     choose_next_hops,
@@ -56,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _Report:
     revision: Revision
     at: float
 
 
-class ConfigurationSpreader:
+class ConfigurationSync:
     """Tells peers what is in force here, and pulls what they have newer.
 
     :param wake: set when a pull is wanted.
@@ -71,7 +71,7 @@
         self,
         messenger: PeerMessenger,
         here: Daemon,
-        revisions: RevisionKeeper,
+        revisions: RevisionTracker,
         clock: Clock,
         wake: Event,
     ) -> None:
@@ -82,13 +82,13 @@
         self._wake = wake
         self._rng = random.Random(here.daemon_id)
         self._lock = Lock()
-        self._wanted: dict[DaemonId, Revision] = {}
-        self._heard: dict[DaemonId, _Heard] = {}
-        messenger.handle(ConfigurationDigest, self._take_digest)
+        self._pending_pulls: dict[DaemonId, Revision] = {}
+        self._reports: dict[DaemonId, _Report] = {}
+        messenger.handle(ConfigurationDigest, self._receive_digest)
         messenger.handle(ConfigurationPull, self._answer_pull)
         messenger.handle(StatusRequest, self._answer_status)
 
-    def exchange(self) -> None:
+    def gossip(self) -> None:
         """Tell one random peer nearby what is in force; carriers also one far.
 
         This finds whatever a lost message left behind: a daemon with an older
@@ -96,13 +96,13 @@
         """
         here = self._here
         live = self._messenger.live()
-        near = [one for one in live if one.failure_domain == here.failure_domain]
-        self._tell_one([one.daemon_id for one in near])
+        local = [one for one in live if one.failure_domain == here.failure_domain]
+        self._send_digest([one.daemon_id for one in local])
         if here.daemon_id not in choose_carriers(here.failure_domain, live):
             return
         domains = sorted({one.failure_domain for one in live} - {here.failure_domain})
         if domains:
-            self._tell_one(choose_carriers(self._rng.choice(domains), live))
+            self._send_digest(choose_carriers(self._rng.choice(domains), live))
 
     def announce(self, *, is_entry: bool) -> None:
         """Tell the next daemons of the failure domain's tree.
@@ -115,11 +115,13 @@
         for hop in choose_next_hops(key, self._here, live, is_entry=is_entry):
             self._messenger.tell(hop, self._digest())
 
-    def pull_wanted(self) -> None:
+    def pull_pending(self) -> None:
         """Pull from the peers that told of a newer revision, newest first."""
         with self._lock:
-            wanted = sorted(self._wanted.items(), key=lambda one: one[1], reverse=True)
-            self._wanted.clear()
+            wanted = sorted(
+                self._pending_pulls.items(), key=lambda one: one[1], reverse=True
+            )
+            self._pending_pulls.clear()
         for peer, revision in wanted:
             for _ in range(PULL_ATTEMPTS):
                 if revision > self._revisions.record.revision:
@@ -145,7 +147,7 @@
         self.announce(is_entry=domain != self._here.failure_domain)
         return True
 
-    def load(self) -> None:
+    def pull_initial(self) -> None:
         """Pull from a few peers, for a daemon that starts with nothing."""
         others = [
             one.daemon_id
@@ -161,14 +163,14 @@
         live = self._messenger.live()
         domains = sorted({one.failure_domain for one in live})
         elsewhere = [one for one in domains if one != self._here.failure_domain]
-        carriers = {one: choose_carriers(one, live) for one in elsewhere}
+        gateways = {one: choose_carriers(one, live) for one in elsewhere}
         with ThreadPoolExecutor(STATUS_THREADS) as pool:
-            answers = pool.map(self._ask_domain, carriers.values())
+            answers = pool.map(self._ask_domain, gateways.values())
         found = dict(zip(elsewhere, answers, strict=True))
         found[self._here.failure_domain] = _summarize(self._status())
         return found
 
-    def _tell_one(self, candidates: list[DaemonId]) -> None:
+    def _send_digest(self, candidates: list[DaemonId]) -> None:
         others = [one for one in candidates if one != self._here.daemon_id]
         if others:
             self._messenger.tell(self._rng.choice(others), self._digest())
@@ -177,17 +179,17 @@
         record = self._revisions.record
         return ConfigurationDigest(revision=record.revision, content=record.content)
 
-    def _take_digest(self, sender: DaemonId, digest: ConfigurationDigest) -> None:
-        mine = self._revisions.record
+    def _receive_digest(self, sender: DaemonId, digest: ConfigurationDigest) -> None:
+        local_record = self._revisions.record
         with self._lock:
-            self._heard[sender] = _Heard(digest.revision, self._clock.monotonic())
-            if digest.revision > mine.revision:
-                self._wanted[sender] = digest.revision
-        if digest.revision > mine.revision:
+            self._reports[sender] = _Report(digest.revision, self._clock.monotonic())
+            if digest.revision > local_record.revision:
+                self._pending_pulls[sender] = digest.revision
+        if digest.revision > local_record.revision:
             self._wake.set()
-        elif digest.revision < mine.revision:
+        elif digest.revision < local_record.revision:
             self._messenger.tell(sender, self._digest())
-        elif digest.content != mine.content:
+        elif digest.content != local_record.content:
             self._revisions.report_divergence(digest.revision, sender)
 
     def _ask(
@@ -223,10 +225,10 @@
             body=body,
         )
 
-    def _ask_domain(self, carriers: list[DaemonId]) -> DomainRevision:
-        for carrier in carriers:
+    def _ask_domain(self, gateways: list[DaemonId]) -> DomainRevision:
+        for gateway in gateways:
             try:
-                answer = self._messenger.ask(carrier, StatusRequest(), STATUS_TIMEOUT)
+                answer = self._messenger.ask(gateway, StatusRequest(), STATUS_TIMEOUT)
             except PeerError:
                 continue
             if isinstance(answer, StatusAnswer):
@@ -244,16 +246,16 @@
         oldest = self._clock.monotonic() - HEARD_SECONDS
         revision = self._revisions.record.revision
         with self._lock:
-            heard = [
+            reported = [
                 one.revision
-                for daemon_id, one in self._heard.items()
+                for daemon_id, one in self._reports.items()
                 if daemon_id in members and one.at >= oldest
             ]
         in_force = self._revisions.in_force()
         return StatusAnswer(
             domain=here,
             revision=revision,
-            lowest=min(heard, default=revision),
+            lowest=min(reported, default=revision),
             since=in_force.since if in_force else None,
         )
 
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -28,7 +28,7 @@
 from fireflyhitch_membership.revisions import (
     Adoption,
     InForce,
-    RevisionKeeper,
+    RevisionTracker,
     Source,
 )
 from fireflyhitch_model.clock import Clock
@@ -50,8 +50,8 @@
 WATCH_SECONDS = 20
 WATCH_TIMEOUT = timedelta(seconds=WATCH_SECONDS)
 PROPOSAL_ATTEMPTS = 4
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 1.0
+MIN_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 1.0
 MAX_DOUBLINGS = 16
 BACKOFF_JITTER = (0.5, 1.0)
 
@@ -97,7 +97,7 @@
     def __init__(
         self,
         store: KeyValueStore,
-        revisions: RevisionKeeper,
+        revisions: RevisionTracker,
         clock: Clock,
         announce: Callable[[], None],
     ) -> None:
@@ -165,32 +165,32 @@
 
         :raises PlatformError: ``not-run`` or ``unknown``, see its ``outcome``.
         """
-        doubts: list[PlatformError] = []
+        unknown_outcomes: list[PlatformError] = []
         retrying = tenacity.Retrying(
             stop=tenacity.stop_after_attempt(PROPOSAL_ATTEMPTS),
             wait=tenacity.wait_random_exponential(
-                multiplier=FIRST_RETRY_SECONDS, max=LONGEST_RETRY_SECONDS
+                multiplier=MIN_RETRY_SECONDS, max=MAX_RETRY_SECONDS
             ),
             retry=tenacity.retry_if_exception_type(PlatformError),
             sleep=self._sleep,
             reraise=True,
         )
         try:
-            return retrying(self._attempt, proposal, doubts)
+            return retrying(self._attempt, proposal, unknown_outcomes)
         except PlatformError as error:
             raise PlatformError(
-                'change not settled' if doubts else 'change not accepted',
+                'change not settled' if unknown_outcomes else 'change not accepted',
                 step=Step.CONFIGURE,
                 peer=error.peer,
-                outcome=Outcome.UNKNOWN if doubts else Outcome.NOT_RUN,
+                outcome=Outcome.UNKNOWN if unknown_outcomes else Outcome.NOT_RUN,
             ) from error
 
     def _attempt(
-        self, proposal: Proposal, doubts: list[PlatformError]
+        self, proposal: Proposal, unknown_outcomes: list[PlatformError]
     ) -> ProposalResult:
         stored = self._store.get(CONFIGURATION_KEY)
         latest = self._latest(stored)
-        accepted = latest.accepted_as(proposal.change_id)
+        accepted = latest.accepted_revision(proposal.change_id)
         if accepted:
             return Accepted(accepted)
         if latest.revision != proposal.expected:
@@ -206,19 +206,19 @@
             written = self._store.put_if(CONFIGURATION_KEY, pack_head(head), at)
         except PlatformError as error:
             if error.outcome is not Outcome.NOT_RUN:
-                doubts.append(error)
+                unknown_outcomes.append(error)
             raise
         if isinstance(written, Conflict):
-            return self._settle_conflict(written.current, proposal.change_id, body)
+            return self._resolve_conflict(written.current, proposal.change_id, body)
         self._offer(record, Source.PROPOSAL)
         for dropped in set(_bodies_of(stored)).difference(head.bodies):
             self._delete_body(dropped)
         return Accepted(record.revision)
 
-    def _settle_conflict(
+    def _resolve_conflict(
         self, current: KeyValue | None, change_id: ChangeId, body: Body
     ) -> ProposalResult:
-        accepted = self._latest(current).accepted_as(change_id)
+        accepted = self._latest(current).accepted_revision(change_id)
         if accepted:
             return Accepted(accepted)
         self._delete_body(body)
--- a/libs/membership/fireflyhitch_membership/wire.py
+++ b/libs/membership/fireflyhitch_membership/wire.py
@@ -47,7 +47,7 @@
     """
     body = message.model_dump(mode='python')
     frame = cbor2.dumps(
-        [WIRE_VERSION, message.kind, ask, answers, body], default=_encode_other
+        [WIRE_VERSION, message.kind, ask, answers, body], default=_encode_enum
     )
     if len(frame) > MAX_FRAME_BYTES:
         raise PeerError(f'{message.kind} of {len(frame)} bytes', step=Step.PEER)
@@ -56,7 +56,7 @@
 
 def encode_body(message: PeerMessage) -> bytes:
     """Return a message's fields alone, to go inside another message."""
-    return cbor2.dumps(message.model_dump(mode='python'), default=_encode_other)
+    return cbor2.dumps(message.model_dump(mode='python'), default=_encode_enum)
 
 
 def decode(frame: bytes, peer: str) -> Frame:
@@ -117,7 +117,7 @@
     return found
 
 
-def _encode_other(encoder: cbor2.CBOREncoder, value: object) -> None:
+def _encode_enum(encoder: cbor2.CBOREncoder, value: object) -> None:
     if not isinstance(value, Enum):
         raise cbor2.CBOREncodeTypeError(f'cannot encode {type(value).__name__}')
     encoder.encode(value.value)
--- a/libs/membership/tests/test_configuration.py
+++ b/libs/membership/tests/test_configuration.py
@@ -9,7 +9,7 @@
     ConfigurationKeeper,
     Rejected,
 )
-from fireflyhitch_membership.heads import BODY_PREFIX, KEPT_BODIES
+from fireflyhitch_membership.heads import BODY_PREFIX, MAX_BODIES
 from fireflyhitch_membership.storing import CONFIGURATION_KEY
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_model.errors import PlatformError
@@ -51,32 +51,32 @@
 
 
 @pytest.fixture
-def keeper(site):
+def manager(site):
     made = site.add('a')
     for number, name in enumerate(('one', 'two', 'three')):
         made.propose(make_configuration(name), number, name)
     return made
 
 
-def revision_of(keeper):
-    in_force = keeper.in_force()
+def revision_of(manager):
+    in_force = manager.in_force()
     return in_force.revision if in_force else ABSENT
 
 
 class TestProposals:
     """Accepted, rejected, or honestly not known."""
 
-    def test_lost_answer_is_settled_by_the_change_id(self, site, keeper):
+    def test_lost_answer_is_settled_by_the_change_id(self, site, manager):
         """The operator hears that the change was accepted, at its revision.
 
         The write takes effect and its answer is lost. The keeper looks for the
         change's id among the accepted ones before it writes again.
         """
         site.store.faults.queue('put_if', *LOST_HEAD_ANSWER)
-        assert keeper.propose(make_configuration('x'), 3, 'x') == Accepted(4)
+        assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
         assert site.store.calls['put_if'] == 4 * WRITES
 
-    def test_lost_answer_is_settled_after_another_change(self, site, keeper):
+    def test_lost_answer_is_settled_after_another_change(self, site, manager):
         """The operator hears of acceptance although another change came since.
 
         The write takes effect, its answer is lost, and another operator's
@@ -93,45 +93,45 @@
                 other.propose(make_configuration('y'), 4, 'y')
 
         site.store.faults.before(change_too)
-        assert keeper.propose(make_configuration('x'), 3, 'x') == Accepted(4)
-        assert revision_of(keeper) == 5
+        assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
+        assert revision_of(manager) == 5
 
-    def test_second_operator_gets_what_is_in_force(self, site, keeper):
+    def test_second_operator_gets_what_is_in_force(self, site, manager):
         other = site.add('b')
         result = other.propose(make_configuration('x'), 2, 'x')
         assert isinstance(result, Rejected)
         assert result.current.configuration == make_configuration('three')
 
-    def test_repeated_change_gives_the_same_answer(self, keeper):
-        assert keeper.propose(make_configuration('two'), 1, 'two') == Accepted(2)
-        assert revision_of(keeper) == 3
+    def test_repeated_change_gives_the_same_answer(self, manager):
+        assert manager.propose(make_configuration('two'), 1, 'two') == Accepted(2)
+        assert revision_of(manager) == 3
 
     @pytest.mark.parametrize(
         ('fault', 'outcome'),
         [(Fault.REFUSED, Outcome.NOT_RUN), (Fault.LOST_REQUEST, Outcome.UNKNOWN)],
     )
-    def test_unsettled_change_says_what_is_known(self, site, keeper, fault, outcome):
+    def test_unsettled_change_says_what_is_known(self, site, manager, fault, outcome):
         site.store.faults.queue('put_if', *(Fault.NONE, fault) * 9)
         with pytest.raises(PlatformError) as caught:
-            keeper.propose(make_configuration('x'), 3, 'x')
+            manager.propose(make_configuration('x'), 3, 'x')
         assert caught.value.outcome is outcome
 
-    def test_body_that_may_be_lost_leaves_no_doubt(self, site, keeper):
+    def test_body_that_may_be_lost_leaves_no_doubt(self, site, manager):
         """The operator hears "not run": only the head's write accepts."""
         site.store.faults.stand('put_if', Fault.LOST_ANSWER)
         with pytest.raises(PlatformError) as caught:
-            keeper.propose(make_configuration('x'), 3, 'x')
+            manager.propose(make_configuration('x'), 3, 'x')
         assert caught.value.outcome is Outcome.NOT_RUN
         site.store.faults.lift()
-        assert keeper.propose(make_configuration('y'), 3, 'y') == Accepted(4)
+        assert manager.propose(make_configuration('y'), 3, 'y') == Accepted(4)
 
-    def test_old_bodies_are_deleted(self, site, keeper):
+    def test_old_bodies_are_deleted(self, site, manager):
         for number in range(3, 9):
-            keeper.propose(make_configuration(f'n{number}'), number, f'n{number}')
-        keeper.propose(make_configuration('late'), 3, 'late')
-        assert len(site.store.get_prefix(BODY_PREFIX).items) == KEPT_BODIES
+            manager.propose(make_configuration(f'n{number}'), number, f'n{number}')
+        manager.propose(make_configuration('late'), 3, 'late')
+        assert len(site.store.get_prefix(BODY_PREFIX).items) == MAX_BODIES
 
-    def test_bodies_left_behind_are_swept(self, site, keeper):
+    def test_bodies_left_behind_are_swept(self, site, manager):
         """A proposer that dies between body and head leaves nothing for long.
 
         One body lost its race, another belongs to a change that is being
@@ -141,13 +141,13 @@
         for key in (lost, under_way):
             site.store.put_if(key, b'', ABSENT)
         site.clock.advance(timedelta(minutes=10))
-        keeper.follow_store_once()
+        manager.follow_store_once()
         kept = [item.key for item in site.store.get_prefix(BODY_PREFIX).items]
         assert under_way in kept
         assert lost not in kept
-        assert len(kept) == KEPT_BODIES + 1
+        assert len(kept) == MAX_BODIES + 1
 
-    def test_doubt_outlasts_a_later_refusal(self, site, keeper):
+    def test_doubt_outlasts_a_later_refusal(self, site, manager):
         """The operator hears "unknown", since the first write may yet land.
 
         The first attempt's answer is lost, and all later ones are refused.
@@ -156,14 +156,14 @@
         faults = (Fault.NONE, Fault.LOST_REQUEST, *refusals)
         site.store.faults.queue('put_if', *faults)
         with pytest.raises(PlatformError) as caught:
-            keeper.propose(make_configuration('x'), 3, 'x')
+            manager.propose(make_configuration('x'), 3, 'x')
         assert caught.value.outcome is Outcome.UNKNOWN
 
 
 class TestStaleStore:
     """A store that was restored, wiped or lost its key."""
 
-    def test_restored_store_is_refused_until_the_next_change(self, site, keeper):
+    def test_restored_store_is_refused_until_the_next_change(self, site, manager):
         """Nothing in force goes back, and operators can go on.
 
         The store is restored from a backup two changes old. Daemons read it and
@@ -175,30 +175,30 @@
         old.store = backup
         old.add('z').propose(make_configuration('one'), ABSENT, 'one')
         site.store.restore(*backup.dump())
-        keeper.follow_store_once()
-        assert revision_of(keeper) == 3
+        manager.follow_store_once()
+        assert revision_of(manager) == 3
         late = site.add('b')
         late.follow_peers_once()
         late.follow_peers_once()
         assert revision_of(late) == 3
-        assert keeper.propose(make_configuration('x'), 3, 'x') == Accepted(4)
+        assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
         late.follow_store_once()
         assert revision_of(late) == 4
 
-    def test_wiped_store_and_deleted_key_change_nothing(self, site, keeper):
+    def test_wiped_store_and_deleted_key_change_nothing(self, site, manager):
         stored = site.store.get(CONFIGURATION_KEY)
         site.store.delete_if(CONFIGURATION_KEY, stored.revision)
-        keeper.follow_store_once()
+        manager.follow_store_once()
         site.store.restore({}, 1)
-        keeper.follow_store_once()
-        assert revision_of(keeper) == 3
-        assert keeper.propose(make_configuration('x'), 3, 'x') == Accepted(4)
+        manager.follow_store_once()
+        assert revision_of(manager) == 3
+        assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
 
 
 class TestStart:
     """Where a daemon that knows nothing gets its configuration."""
 
-    def test_daemon_that_starts_in_an_outage_loads_from_peers(self, site, keeper):
+    def test_daemon_that_starts_in_an_outage_loads_from_peers(self, site, manager):
         site.store.faults.stand('*', Fault.REFUSED)
         late = site.add('b', 'brugge')
         late.follow_store_once()
@@ -215,9 +215,9 @@
         assert waits[0] < timedelta(seconds=1) < waits[-1]
         assert max(waits) <= timedelta(seconds=15)
 
-    def test_snapshot_brings_the_configuration(self, site, keeper):
+    def test_snapshot_brings_the_configuration(self, site, manager):
         late = site.add('b')
-        late.snapshot_section().merge(keeper.snapshot_section().produce())
+        late.snapshot_section().merge(manager.snapshot_section().produce())
         assert late.in_force().configuration == make_configuration('three')
 
 
@@ -225,10 +225,10 @@
     """Who calls the store, and how often."""
 
     def test_two_of_a_failure_domain_watch(self, site):
-        keepers = [site.add(f'd{number}') for number in range(9)]
-        assert sum(one.is_watcher() for one in keepers) == 2
+        managers = [site.add(f'd{number}') for number in range(9)]
+        assert sum(one.is_watcher() for one in managers) == 2
 
-    def test_others_poll_once_and_then_rarely(self, site, keeper):
+    def test_others_poll_once_and_then_rarely(self, site, manager):
         """The store is spared: head and body are read once, then rarely again."""
         idle = next(
             one
@@ -241,9 +241,9 @@
             site.clock.advance(timedelta(seconds=1))
         assert site.store.calls.total() - before == 2
 
-    def test_change_during_a_watch_is_applied_at_once(self, site, keeper):
+    def test_change_during_a_watch_is_applied_at_once(self, site, manager):
         told = []
-        keeper.on_change(lambda one: told.append(one.revision))
+        manager.on_change(lambda one: told.append(one.revision))
         other = site.add('b')
         polls = []
 
@@ -255,7 +255,7 @@
 
         site.store.faults.before(change_at_third_poll)
         began = site.clock.monotonic()
-        keeper.follow_store_once()
+        manager.follow_store_once()
         assert told == [4]
         assert site.clock.monotonic() - began >= 20
 
@@ -263,21 +263,21 @@
 class TestBodies:
     """When the whole is read and when not."""
 
-    def test_watcher_of_each_change_reads_no_body(self, site, keeper):
+    def test_watcher_of_each_change_reads_no_body(self, site, manager):
         other = site.add('b')
         other.follow_store_once()
-        keeper.propose(make_configuration('x'), 3, 'x')
+        manager.propose(make_configuration('x'), 3, 'x')
         before = site.store.calls['get']
         other.follow_store_once()
         assert revision_of(other) == 4
         assert site.store.calls['get'] == before
 
-    def test_missing_body_leaves_what_is_in_force(self, site, keeper):
+    def test_missing_body_leaves_what_is_in_force(self, site, manager):
         """A head without its body is an error of the store, never half a change."""
         other = site.add('b')
         other.follow_store_once()
         for number, name in ((3, 'x'), (4, 'y')):
-            keeper.propose(make_configuration(name), number, name)
+            manager.propose(make_configuration(name), number, name)
         for body in site.store.get_prefix(BODY_PREFIX).items:
             site.store.delete_if(body.key, body.revision)
         assert other.follow_store_once() > timedelta()
@@ -287,32 +287,32 @@
 class TestSpreading:
     """From peer to peer."""
 
-    def test_daemon_far_behind_pulls_the_whole(self, site, keeper):
+    def test_daemon_far_behind_pulls_the_whole(self, site, manager):
         late = site.add('b')
         late.follow_peers_once()
         for number in range(3, 40):
             name = f'n{number}'
-            keeper.propose(make_configuration(name), number, name)
+            manager.propose(make_configuration(name), number, name)
         site.clock.advance(timedelta(seconds=2))
         late.follow_peers_once()
         late.follow_peers_once()
-        assert late.in_force().configuration == keeper.in_force().configuration
+        assert late.in_force().configuration == manager.in_force().configuration
 
-    def test_change_of_order_alone_arrives_exactly(self, site, keeper):
+    def test_change_of_order_alone_arrives_exactly(self, site, manager):
         """A difference by items does not show their order, the whole does."""
         late = site.add('b')
         one, other = (make_configuration(name).deployments for name in ('x', 'y'))
         for number, order in ((3, one + other), (4, other + one)):
             wanted = Configuration(deployments=order, customers=())
-            keeper.propose(wanted, number, f'order {number}')
+            manager.propose(wanted, number, f'order {number}')
             late.follow_peers_once()
             assert late.in_force().configuration == wanted
 
-    def test_status_names_domains_that_cannot_be_asked(self, site, keeper):
+    def test_status_names_domains_that_cannot_be_asked(self, site, manager):
         site.add('b', 'brugge').follow_store_once()
         site.add('c', 'aalst')
         site.peers.separate('a', 'c')
-        shown = keeper.revisions_by_failure_domain()
+        shown = manager.revisions_by_failure_domain()
         assert {name: one.revision for name, one in shown.items()} == {
             'gent': 3,
             'brugge': 3,
--- a/libs/membership/tests/test_members.py
+++ b/libs/membership/tests/test_members.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from fireflyhitch_membership.members import SUSPICION, MemberTable
+from fireflyhitch_membership.members import SUSPICION_TIMEOUT, MemberTable
 from fireflyhitch_membership.messages import MemberRecord, MemberStatus
 from fireflyhitch_membership.scope import SUMMARY_MEMBERS
 from fireflyhitch_model.clock import ManualClock
@@ -94,11 +94,11 @@
         table, paused = make_table(clock=clock), make_table('b', clock=clock)
         table.merge([paused.own])
         suspicion = table.suspect('b')[0]
-        clock.advance(SUSPICION - timedelta(seconds=1))
+        clock.advance(SUSPICION_TIMEOUT - timedelta(seconds=1))
         assert not table.expire()
         assert 'b' in live_ids(table)
         table.merge(paused.merge([suspicion]))
-        clock.advance(SUSPICION * 2)
+        clock.advance(SUSPICION_TIMEOUT * 2)
         assert not table.expire()
         assert 'b' in live_ids(table)
 
@@ -107,11 +107,11 @@
         table = make_table(clock=clock)
         table.merge([make_record('b')])
         table.suspect('b')
-        clock.advance(SUSPICION * 2)
+        clock.advance(SUSPICION_TIMEOUT * 2)
         dead = table.expire()[0]
         assert dead.status is MemberStatus.DEAD
         assert live_ids(table) == {'a'}
-        assert table.gone_addresses() == {'b:1'}
+        assert table.dead_addresses() == {'b:1'}
 
     def test_own_pause_is_not_blamed_on_others(self):
         """A daemon that wakes up does not declare its suspects dead.
@@ -123,7 +123,7 @@
         table = make_table(clock=clock)
         table.merge([make_record('b')])
         table.suspect('b')
-        clock.advance(SUSPICION * 10)
+        clock.advance(SUSPICION_TIMEOUT * 10)
         table.restart_suspicions()
         assert not table.expire()
 
--- a/libs/membership/tests/test_network.py
+++ b/libs/membership/tests/test_network.py
@@ -178,7 +178,7 @@
         inside = cluster.add('a', 'gent')
         stranger = cluster.add('x', 'gent', key='guess')
         with pytest.raises(PeerError):
-            stranger._call(stranger._links.contact(inside.address), PATIENCE)
+            stranger._call(stranger._links.open_link(inside.address), PATIENCE)
         assert [one.daemon_id for one in inside.live()] == ['a']
         assert [one.daemon_id for one in stranger.live()] == ['x']
 
@@ -196,7 +196,7 @@
         cluster.settle()
         plain = cluster.add('c', 'gent', seeds=())
         with pytest.raises(PeerError):
-            plain._call(plain._links.contact(cluster.networks[0].address), PATIENCE)
+            plain._call(plain._links.open_link(cluster.networks[0].address), PATIENCE)
 
 
 class TestLeaving:
@@ -257,7 +257,7 @@
         """
         monkeypatch.setattr(probing, 'PROBE_TIMEOUT', SECOND / 5)
         monkeypatch.setattr(probing, 'INDIRECT_TIMEOUT', SECOND / 5)
-        monkeypatch.setattr(members, 'SUSPICION', SECOND / 2)
+        monkeypatch.setattr(members, 'SUSPICION_TIMEOUT', SECOND / 2)
         cluster.cut = True
         wait_until(lambda: all(len(one.live()) == 1 for one in three))
         assert three[0].unreachable_domains() == {'brugge'}
--- a/libs/membership/tests/test_scope.py
+++ b/libs/membership/tests/test_scope.py
@@ -61,8 +61,8 @@
         daemons = make_daemons(1, 42)
         summary = choose_summary('d0', [one.daemon_id for one in daemons])
         known_elsewhere = [one for one in daemons if one.daemon_id in summary]
-        carriers = choose_carriers('d0', daemons)
-        assert carriers == choose_carriers('d0', known_elsewhere)
+        gateways = choose_carriers('d0', daemons)
+        assert gateways == choose_carriers('d0', known_elsewhere)
 
     def test_loss_of_a_watcher_moves_only_its_own_duty(self):
         daemons = make_daemons(1, 9)
--- a/libs/model/fireflyhitch_model/identity.py
+++ b/libs/model/fireflyhitch_model/identity.py
@@ -22,9 +22,9 @@
     return ContentId(digest.hexdigest())
 
 
-def identify_process(server: BackendServerId, born: int) -> ProcessId:
+def identify_process(server: BackendServerId, start_time: int) -> ProcessId:
     """Return the id of a backend server's process.
 
-    :param born: tells two starts of one server apart.
+    :param start_time: tells two starts of one server apart.
     """
-    return ProcessId(hash_text(f'{server}/{born}'))
+    return ProcessId(hash_text(f'{server}/{start_time}'))
--- a/libs/telemetry/fireflyhitch_telemetry/burn.py
+++ b/libs/telemetry/fireflyhitch_telemetry/burn.py
@@ -25,7 +25,7 @@
 # Bounds the memory: some 6 KB a row when all of its slots are in use.
 MAX_ROWS = 2000
 # For a target of 1, which leaves no budget at all.
-LEAST_BUDGET = 1e-6
+MIN_ERROR_BUDGET = 1e-6
 OTHER_CUSTOMER = CustomerId('(others)')
 OTHER_ROUTE = '(others)'
 
@@ -51,12 +51,12 @@
     good: int = 0
     bad: int = 0
 
-    def find_burn(self, target_share: float) -> float:
+    def burn_rate(self, target_share: float) -> float:
         """Return how fast the error budget burns: 1 uses it up exactly."""
         calls = self.good + self.bad
         if calls == 0:
             return 0
-        return self.bad / calls / max(1 - target_share, LEAST_BUDGET)
+        return self.bad / calls / max(1 - target_share, MIN_ERROR_BUDGET)
 
 
 class BurnRow(BaseModel):
@@ -80,7 +80,7 @@
         """What rows are merged by."""
         return (self.customer, self.deployment, self.route, self.version)
 
-    def find_latency(self, quantile: float) -> float | None:
+    def latency_quantile(self, quantile: float) -> float | None:
         """Return the time to the first token at a quantile, in seconds."""
         sketch = _make_sketch(self.latencies)
         found = sketch.get_quantile_value(quantile)
@@ -162,8 +162,8 @@
             counts = self._find(_Key(customer, deployment, route, version))
             counts.slots.add(good, now)
             if first_token is not None and first_token > 0:
-                place = self._mapping.key(first_token)
-                counts.latencies[place] = counts.latencies.get(place, 0) + 1
+                bin_index = self._mapping.key(first_token)
+                counts.latencies[bin_index] = counts.latencies.get(bin_index, 0) + 1
 
     def snapshot(self) -> BurnSnapshot:
         """Return all counts in a form that is merged and sent."""
@@ -238,16 +238,16 @@
         for window in Window
     }
     latencies = dict(one.latencies)
-    for place, count in other.latencies.items():
-        latencies[place] = latencies.get(place, 0) + count
+    for bin_index, count in other.latencies.items():
+        latencies[bin_index] = latencies.get(bin_index, 0) + count
     return one.model_copy(update={'windows': windows, 'latencies': latencies})
 
 
 def _make_sketch(latencies: Mapping[int, float]) -> LogCollapsingLowestDenseDDSketch:
     mapping = LogarithmicMapping(ACCURACY)
     sketch = LogCollapsingLowestDenseDDSketch(ACCURACY, MAX_BINS)
-    for place, count in latencies.items():
-        sketch.add(mapping.value(place), count)
+    for bin_index, count in latencies.items():
+        sketch.add(mapping.value(bin_index), count)
     return sketch
 
 
--- a/libs/telemetry/fireflyhitch_telemetry/burn_report.py
+++ b/libs/telemetry/fireflyhitch_telemetry/burn_report.py
@@ -13,17 +13,26 @@
 MEDIAN = 0.5
 TAIL = 0.95
 SHOWN_ROWS = 20
-HEAD_PIXELS = 120
+HEADER_PIXELS = 120
 ROW_PIXELS = 40
-HEADS = ('customer', 'deployment', 'route', 'version', 'requests', 'bad', 'p50', 'p95')
+HEADERS = (
+    'customer',
+    'deployment',
+    'route',
+    'version',
+    'requests',
+    'bad',
+    'p50',
+    'p95',
+)
 STYLE = 'body{font-family:sans-serif}td,th{padding:2px 8px;text-align:left}'
 
 
 def render_text(snapshot: BurnSnapshot) -> str:
     """Return a table for people."""
-    table = [_list_heads(), *(_list_cells(row) for row in snapshot.rows)]
+    table = [_header_cells(), *(_row_cells(row) for row in snapshot.rows)]
     widths = [max(len(cell) for cell in column) for column in zip(*table, strict=True)]
-    lines = _describe(snapshot)
+    lines = _summary_lines(snapshot)
     for cells in table:
         padded = zip(cells, widths, strict=True)
         lines.append('  '.join(cell.ljust(width) for cell, width in padded).rstrip())
@@ -34,24 +43,24 @@
     """Return one JSON object for programs."""
     rows = []
     for row in snapshot.rows:
-        shown = row.model_dump(mode='json', exclude={'latencies'})
-        shown['burn'] = {
-            window.value: row.windows[window].find_burn(row.target.share)
+        document = row.model_dump(mode='json', exclude={'latencies'})
+        document['burn'] = {
+            window.value: row.windows[window].burn_rate(row.target.share)
             for window in Window
         }
-        shown['first_token_seconds'] = {
-            'p50': row.find_latency(MEDIAN),
-            'p95': row.find_latency(TAIL),
+        document['first_token_seconds'] = {
+            'p50': row.latency_quantile(MEDIAN),
+            'p95': row.latency_quantile(TAIL),
         }
-        rows.append(shown)
+        rows.append(document)
     whole = snapshot.model_dump(mode='json', exclude={'rows'})
     return json.dumps({**whole, 'rows': rows})
 
 
 def render_html(snapshot: BurnSnapshot) -> str:
     """Return a page that needs nothing else, with plots in it."""
-    table = [_list_heads(), *(_list_cells(row) for row in snapshot.rows)]
-    body = ''.join(f'<p>{html.escape(line)}</p>' for line in _describe(snapshot))
+    table = [_header_cells(), *(_row_cells(row) for row in snapshot.rows)]
+    body = ''.join(f'<p>{html.escape(line)}</p>' for line in _summary_lines(snapshot))
     rows = ''.join(_render_cells(cells) for cells in table)
     plots = ''.join(_plot(snapshot))
     return (
@@ -62,7 +71,7 @@
     )
 
 
-def _describe(snapshot: BurnSnapshot) -> list[str]:
+def _summary_lines(snapshot: BurnSnapshot) -> list[str]:
     domains = ', '.join(snapshot.failure_domains)
     lines = [
         f'Taken {snapshot.taken.isoformat()} from {snapshot.daemons} daemons '
@@ -75,24 +84,24 @@
     return lines
 
 
-def _list_heads() -> list[str]:
-    return [*HEADS, *(f'burn {window.value}' for window in Window)]
+def _header_cells() -> list[str]:
+    return [*HEADERS, *(f'burn {window.value}' for window in Window)]
 
 
-def _list_cells(row: BurnRow) -> list[str]:
+def _row_cells(row: BurnRow) -> list[str]:
     longest = row.windows[Window.DAYS_3]
-    burns = [row.windows[window].find_burn(row.target.share) for window in Window]
+    burns = [row.windows[window].burn_rate(row.target.share) for window in Window]
     return [
         *row.key,
         str(longest.good + longest.bad),
         str(longest.bad),
-        _show_seconds(row.find_latency(MEDIAN)),
-        _show_seconds(row.find_latency(TAIL)),
+        _format_seconds(row.latency_quantile(MEDIAN)),
+        _format_seconds(row.latency_quantile(TAIL)),
         *(f'{burn:.2f}' for burn in burns),
     ]
 
 
-def _show_seconds(seconds: float | None) -> str:
+def _format_seconds(seconds: float | None) -> str:
     return '-' if seconds is None else f'{seconds:.3f} s'
 
 
@@ -101,18 +110,18 @@
 
 
 def _plot(snapshot: BurnSnapshot) -> Iterator[str]:
-    rows = sorted(snapshot.rows, key=_find_worst, reverse=True)[:SHOWN_ROWS]
+    rows = sorted(snapshot.rows, key=_max_burn_rate, reverse=True)[:SHOWN_ROWS]
     if not rows:
         return
     names = [' '.join(row.key) for row in rows]
     for window in Window:
         chart = _make_chart(f'Burn over {window.value}', names)
-        burns = [row.windows[window].find_burn(row.target.share) for row in rows]
+        burns = [row.windows[window].burn_rate(row.target.share) for row in rows]
         chart.add('burn', burns)
         yield _render(chart)
     chart = _make_chart('Time to the first token, seconds', names)
-    chart.add('p50', [row.find_latency(MEDIAN) for row in rows])
-    chart.add('p95', [row.find_latency(TAIL) for row in rows])
+    chart.add('p50', [row.latency_quantile(MEDIAN) for row in rows])
+    chart.add('p95', [row.latency_quantile(TAIL) for row in rows])
     yield _render(chart)
 
 
@@ -121,7 +130,7 @@
         title=title,
         js=(),
         disable_xml_declaration=True,
-        height=HEAD_PIXELS + ROW_PIXELS * len(names),
+        height=HEADER_PIXELS + ROW_PIXELS * len(names),
     )
     chart.x_labels = names
     return chart
@@ -137,5 +146,5 @@
     return str(etree.tostring(tree, encoding='unicode'))
 
 
-def _find_worst(row: BurnRow) -> float:
-    return max(row.windows[window].find_burn(row.target.share) for window in Window)
+def _max_burn_rate(row: BurnRow) -> float:
+    return max(row.windows[window].burn_rate(row.target.share) for window in Window)
--- a/libs/telemetry/fireflyhitch_telemetry/lines.py
+++ b/libs/telemetry/fireflyhitch_telemetry/lines.py
@@ -18,9 +18,9 @@
 
 STANDARD_OUTPUT = 1
 # Some seconds of a loaded daemon's lines.
-MOST_LINES = 4000
+MAX_LINES = 4000
 # A daemon that serves 100 requests a second with a fault each writes some 400.
-MOST_LINES_PER_SECOND = 1000
+MAX_LINES_PER_SECOND = 1000
 
 
 class LineBuffer:
@@ -34,7 +34,7 @@
         self._fields = fields
         self._lines: deque[bytes] = deque()
         self._dropped = 0
-        self._budget = float(MOST_LINES_PER_SECOND)
+        self._budget = float(MAX_LINES_PER_SECOND)
 
     def install(self, level: str) -> None:
         """Have all logs go to this buffer.
@@ -47,7 +47,7 @@
 
     def add(self, message: 'Message') -> None:
         """Take a line in, or count it as dropped."""
-        if len(self._lines) >= MOST_LINES or self._budget < 1:
+        if len(self._lines) >= MAX_LINES or self._budget < 1:
             self._dropped += 1
             return
         self._budget -= 1
@@ -58,7 +58,7 @@
 
         :param seconds: since the last flush, for the rate of lines.
         """
-        most = float(MOST_LINES_PER_SECOND)
+        most = float(MAX_LINES_PER_SECOND)
         self._budget = min(most, self._budget + seconds * most)
         if self._dropped and self._budget >= 1:
             dropped = self._dropped
--- a/libs/telemetry/tests/test_burn.py
+++ b/libs/telemetry/tests/test_burn.py
@@ -56,7 +56,7 @@
         row = recorder.snapshot().rows[0]
         counts = row.windows[Window.MINUTES_5]
         assert (counts.good, counts.bad) == (1, 3)
-        assert counts.find_burn(0.9) == pytest.approx(7.5)
+        assert counts.burn_rate(0.9) == pytest.approx(7.5)
 
     def test_requests_leave_the_windows_by_age(self, clock):
         recorder = make_recorder(clock)
@@ -132,8 +132,8 @@
         recorder = make_recorder(clock)
         for number in range(1, 1001):
             record(recorder, first=number / 1000)
-        shown = json.loads(render_json(recorder.snapshot()))
-        row = shown['rows'][0]
+        document = json.loads(render_json(recorder.snapshot()))
+        row = document['rows'][0]
         assert row['first_token_seconds']['p95'] == pytest.approx(0.95, rel=0.03)
 
     def test_page_stands_alone_and_escapes_names(self, clock):
