--- a/libs/membership/fireflyhitch_membership/__init__.py
+++ b/libs/membership/fireflyhitch_membership/__init__.py
@@ -1,1 +1,1 @@
-"""Peer links, liveness and dissemination of state."""
+"""Peer links, failure detection and dissemination of state."""
--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: read, proposed, spread, never taken back."""
+"""Reads, proposes and distributes the configuration, which never reverts."""
 
 import random
 import threading
@@ -32,7 +32,7 @@
 from fireflyhitch_platform.keyvalue import KeyValueStore
 from fireflyhitch_settings.schema import Configuration
 
-# Callers find the results beside the keeper that gives them.
+# Re-exports the result types of the manager's methods.
 __all__ = (  # noqa: WPS410
     'Accepted',
     'ConfigurationKeeper',
@@ -43,12 +43,12 @@
 )
 
 DIGEST_SECONDS = 1.0
-# How soon a daemon notices that it has become a watcher.
+# The delay within which a daemon detects that it has become a watcher.
 ROLE_SECONDS = 1.0
-# The last resort of a daemon that hears of no change by peers; 790 daemons cost
-# the store three reads a second.
+# Fallback for a daemon that receives no changes from peers; 790 daemons cause three
+# store reads a second.
 POLL_SECONDS = 300.0
-# A daemon without any configuration asks its peers before it asks the store.
+# A daemon without a configuration asks its peers before the store.
 FIRST_POLL_SECONDS = 1.0
 MIN_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 15.0
@@ -57,9 +57,9 @@
 
 
 class ConfigurationKeeper:
-    """Keeps one daemon's configuration at the highest accepted revision.
+    """Maintains one daemon's configuration at the highest accepted revision.
 
-    :param here: this daemon.
+    :param here: the local daemon.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Start the threads that watch the store and talk to peers."""
+        """Start the threads that watch the store and exchange state with peers."""
         rounds = (
             (self.follow_store_once, self._stopping),
             (self.follow_peers_once, self._wake),
@@ -102,18 +102,18 @@
             thread.start()
 
     def stop(self) -> None:
-        """End the threads; a waiting watch is left to its own timeout."""
+        """Stop the threads; a pending watch ends by its own timeout."""
         self._stopping.set()
         self._wake.set()
         for thread in self._threads:
             thread.join(STOP_SECONDS)
 
     def in_force(self) -> InForce | None:
-        """Return what is in force; ``None`` while no source could be read."""
+        """Return the configuration in force, or ``None`` until a source was read."""
         return self._revisions.in_force()
 
     def on_change(self, callback: Callable[[InForce], None]) -> None:
-        """Have a callback called after each change, in one of the threads."""
+        """Register a callback to be called after each change, in one of the threads."""
         self._revisions.on_change(callback)
 
     def propose(
@@ -122,33 +122,33 @@
         expected_revision: Revision,
         change_id: ChangeId,
     ) -> ProposalResult:
-        """Write a configuration if nothing came since the expected revision.
+        """Write a configuration if no change was accepted since the expected revision.
 
-        Proposing the same change id again gives the same answer.
+        Proposing the same change id again gives the same result.
 
-        :param expected_revision: the revision that the operator saw; 0: none.
+        :param expected_revision: the revision that the operator saw, or 0 for none.
         :raises PlatformError: ``not-run`` if it was certainly not accepted,
-            ``unknown`` if the store went away before that was settled.
+            ``unknown`` if the store failed before the outcome was known.
         """
         return self._stored.propose(
             Proposal(configuration, expected_revision, change_id)
         )
 
     def revisions_by_failure_domain(self) -> dict[FailureDomainId, DomainRevision]:
-        """Ask one daemon of each failure domain what is in force there."""
+        """Query one daemon of each failure domain for its revision in force."""
         return self._spreader.ask_domains()
 
     def snapshot_section(self) -> Section:
-        """Return the section that holds the configuration in force."""
+        """Return the snapshot section for the configuration in force."""
         return Section('configuration', self._produce_snapshot, self._merge_snapshot)
 
     def is_watcher(self) -> bool:
-        """Tell whether this daemon watches the store for its failure domain."""
+        """Return whether this daemon watches the store for its failure domain."""
         domain = self._here.failure_domain
         return self._here.daemon_id in choose_watchers(domain, self._messenger.live())
 
     def follow_store_once(self) -> timedelta:
-        """Read and watch if this daemon's turn has come.
+        """Read and watch the store if this daemon is a watcher or its poll is due.
 
         :returns: how long to wait before the next round.
         """
@@ -166,9 +166,9 @@
         return timedelta()
 
     def follow_peers_once(self) -> timedelta:
-        """Pull what is wanted, and each second tell a peer what is in force.
+        """Run pending pulls, and send a digest to a peer every second.
 
-        :returns: how long to wait unless a pull is wanted before.
+        :returns: how long to wait unless a pull becomes pending earlier.
         """
         self._wake.clear()
         self._spreader.pull_pending()
@@ -192,7 +192,7 @@
 
     def _on_success(self) -> None:
         if self._backoff.reset():
-            logger.bind(step=Step.STORE_READ.value).info('store is back')
+            logger.bind(step=Step.STORE_READ.value).info('store reachable again')
         nothing_yet = self._revisions.record.revision == ABSENT
         period = MAX_BACKOFF_SECONDS if nothing_yet else POLL_SECONDS
         self._next_poll = self._clock.monotonic() + self._jitter(period)
@@ -211,10 +211,10 @@
             try:
                 rest = work()
             except Exception as error:
-                # A fault in one round, be it a callback's, must not leave this
-                # daemon with a configuration that is never renewed.
+                # An error in one round, also one in a callback, must not stop the
+                # thread: the configuration would never be updated again.
                 logger.bind(step=Step.CONFIGURE.value).error(
-                    'round failed', error=repr(error)
+                    'configuration round failed', error=repr(error)
                 )
                 rest = timedelta(seconds=ROLE_SECONDS)
             self._clock.wait(wake, rest)
--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -1,4 +1,4 @@
-"""Questions and answers over the links, and who handles which kind."""
+"""Requests and answers over the links, and dispatch of messages to handlers."""
 
 import asyncio
 import itertools
@@ -17,7 +17,7 @@
 from fireflyhitch_model.states import Step
 
 HANDLER_THREADS = 8
-# Messages waiting for a thread; more are dropped, their senders ask again.
+# Messages waiting for a thread; more are dropped, and their senders retry.
 MAX_WAITING = 512
 
 AnyHandler = Handler[Any]
@@ -25,10 +25,11 @@
 
 
 class Exchange:
-    """Sends, asks and hands received messages out; runs on the event loop.
+    """Sends messages, matches answers and dispatches received messages.
 
-    Kinds of membership itself are handled on the loop, so that heartbeats are
-    answered however busy the threads are; all others in a pool of threads.
+    Runs on the event loop. Membership messages are handled on the loop, so that
+    heartbeats are answered even if all threads are busy; all others are handled in a
+    thread pool.
     """
 
     def __init__(self) -> None:
@@ -43,44 +44,46 @@
         self._waiting = 0
 
     def attach(self, links: Links) -> None:
-        """Use the links."""
+        """Set the links over which messages are sent."""
         self._links = links
 
     def handle_inline(self, kind: str, handler: AnyHandler) -> None:
-        """Have a handler that never blocks called on the loop."""
+        """Register a non-blocking handler to be called on the loop."""
         self._inline_handlers[kind] = handler
 
     def handle_async(self, kind: str, handler: AsyncHandler) -> None:
-        """Have a handler that waits for other messages run as a task."""
+        """Register a handler that awaits other messages, to be run as a task."""
         self._async_handlers[kind] = handler
 
     def handle(self, kind: str, handler: AnyHandler) -> None:
-        """Have a handler called in a thread."""
+        """Register a handler to be called in a thread."""
         self._thread_handlers[kind] = handler
 
     def run(self, work: Callable[[], object]) -> None:
-        """Do work in a thread; dropped if too much waits already."""
+        """Run work in a thread; it is dropped if too much is waiting already."""
         if self._waiting >= MAX_WAITING:
-            logger.bind(step=Step.PEER.value).warning('handlers too busy')
+            logger.bind(step=Step.PEER.value).warning(
+                'message dropped: all handler threads busy'
+            )
             return
         self._waiting += 1
         task = asyncio.get_running_loop().run_in_executor(self._pool, work)
         task.add_done_callback(self._finish)
 
     def close(self) -> None:
-        """End the threads; handlers at work finish by themselves."""
+        """Stop the threads; running handlers are not interrupted."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def tell(self, peer: DaemonId, message: PeerMessage) -> None:
-        """Send without an answer."""
+        """Send a message without waiting for an answer."""
         self._send(peer, message.kind, encode(message))
 
     async def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
     ) -> PeerMessage:
-        """Send and wait for the answer.
+        """Send a message and wait for the answer.
 
-        :raises PeerError: if none comes in time.
+        :raises PeerError: if no answer arrives in time.
         """
         number = next(self._numbers)
         answer: asyncio.Future[PeerMessage] = asyncio.get_running_loop().create_future()
@@ -97,11 +100,11 @@
             self._pending.pop(number, None)
 
     def receive(self, peer: DaemonId, frame: Frame) -> None:
-        """Hand a frame out."""
+        """Decode a frame and dispatch its message."""
         try:
             message = read_message(frame.kind, frame.body, peer)
         except UnknownKindError:
-            # A newer release has kinds that this one lacks; its asks time out.
+            # A newer release may send kinds that this one lacks; its requests time out.
             logger.bind(step=Step.PEER.value, peer=peer, kind=frame.kind).debug(
                 'unknown kind'
             )
@@ -114,7 +117,7 @@
     def dispatch(
         self, peer: DaemonId, message: PeerMessage, ask: int | None = None
     ) -> None:
-        """Call the handler of a message and send its answer, if it was asked."""
+        """Call a message's handler, and send the result if an answer is expected."""
         quick = self._inline_handlers.get(message.kind)
         if quick is not None:
             self._answer(peer, quick(peer, message), ask)
--- a/libs/membership/fireflyhitch_membership/handshake.py
+++ b/libs/membership/fireflyhitch_membership/handshake.py
@@ -1,9 +1,9 @@
-"""Proof on both sides of a new link that the other knows the shared key.
+"""Mutual authentication of a new link by a shared key.
 
-The acceptor sends a nonce; the opener proves the key over both nonces and names
-itself; the acceptor proves it in turn. A recorded proof is of no use for another
-link, since the nonces differ. Frames after it are not signed one by one: on a
-network where others can write into a TCP connection, use mutual TLS.
+The acceptor sends a nonce. The opener sends its identity, its own nonce and an HMAC
+over both nonces; the acceptor responds with its own HMAC. A recorded HMAC cannot be
+replayed on another link, since the nonces differ. Later frames are not signed: on a
+network where others can inject data into a TCP connection, use mutual TLS.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 
 class Socket(Protocol):
-    """What the handshake needs of a websocket."""
+    """The websocket methods that the handshake uses."""
 
     async def send(self, message: bytes) -> None:
         """Send one message."""
@@ -41,7 +41,7 @@
 
 
 class Proof(PeerMessage):
-    """Who opens the link, its nonce and its proof of the key."""
+    """The opener's identity, nonce and HMAC."""
 
     kind: ClassVar[str] = 'proof'
 
@@ -51,7 +51,7 @@
 
 
 class Welcome(PeerMessage):
-    """Who accepted the link and its proof of the key."""
+    """The acceptor's identity and HMAC."""
 
     kind: ClassVar[str] = 'welcome'
 
@@ -62,10 +62,10 @@
 async def open_handshake(
     socket: Socket, key: str, own: MemberRecord, address: str
 ) -> MemberRecord:
-    """Do the opener's part.
+    """Run the opener's side of the handshake.
 
-    :returns: the acceptor.
-    :raises PeerError: if the acceptor does not prove the key.
+    :returns: the acceptor's record.
+    :raises PeerError: if the acceptor does not know the key.
     """
     challenge = await _receive(socket, Challenge, address)
     nonce = secrets.token_bytes(NONCE_BYTES)
@@ -80,10 +80,10 @@
 async def accept_handshake(
     socket: Socket, key: str, own: MemberRecord, address: str
 ) -> MemberRecord:
-    """Do the acceptor's part.
+    """Run the acceptor's side of the handshake.
 
-    :returns: the opener.
-    :raises PeerError: if the opener does not prove the key.
+    :returns: the opener's record.
+    :raises PeerError: if the opener does not know the key.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     await socket.send(encode(Challenge(nonce=nonce)))
@@ -99,7 +99,9 @@
     frame = decode(await socket.recv(), address)
     message = read_message(frame.kind, frame.body, address)
     if not isinstance(message, kind):
-        raise PeerError(f'{frame.kind} out of turn', step=Step.PEER, peer=address)
+        raise PeerError(
+            f'unexpected {frame.kind} in handshake', step=Step.PEER, peer=address
+        )
     return message
 
 
--- a/libs/membership/fireflyhitch_membership/heads.py
+++ b/libs/membership/fireflyhitch_membership/heads.py
@@ -1,8 +1,8 @@
-"""The head that is watched: small, with the difference from the one before.
+"""The watched head of the configuration, with the difference from the previous one.
 
-The whole configuration lies beside it, under a key of its own that is written
-first. A watcher of every change then receives a kilobyte each, and reads the
-whole only when it has missed one.
+The whole configuration is stored in a body under a separate key, which is written
+first. A watcher of every change receives about a kilobyte per change, and reads the
+whole only after it missed one.
 """
 
 import base64
@@ -23,15 +23,15 @@
 
 HEAD_FORMAT = 1
 BODY_PREFIX = 'fireflyhitch/configuration.bodies/'
-# A daemon that read a head just before it was replaced still finds its body.
+# Keeps the body of a head that a daemon read just before it was replaced.
 MAX_BODIES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Body:
-    """Where a whole configuration lies.
+    """The location of a whole configuration.
 
-    :param stored: the store's revision at which it was written.
+    :param stored: the store revision at which it was written.
     """
 
     key: str
@@ -40,11 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """What is in the watched key.
+    """The value of the watched key.
 
-    :param content: a hash over the configuration's text.
-    :param base: the revision that the difference starts from.
-    :param bodies: the last bodies, oldest first; the last one is this head's.
+    :param content: a hash of the configuration's text.
+    :param base: the revision to which the difference applies.
+    :param base_content: a hash of that revision's text.
+    :param bodies: the latest bodies, oldest first; the last one is this head's.
     """
 
     revision: Revision
@@ -56,7 +57,7 @@
     bodies: tuple[Body, ...]
 
     def apply_to(self, base: ConfigurationRecord) -> ConfigurationRecord | None:
-        """Return the record if the difference leads there from a base."""
+        """Return the record, or ``None`` if the difference does not apply to a base."""
         if (base.revision, base.content) != (self.base, self.base_content):
             return None
         record = apply_difference(base, self.difference, self.revision, self.change_id)
@@ -64,12 +65,12 @@
 
 
 def name_body(content: bytes, revision: Revision) -> str:
-    """Return a key that is the same only for the same content."""
+    """Return a key derived from the revision and the content's hash."""
     return f'{BODY_PREFIX}{revision}-{hash_text(base64.b64encode(content).decode()):x}'
 
 
 def revision_of_body(key: str) -> Revision:
-    """Return the revision that a body's key names, or 0 if it names none."""
+    """Return the revision in a body's key, or 0 if the key contains none."""
     number = key.removeprefix(BODY_PREFIX).split('-')[0]
     return Revision(int(number) if number.isdecimal() else 0)
 
@@ -80,7 +81,7 @@
     earlier: tuple[Body, ...],
     body: Body,
 ) -> Head:
-    """Return the head of a change."""
+    """Return the head for a change from a base to a record."""
     return Head(
         record.revision,
         record.change_id,
@@ -93,7 +94,7 @@
 
 
 def pack_head(head: Head) -> bytes:
-    """Return a head as it is stored."""
+    """Serialize a head in the stored format."""
     document = {
         'format': HEAD_FORMAT,
         'revision': head.revision,
@@ -107,9 +108,9 @@
 
 
 def unpack_head(content: bytes, peer: str) -> Head:
-    """Read a head.
+    """Deserialize a head.
 
-    :raises PlatformError: if it is none.
+    :raises PlatformError: if the content is not a valid head.
     """
     try:
         document = json.loads(content)
--- a/libs/membership/fireflyhitch_membership/links.py
+++ b/libs/membership/fireflyhitch_membership/links.py
@@ -1,4 +1,4 @@
-"""Links to peers: one bounded queue and one writer each, on one event loop."""
+"""Links to peers, each with a bounded queue and a writer, on one event loop."""
 
 import asyncio
 import logging
@@ -20,42 +20,42 @@
 from fireflyhitch_model.ids import DaemonId
 from fireflyhitch_model.states import Step
 
-# Long enough for a busy daemon: a link given up half way is work done in vain,
-# and its repetition makes a busy daemon busier.
+# Long enough for a busy daemon: an aborted handshake wastes work, and retrying it
+# adds load.
 OPEN_SECONDS = 4.0
-# A daemon that meets many at once opens its links one after the other.
+# Limits concurrent handshakes when many peers are discovered at once.
 MAX_CONCURRENT_OPENS = 4
-# Heartbeats cross a link in use more often than this.
+# Longer than the interval between heartbeats on a link in use.
 UNRESPONSIVE_SECONDS = 3.0
 SEND_SECONDS = 2.0
-# For the closing handshake of a link; a peer that is gone does not answer it.
+# For the closing handshake of a link, which a crashed peer does not answer.
 CLOSE_SECONDS = 1.0
-# For all links together at the end.
+# For all links together at shutdown.
 STOP_SECONDS = 3.0
 IDLE_SECONDS = 120.0
 BACKOFF_SECONDS = 0.3
-# At 12 KB/s it would take a peer minutes to empty more.
+# At 12 KB/s a longer queue would take minutes to drain.
 MAX_QUEUED_FRAMES = 256
 BACKOFF_JITTER = (0.5, 1.5)
-# A WebSocket frame's header with its mask (8), TCP with timestamps (32), IP (20).
+# WebSocket header with mask (8), TCP header with timestamps (32), IP header (20).
 FRAME_OVERHEAD_BYTES = 60
 
-# Decides whether a frame of a kind goes out to a peer; for tests of lost messages.
+# Returns whether to send a frame of a kind to a peer; tests use it to drop messages.
 LinkFilter = Callable[[DaemonId, str], bool]
-# The library would write lines that are no JSON to standard error.
+# The library's own logger would write lines to standard error that are not JSON.
 _null_logger = logging.Logger('peer-links', logging.CRITICAL + 1)
 LINK_ERRORS = (OSError, EOFError, KeyError, WebSocketException, PeerError)
 
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """What the links are made of.
+    """Options of a daemon's links.
 
-    :param seeds: addresses (``host:port``) to ask first.
-    :param peer_key: shared by all daemons; each side proves that it knows it.
-    :param server_tls: given, links are accepted by TLS only.
-    :param client_tls: given, links are opened by TLS.
-    :param link_filter: for tests; ``None`` lets all frames pass.
+    :param seeds: addresses (``host:port``) to contact first.
+    :param peer_key: the key shared by all daemons, which both sides of a link prove.
+    :param server_tls: if set, links are only accepted over TLS.
+    :param client_tls: if set, links are opened over TLS.
+    :param link_filter: for tests; ``None`` passes all frames.
     """
 
     seeds: tuple[str, ...]
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class LinkCounts:
-    """Traffic since the start; bytes include an estimate for the headers."""
+    """Traffic since the start; bytes include estimated header sizes."""
 
     bytes_out: int = 0
     bytes_in: int = 0
@@ -80,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkHooks:
-    """What the links ask of their owner.
+    """Callbacks from the links to their owner.
 
-    :param own: returns this daemon's record.
+    :param own: returns the local daemon's record.
     :param find: returns a peer's record, or ``None``.
-    :param on_authenticated: told of each peer that proved the key.
-    :param on_frame: takes a peer's frame; it must not block.
+    :param on_authenticated: called with each peer that proved the key.
+    :param on_frame: called with each received frame; must not block.
     """
 
     own: Callable[[], MemberRecord]
@@ -95,7 +95,7 @@
 
 
 class Links:
-    """All links of one daemon; every method runs on its event loop."""
+    """All links of one daemon; every method must run on its event loop."""
 
     def __init__(self, options: LinkOptions, hooks: LinkHooks) -> None:
         self.counts = LinkCounts()
@@ -109,9 +109,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> int:
-        """Start to accept links.
+        """Start accepting links.
 
-        :returns: the port.
+        :returns: the TCP port.
         """
         self._server = await serve(
             self._accept,
@@ -133,8 +133,8 @@
             self._server.close()
         for task in tuple(self._tasks):
             task.cancel()
-        # The acceptor's handlers are tasks of the server. Left pending they would
-        # be destroyed with the loop, in the middle of a closing handshake.
+        # Handlers of accepted links are tasks of the server. If left pending they
+        # would be destroyed with the loop during a closing handshake.
         rest = asyncio.all_tasks() - {asyncio.current_task()}
         if rest:
             _done, rest = await asyncio.wait(rest, timeout=STOP_SECONDS)
@@ -146,7 +146,7 @@
     def send(self, peer: DaemonId, kind: str, frame: bytes) -> bool:
         """Queue a frame.
 
-        :returns: whether there was room for it.
+        :returns: whether the queue had room for it.
         """
         passes = self._options.link_filter
         if passes is not None and not passes(peer, kind):
@@ -157,30 +157,32 @@
             self._queues[peer] = queue
             self._start(self._write(peer, queue))
         if queue.full():
-            # A silent peer costs its own queue only; waiting for room would
-            # hold up the messages to all others.
+            # Drops frames to an unresponsive peer; waiting for room would delay
+            # messages to all other peers.
             self.counts.dropped += 1
             return False
         queue.put_nowait(frame)
         return True
 
     async def open_link(self, address: str) -> MemberRecord:
-        """Open a link to an address of which the daemon is not known.
+        """Open a link to an address whose daemon is unknown.
 
-        :raises PeerError: if nobody there proves the key in time.
+        :raises PeerError: if no peer proves the key there in time.
         """
         try:
             async with self._opening, asyncio.timeout(OPEN_SECONDS):
                 return await self._open(address)
         except LINK_ERRORS as error:
-            raise PeerError('no link', step=Step.CONNECT, peer=address) from error
+            raise PeerError(
+                'link could not be opened', step=Step.CONNECT, peer=address
+            ) from error
 
     async def drop(self, peer: DaemonId) -> None:
         """Close the link to a peer; the next frame opens a new one.
 
-        After a partition TCP waits up to two minutes before it sends again on
-        an old connection, so a silent peer would stay silent long after the
-        network has healed. A new connection gets through at once.
+        After a partition TCP waits up to two minutes before it retransmits on an
+        existing connection, so a peer would remain unresponsive long after the
+        network has recovered. A new connection works at once.
         """
         socket = self._sockets.pop(peer, None)
         self._last_received.pop(peer, None)
@@ -188,7 +190,7 @@
             self._start(socket.close())
 
     async def drop_if_unresponsive(self, peer: DaemonId) -> None:
-        """Close the link to a peer from which nothing came for a while."""
+        """Close the link to a peer if nothing was received from it recently."""
         now = asyncio.get_running_loop().time()
         if now - self._last_received.get(peer, now) > UNRESPONSIVE_SECONDS:
             await self.drop(peer)
@@ -196,8 +198,8 @@
     async def _write(self, peer: DaemonId, queue: 'asyncio.Queue[bytes]') -> None:
         try:
             while True:
-                # Not wait_for, which in Python 3.11 may swallow a cancellation
-                # that comes together with a frame; the thread would not end.
+                # Not wait_for: in Python 3.11 it may swallow a cancellation that
+                # coincides with a frame, and the thread would not stop.
                 async with asyncio.timeout(IDLE_SECONDS):
                     frame = await queue.get()
                 await self._write_one(peer, queue, frame)
@@ -215,8 +217,8 @@
             async with asyncio.timeout(SEND_SECONDS):
                 await self._sockets[peer].send(frame)
         except LINK_ERRORS:
-            # What waited for a cut-off peer is stale when it comes back, and
-            # its senders have given up: it would only delay fresh heartbeats.
+            # Drops the whole queue: by the time the peer is reachable again the
+            # senders have timed out, and stale frames would delay new heartbeats.
             self.counts.dropped += 1 + queue.qsize()
             while not queue.empty():
                 queue.get_nowait()
@@ -236,7 +238,7 @@
             async with asyncio.timeout(OPEN_SECONDS):
                 found = await self._open(record.peer)
         if found.daemon_id != peer:
-            raise PeerError('another daemon answers', step=Step.CONNECT, peer=peer)
+            raise PeerError('another daemon answered', step=Step.CONNECT, peer=peer)
 
     async def _open(self, address: str) -> MemberRecord:
         tls = self._options.client_tls
@@ -265,7 +267,9 @@
 
     def _reject_self(self, peer: MemberRecord, address: str) -> None:
         if peer.daemon_id == self._hooks.own().daemon_id:
-            raise PeerError('own address', step=Step.CONNECT, peer=address)
+            raise PeerError(
+                'address is this daemon itself', step=Step.CONNECT, peer=address
+            )
 
     async def _accept(self, socket: ServerConnection) -> None:
         address = str(socket.remote_address)
@@ -299,8 +303,8 @@
                 'link lost', error=repr(error)
             )
         except Exception as error:
-            # A fault in a handler costs this link, and a new one is opened; it
-            # must be seen, since the library's own log is off.
+            # An error in a handler closes this link, and a new one is opened. It is
+            # logged here, since the library's own logger is disabled.
             logger.bind(step=Step.PEER.value, peer=peer).error(
                 'link failed', error=repr(error)
             )
--- a/libs/membership/fireflyhitch_membership/marks.py
+++ b/libs/membership/fireflyhitch_membership/marks.py
@@ -1,4 +1,4 @@
-"""Marks that only grow: leaving instances and withdrawn versions."""
+"""Grow-only marks: leaving instances and withdrawn versions."""
 
 from collections.abc import Iterable
 from threading import Lock
@@ -10,10 +10,10 @@
 from fireflyhitch_model.invariants import Invariant, invariant
 from fireflyhitch_model.states import Step
 
-# A mismatch is narrowed to buckets, so that one new mark among thousands does
-# not cost an exchange of all.
+# Digests are compared per bucket, so that one new mark among thousands does not
+# require an exchange of all.
 BUCKETS = 32
-# Eleven days of 1,800 restarts or failures a day, in about 4 MB.
+# Holds eleven days at 1,800 restarts or failures a day, in about 4 MB.
 MAX_LEAVING_MARKS = 20000
 
 _INVARIANTS = {
@@ -25,10 +25,10 @@
 
 
 class MarkTable:
-    """The marks that a daemon knows; merging is the maximum for each key.
+    """A daemon's marks; merging takes the maximum number for each key.
 
-    The maximum makes order and repetition of messages irrelevant: a cut-off
-    side that comes back with old marks can only add to the union.
+    The maximum is independent of the order and repetition of messages: a partitioned
+    side that reconnects with old marks can only add to the union.
     """
 
     def __init__(self) -> None:
@@ -37,19 +37,19 @@
         self._buckets = [0 for _ in range(BUCKETS)]
 
     def merge(self, marks: Iterable[Mark]) -> tuple[Mark, ...]:
-        """Take marks in.
+        """Merge marks into the table.
 
-        :returns: those that were news.
+        :returns: the marks that changed the table.
         """
         with self._lock:
             return tuple(mark for mark in marks if self._apply(mark))
 
     def number_of(self, kind: MarkKind, key: str) -> int:
-        """Return up to which number a key is marked; 0 if not at all."""
+        """Return the highest marked number of a key, or 0 if it is not marked."""
         return self._numbers.get((kind, key), 0)
 
     def all_of(self, kind: MarkKind) -> dict[str, int]:
-        """Return all marks of a kind."""
+        """Return the marked number of each key of a kind."""
         with self._lock:
             return {
                 key: number
@@ -66,18 +66,18 @@
             )
 
     def digest(self) -> int:
-        """Return a hash over all marks."""
+        """Return a hash of all marks."""
         with self._lock:
             buckets = repr(self._buckets)
         return hash_text(buckets)
 
     def bucket_digests(self) -> tuple[int, ...]:
-        """Return a hash over the marks of each bucket."""
+        """Return a hash of the marks in each bucket."""
         with self._lock:
             return tuple(self._buckets)
 
     def differing(self, remote: tuple[int, ...]) -> tuple[Mark, ...]:
-        """Return the marks of the buckets that differ from a peer's."""
+        """Return the marks in the buckets that differ from a peer's."""
         if not remote:
             return ()
         if len(remote) != BUCKETS:
--- a/libs/membership/fireflyhitch_membership/members.py
+++ b/libs/membership/fireflyhitch_membership/members.py
@@ -1,4 +1,4 @@
-"""The daemons that a daemon knows, and how news about them merge."""
+"""Table of known daemons, with the rules that merge records about them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 from fireflyhitch_model.ids import DaemonId, FailureDomainId, Incarnation
 from fireflyhitch_model.peers import Daemon
 
-# A process stopped for less is suspected but keeps its place: on waking up it
-# finds the suspicion in the next probe and contradicts it.
+# A process paused for less than this is suspected but not removed: once it resumes,
+# it sees the suspicion in the next probe and refutes it.
 SUSPICION_TIMEOUT = timedelta(seconds=5)
-# Longer than regions lose each other, so that a side that comes back does not
-# bring a leaving daemon back.
+# Longer than partitions between regions last, so that a side that reconnects does
+# not reintroduce a daemon that has left.
 GONE_RETENTION = timedelta(hours=1)
-# The statuses under which a daemon gets work and duties.
+# Statuses in which a daemon is assigned work and duties.
 SERVING_STATUSES = frozenset((MemberStatus.ALIVE, MemberStatus.SUSPECT))
 
 
@@ -29,10 +29,11 @@
 
 
 class MemberTable:
-    """Members by id: all of the own failure domain, a summary of the others.
+    """Members by id: all of the local failure domain, a summary of each other domain.
 
-    The higher incarnation wins, and within one the higher status. Only a daemon
-    itself raises its incarnation, so no lagging report can undo its leaving.
+    The higher incarnation wins, and within one incarnation the higher status. Only
+    a daemon itself raises its incarnation, so a stale report cannot revert its
+    departure.
     """
 
     def __init__(self, daemon: Daemon, clock: Clock) -> None:
@@ -54,21 +55,21 @@
         return self._own
 
     def set_address(self, address: str) -> None:
-        """Set the address at which this daemon accepts links."""
+        """Set the address on which this daemon accepts links."""
         with self._lock:
             self._own = self._own.model_copy(update={'peer': address})
             self._live = None
 
     def leave(self) -> MemberRecord:
-        """Mark this daemon as leaving, for good."""
+        """Mark this daemon as leaving; this cannot be reverted."""
         with self._lock:
             return self._change_own(status=MemberStatus.LEAVING)
 
     def merge(self, records: Iterable[MemberRecord]) -> tuple[MemberRecord, ...]:
-        """Take records in.
+        """Merge records into the table.
 
-        :returns: what changed; with the own record if it had to be raised
-            against news that are wrong about this daemon.
+        :returns: the records that changed, including the local one if its incarnation
+            was raised to refute a wrong record about this daemon.
         """
         with self._lock:
             changed = [
@@ -82,7 +83,7 @@
             return tuple(changed)
 
     def suspect(self, daemon_id: DaemonId) -> tuple[MemberRecord, ...]:
-        """Note that a daemon answered neither directly nor by others."""
+        """Mark a daemon as suspect that answered neither direct nor indirect probes."""
         with self._lock:
             entry = self._entries.get(daemon_id)
             if entry is None or entry.record.status is not MemberStatus.ALIVE:
@@ -90,7 +91,7 @@
             return self._merge_one(_with_status(entry.record, MemberStatus.SUSPECT))
 
     def expire(self) -> tuple[MemberRecord, ...]:
-        """Declare dead whom suspicion lasted for too long; forget the long gone."""
+        """Declare overdue suspects dead and delete records past their retention."""
         now = self._clock.monotonic()
         with self._lock:
             died: list[MemberRecord] = []
@@ -105,10 +106,10 @@
             return tuple(died)
 
     def restart_suspicions(self) -> None:
-        """Give suspects their full time again, after this process was paused.
+        """Restart the timeouts of all suspicions after this process was paused.
 
-        Without it a daemon that wakes up finds all suspicions overdue and
-        declares half of the fleet dead, although only it was away.
+        Otherwise a daemon that resumes finds all suspicions overdue and declares half
+        of the fleet dead, although only this process was unresponsive.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -121,7 +122,7 @@
         return entry.record if entry else None
 
     def live(self) -> tuple[Daemon, ...]:
-        """Return the serving daemons, this one included unless it leaves."""
+        """Return the serving daemons, including this one unless it is leaving."""
         view = self._live
         if view is None:
             with self._lock:
@@ -130,18 +131,18 @@
         return view
 
     def serving(self) -> list[MemberRecord]:
-        """Return the records behind ``live``."""
+        """Return the records of the daemons that ``live`` returns."""
         with self._lock:
             records = [self._own, *(one.record for one in self._entries.values())]
         return [record for record in records if record.status in SERVING_STATUSES]
 
     def domains(self) -> frozenset[FailureDomainId]:
-        """Return all failure domains heard of, with or without live daemons."""
+        """Return the failure domains of all recorded daemons, live or not."""
         with self._lock:
             return frozenset(one.record.domain for one in self._entries.values())
 
     def suspects(self) -> tuple[DaemonId, ...]:
-        """Return the daemons under suspicion."""
+        """Return the ids of the suspected daemons."""
         with self._lock:
             return tuple(
                 daemon_id
@@ -159,9 +160,9 @@
             )
 
     def digests(self, domain: FailureDomainId) -> dict[FailureDomainId, int]:
-        """Return a hash per failure domain over what that domain should know.
+        """Return a hash per failure domain of the members visible to a peer.
 
-        :param domain: the failure domain of the peer that compares.
+        :param domain: the failure domain of the peer that compares digests.
         """
         with self._lock:
             found: dict[FailureDomainId, int] = {}
@@ -172,9 +173,10 @@
     def differing(
         self, domain: FailureDomainId, remote: dict[FailureDomainId, int]
     ) -> tuple[MemberRecord, ...]:
-        """Return the records of failure domains that differ from a peer's.
+        """Return the records of the failure domains whose digests differ from a peer's.
 
-        Those that are gone go along, since only they explain the difference.
+        Records of dead and leaving daemons are included, since the difference may
+        consist of nothing else.
         """
         with self._lock:
             local = self.digests(domain)
@@ -232,7 +234,7 @@
         ]
 
     def _prune(self) -> None:
-        """Keep only the summary of other failure domains."""
+        """Delete members of other failure domains that are not in their summary."""
         by_domain: dict[FailureDomainId, list[DaemonId]] = {}
         for record in self.serving():
             if record.domain != self._own.domain:
@@ -254,6 +256,6 @@
 
 
 def _hash(record: MemberRecord) -> int:
-    # Without the status: a suspicion ends within seconds one way or the other,
-    # and comparing it would have all members exchange their lists meanwhile.
+    # Excludes the status: a suspicion is resolved within seconds, and comparing it
+    # would make all members exchange their lists in the meantime.
     return hash_text(f'{record.daemon_id}/{record.incarnation}')
--- a/libs/membership/fireflyhitch_membership/messages.py
+++ b/libs/membership/fireflyhitch_membership/messages.py
@@ -1,7 +1,6 @@
 """Messages between daemons about members, configuration and soft state.
 
-Field names are short where a message is sent each second, since they go over
-the wire.
+Field names are part of the wire format; messages sent every second have short ones.
 """
 
 from datetime import datetime
@@ -21,7 +20,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What is known of a daemon; within one incarnation it only goes up."""
+    """Liveness of a daemon; it only increases within one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,7 +29,7 @@
 
 
 class MarkKind(Enum):
-    """What a grow-only mark says."""
+    """Kinds of grow-only marks."""
 
     LEAVING = 'leaving'
     WITHDRAWN = 'withdrawn'
@@ -41,7 +40,7 @@
 
 
 class MemberRecord(_Item):
-    """A daemon with its status, as handed on between members."""
+    """A daemon with its status, as exchanged between members."""
 
     daemon_id: DaemonId
     domain: FailureDomainId
@@ -58,10 +57,10 @@
 
 
 class Mark(_Item):
-    """A promise that only grows: up to ``number``, the key is marked.
+    """A grow-only mark on all incarnations of a key up to ``number``.
 
     :param key: an instance id, or ``deployment/version``.
-    :param number: the highest incarnation that is marked.
+    :param number: the highest marked incarnation.
     """
 
     kind: MarkKind
@@ -70,11 +69,11 @@
 
 
 class Probe(PeerMessage):
-    """A heartbeat that is answered, with digests of what the sender holds.
+    """A heartbeat that expects an answer, with digests of the sender's state.
 
-    :param members: digests of the members by failure domain, combined.
-    :param seen: the incarnation and status under which the sender knows the
-        receiver, so that it can contradict a wrong suspicion.
+    :param members: one digest of the per-domain member digests.
+    :param seen: the incarnation and status that the sender has recorded for the
+        receiver, which can thus refute a wrong suspicion.
     """
 
     kind: ClassVar[str] = 'probe'
@@ -86,7 +85,7 @@
 
 
 class ProbeAnswer(PeerMessage):
-    """The answer to a probe, with the same digests and the same hint."""
+    """The answer to a probe, with the same fields."""
 
     kind: ClassVar[str] = 'probe-answer'
 
@@ -97,7 +96,7 @@
 
 
 class IndirectProbe(PeerMessage):
-    """The wish that the receiver probes a third daemon."""
+    """A request to probe a third daemon."""
 
     kind: ClassVar[str] = 'indirect-probe'
 
@@ -105,7 +104,7 @@
 
 
 class IndirectAnswer(PeerMessage):
-    """Whether the third daemon answered."""
+    """Whether the third daemon answered the probe."""
 
     kind: ClassVar[str] = 'indirect-answer'
 
@@ -113,9 +112,9 @@
 
 
 class SyncRequest(PeerMessage):
-    """Digests in detail; the answer holds what differs.
+    """Detailed digests; the answer contains the state that differs.
 
-    :param marks: a digest for each bucket of marks; none if they are the same.
+    :param marks: a digest for each bucket of marks; empty if marks do not differ.
     """
 
     kind: ClassVar[str] = 'sync-request'
@@ -135,11 +134,12 @@
 
 
 class Relay(PeerMessage):
-    """A message on its way to all daemons of a scope.
+    """An envelope that forwards a message to all daemons of a scope.
 
-    :param origin: with ``number`` names the message, so that a copy is dropped.
-    :param inner: the kind of the message inside.
-    :param body: its fields.
+    :param origin: identifies the message together with ``number``, so that
+        duplicates are dropped.
+    :param inner: the kind of the enclosed message.
+    :param body: the encoded fields of the enclosed message.
     """
 
     kind: ClassVar[str] = 'relay'
@@ -152,9 +152,9 @@
 
 
 class ConfigurationDigest(PeerMessage):
-    """Which configuration the sender has in force.
+    """The revision that the sender has in force.
 
-    :param content: a hash over the configuration's content.
+    :param content: a hash of the configuration's text.
     """
 
     kind: ClassVar[str] = 'configuration-digest'
@@ -164,7 +164,12 @@
 
 
 class ConfigurationPull(PeerMessage):
-    """Asks for the configuration if it is newer than what the sender holds."""
+    """Requests the configuration if it is newer than the sender's.
+
+    :param have: the sender's revision.
+    :param content: a hash of the sender's configuration text.
+    :param whole: whether to send the whole instead of a difference.
+    """
 
     kind: ClassVar[str] = 'configuration-pull'
 
@@ -174,10 +179,10 @@
 
 
 class ConfigurationUpdate(PeerMessage):
-    """A configuration, whole or as the difference from the one asked with.
+    """A configuration, whole or as a difference from the requester's revision.
 
     :param revision: 0 if the sender has nothing newer.
-    :param content: a hash over the whole content, checked after applying.
+    :param content: a hash of the whole text, checked after a difference is applied.
     :param body: compressed JSON of the record or of the difference.
     """
 
@@ -191,13 +196,13 @@
 
 
 class StatusRequest(PeerMessage):
-    """Asks which configuration is in force in the receiver's failure domain."""
+    """Requests the revision in force in the receiver's failure domain."""
 
     kind: ClassVar[str] = 'configuration-status-request'
 
 
 class StatusAnswer(PeerMessage):
-    """The revision in force at the sender and the lowest heard in its domain."""
+    """The sender's revision and the lowest one reported in its failure domain."""
 
     kind: ClassVar[str] = 'configuration-status'
 
@@ -208,7 +213,10 @@
 
 
 class SnapshotRequest(PeerMessage):
-    """Asks for the receiver's soft state, by names of sections (none: all)."""
+    """Requests the receiver's soft state.
+
+    :param sections: names of the wanted sections; empty for all.
+    """
 
     kind: ClassVar[str] = 'snapshot-request'
 
@@ -216,7 +224,7 @@
 
 
 class Snapshot(PeerMessage):
-    """Soft state by section, each in its owner's encoding."""
+    """Soft state by section name, in each section's own encoding."""
 
     kind: ClassVar[str] = 'snapshot'
 
--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -1,4 +1,4 @@
-"""Peer links and membership behind one object, safe to use from any thread."""
+"""Thread-safe facade over peer links and membership."""
 
 import asyncio
 import threading
@@ -41,21 +41,21 @@
 START_SECONDS = 5
 STOP_SECONDS = 10
 JOIN_SECONDS = 1.5
-# For the loop to notice its own timeout first.
+# Lets the loop's own timeout expire first.
 ASK_GRACE_SECONDS = 1
-# Room for the messages of one life of the process.
+# Leaves room for the numbers of all messages of one process.
 EPOCH_BITS = 32
-# A version is withdrawn or not; it has no incarnations.
+# The mark number of withdrawn versions, which have no incarnations.
 WITHDRAWN = 1
 
 Result = TypeVar('Result')
 
 
 class PeerNetwork:
-    """Implements ``PeerMessenger`` over one thread that runs an event loop.
+    """Implements ``PeerMessenger`` on one thread that runs an event loop.
 
-    :param daemon: this daemon; its ``peer_address`` is replaced by the address
-        that the listener really has.
+    :param daemon: the local daemon; its ``peer_address`` is replaced by the
+        listener's actual address.
     """
 
     def __init__(self, daemon: Daemon, options: LinkOptions, clock: Clock) -> None:
@@ -91,7 +91,7 @@
 
     @property
     def daemon(self) -> Daemon:
-        """Return this daemon as peers see it."""
+        """Return this daemon as seen by peers."""
         return self._members.own.as_daemon()
 
     @property
@@ -100,9 +100,9 @@
         return self._links.counts
 
     def start(self) -> None:
-        """Listen and start the thread; returns when peers can connect.
+        """Start the thread and the listener; return once peers can connect.
 
-        A peer that can be reached at once is known by then.
+        A peer that is reachable immediately is in the member table by then.
         """
         self._thread.start()
         port = self._call(self._links.listen(), START_SECONDS)
@@ -111,7 +111,7 @@
         self._loop.call_soon_threadsafe(self._prober.start, self._links)
 
     def stop(self) -> None:
-        """Close all links and end the thread, if it was started."""
+        """Close all links and stop the thread, if it was started."""
         if not self._thread.is_alive():
             return
         try:
@@ -121,62 +121,62 @@
             self._thread.join(STOP_SECONDS)
 
     def live(self) -> tuple[Daemon, ...]:
-        """Return the daemons thought alive and not leaving, this one included."""
+        """Return the daemons considered alive and not leaving, including this one."""
         return self._members.live()
 
     def tell(self, peer: DaemonId, message: PeerMessage) -> None:
-        """Send without an answer; dropped if the peer's queue is full."""
+        """Send a message without answer; it is dropped if the peer's queue is full."""
         self._loop.call_soon_threadsafe(self._exchange.tell, peer, message)
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
-        """Send to all other daemons within the scope, without an answer."""
+        """Send a message to all other daemons of the scope, without answers."""
         self._loop.call_soon_threadsafe(self._relayer.spread, message, scope)
 
     def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
     ) -> PeerMessage:
-        """Send and wait for the answer; never from a callback on the loop.
+        """Send a message and wait for the answer; must not be called on the loop.
 
-        :raises PeerError: if the peer is cut off or does not answer in time.
+        :raises PeerError: if the peer is unreachable or does not answer in time.
         """
         seconds = timeout.total_seconds() + ASK_GRACE_SECONDS
         return self._call(self._exchange.ask(peer, message, timeout), seconds)
 
     def handle(self, kind: type[SomeMessage], handler: Handler[SomeMessage]) -> None:
-        """Have a handler called for each message of a kind, in a pool's thread.
+        """Register a handler for a kind of message, to be called in a pool thread.
 
-        What the handler returns is the answer. Handlers may ask other peers,
-        but each holds one of few threads meanwhile.
+        The handler returns the answer. Handlers may ask other peers, but occupy one of
+        few threads while they wait.
         """
         self._exchange.handle(kind.kind, handler)
 
     def announce_leaving(self) -> None:
-        """Tell all that this daemon leaves; it is never taken back."""
+        """Broadcast that this daemon is leaving; this cannot be reverted."""
         record = self._members.leave()
         update = StateUpdate(members=(record,))
         self._loop.call_soon_threadsafe(self._relayer.spread, update, Scope.EVERYWHERE)
 
     def mark_leaving(self, instance: InstanceId, incarnation: Incarnation) -> None:
-        """Mark an instance as leaving, up to an incarnation, and tell all."""
+        """Mark an instance as leaving up to an incarnation, and broadcast the mark."""
         mark = Mark(kind=MarkKind.LEAVING, key=instance, number=incarnation)
         self._add_marks((mark,))
 
     def is_leaving(self, instance: InstanceId, incarnation: Incarnation) -> bool:
-        """Tell whether an instance is marked as leaving; cheap."""
+        """Return whether an instance is marked as leaving; cheap."""
         return incarnation <= self._marks.number_of(MarkKind.LEAVING, instance)
 
     def leaving(self) -> dict[InstanceId, Incarnation]:
-        """Return the marked instances, with the highest marked incarnation."""
+        """Return the leaving instances with their highest marked incarnations."""
         marks = self._marks.all_of(MarkKind.LEAVING)
         return {InstanceId(key): Incarnation(number) for key, number in marks.items()}
 
     def mark_withdrawn(self, deployment: DeploymentId, version: VersionId) -> None:
-        """Mark a version as withdrawn, for good, and tell all."""
+        """Mark a version as withdrawn for good, and broadcast the mark."""
         key = f'{deployment}/{version}'
         self._add_marks((Mark(kind=MarkKind.WITHDRAWN, key=key, number=WITHDRAWN),))
 
     def is_withdrawn(self, deployment: DeploymentId, version: VersionId) -> bool:
-        """Tell whether a version is withdrawn; cheap."""
+        """Return whether a version is withdrawn; cheap."""
         key = f'{deployment}/{version}'
         return self._marks.number_of(MarkKind.WITHDRAWN, key) > 0
 
@@ -186,10 +186,10 @@
         return frozenset((DeploymentId(one), VersionId(other)) for one, other in pairs)
 
     def update_instance_list(self, listing: InstanceListing) -> None:
-        """Take in the list: entry instances to ask, leaving ones to mark.
+        """Apply the instance list: contact entry instances, mark leaving ones.
 
-        An instance listed as live stays marked: the list lags, and only a
-        higher incarnation of the instance is free of the mark.
+        An instance listed as live stays marked: the list lags, and only a higher
+        incarnation of the instance is free of the mark.
         """
         entries = {
             one.address
@@ -205,20 +205,20 @@
         self._add_marks(marks)
 
     def on_members(self, callback: Callable[[], None]) -> None:
-        """Have a callback called after ``live()`` changed, in a pool's thread."""
+        """Register a callback to be called in a pool thread when ``live()`` changes."""
         self._on_members.append(callback)
 
     def on_marks(self, callback: Callable[[tuple[Mark, ...]], None]) -> None:
-        """Have a callback called with new marks, in a pool's thread."""
+        """Register a callback to be called in a pool thread with new marks."""
         self._on_marks.append(callback)
 
     def unreachable_domains(self) -> frozenset[FailureDomainId]:
-        """Return the failure domains of which no daemon is thought alive."""
+        """Return the failure domains of which no daemon is considered alive."""
         alive = {daemon.failure_domain for daemon in self._members.live()}
         return frozenset(self._members.domains() - alive)
 
     def snapshot_section(self) -> Section:
-        """Return the section that holds members and marks."""
+        """Return the snapshot section for members and marks."""
         return Section('members', self._produce_snapshot, self._merge_snapshot)
 
     def _produce_snapshot(self) -> bytes:
@@ -252,7 +252,7 @@
         self._loop.close()
 
     async def _join(self) -> None:
-        # With nobody there the daemon starts all the same, and goes on searching.
+        # Without a reachable peer the daemon starts anyway and keeps searching.
         with suppress(TimeoutError):
             async with asyncio.timeout(JOIN_SECONDS):
                 await self._prober.join(self._links)
--- a/libs/membership/fireflyhitch_membership/probing.py
+++ b/libs/membership/fireflyhitch_membership/probing.py
@@ -1,8 +1,8 @@
-"""Heartbeats: who is alive, and repair of what a message loss left different.
+"""Failure detection by heartbeats, and repair of state after lost messages.
 
-Each second a daemon probes one member of its own failure domain, in an order
-that comes round to all. The carriers probe one daemon elsewhere, too. So a daemon sends
-and answers about two probes a second whatever the size of the fleet.
+Each second a daemon probes one member of its own failure domain, in an order that
+covers all members in turn. Gateways also probe one daemon of another domain. Thus a
+daemon sends and answers about two probes a second regardless of the fleet's size.
 """
 
 import asyncio
@@ -36,19 +36,19 @@
 from fireflyhitch_model.states import Step
 
 PERIOD_SECONDS = 1.0
-# Daemons that started together do not stay in step.
+# Keeps daemons that started together from probing in lockstep.
 JITTER = (0.8, 1.2)
 PROBE_TIMEOUT = timedelta(seconds=0.5)
 INDIRECT_TIMEOUT = timedelta(seconds=1)
-# One lost frame is no sign; with one try in ten lost, a suspicion would arise
-# each second and cost more than all heartbeats.
+# One lost frame is not evidence: if one probe in ten were lost, there would be a
+# suspicion every second, at a higher cost than all heartbeats.
 DIRECT_PROBES = 2
 SYNC_TIMEOUT = timedelta(seconds=1)
 INDIRECT_HELPERS = 2
 JOIN_ATTEMPTS = 3
-# A round that took longer than this was not held up by its peers' timeouts.
+# A longer round cannot be due to peers' timeouts: this process was paused.
 PAUSE_SECONDS = 3.0
-# How often a daemon with peers still looks for ones it lost or never knew.
+# Rounds between attempts to find lost or unknown peers while others are live.
 DISCOVERY_ROUNDS = 4
 
 Seen = tuple[Incarnation, MemberStatus]
@@ -58,8 +58,9 @@
 class Prober:
     """Runs the heartbeats of one daemon on its event loop.
 
-    :param changed: told of member records that changed here.
-    :param marked: told of marks that were news here.
+    :ivar addresses: addresses (``host:port``) where daemons may be found.
+    :ivar changed: called with member records that changed at this daemon.
+    :ivar marked: called with marks that are new at this daemon.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         exchange.handle_async(IndirectProbe.kind, self._start_indirect)
 
     async def join(self, links: Links) -> None:
-        """Find a first peer, so that its soft state can be asked for at once."""
+        """Contact a first peer, so that its soft state can be requested at once."""
         addresses = sorted(self.addresses)
         for address in random.sample(addresses, min(JOIN_ATTEMPTS, len(addresses))):
             try:
@@ -99,29 +100,29 @@
             return
 
     def start(self, links: Links) -> None:
-        """Begin to probe."""
+        """Start probing."""
         self._start(self._run(links))
 
     def publish_members(self, changed: tuple[MemberRecord, ...]) -> None:
-        """Spread news about members that arose here."""
+        """Broadcast member records that changed at this daemon."""
         if not changed:
             return
         self._spread(StateUpdate(members=changed), Scope.FAILURE_DOMAIN)
         self.changed(changed)
 
     def publish_marks(self, marks: tuple[Mark, ...]) -> None:
-        """Spread marks that were made here."""
+        """Broadcast marks that were made at this daemon."""
         if not marks:
             return
         self._spread(StateUpdate(marks=marks), Scope.EVERYWHERE)
         self.marked(marks)
 
     def add_peer(self, peer: MemberRecord) -> None:
-        """Take in a daemon that proved the shared key on a new link."""
+        """Add a daemon that proved the shared key on a new link."""
         self.publish_members(self._members.merge((peer,)))
 
     def stop(self) -> None:
-        """End what runs."""
+        """Cancel all running tasks."""
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -131,8 +132,8 @@
             began = self._clock.monotonic()
             self._start(self._probe_local(links))
             for suspect in self._members.suspects():
-                # The probe carries the suspicion, so that it is contradicted at
-                # once even if the news of it were lost.
+                # The probe includes the suspicion, so that the daemon refutes it
+                # even if the broadcast was lost.
                 self._start(self._probe_suspect(suspect))
             self._start(self._probe_remote(links))
             if rounds % DISCOVERY_ROUNDS == 0 or len(self._members.live()) < 2:
@@ -174,7 +175,7 @@
         if await self._probe_indirectly(target):
             return
         if self._clock.monotonic() - began > PAUSE_SECONDS:
-            # This process was stopped, so the answers' lateness proves nothing.
+            # This process was paused, so late answers are not evidence.
             return
         self.publish_members(self._members.suspect(target))
 
@@ -305,7 +306,7 @@
             self.marked(marks)
 
     async def _discover(self, links: Links) -> None:
-        """Try one address behind which there may be a daemon not known alive."""
+        """Contact one address at which there may be a lost or unknown daemon."""
         known = {daemon.peer_address for daemon in self._members.live()}
         known.add(self._members.own.peer)
         candidates = (self.addresses | self._members.dead_addresses()) - known
@@ -330,7 +331,7 @@
 def _next_turn(
     turns: list[DaemonId], members: Iterable[Daemon], here: DaemonId
 ) -> DaemonId | None:
-    """Return the next of an order that comes round to each member."""
+    """Return the next member in a random order that is reshuffled when exhausted."""
     ids = {daemon.daemon_id for daemon in members} - {here}
     while turns:
         turn = turns.pop()
@@ -342,16 +343,16 @@
 
 
 def _downgrade_death(record: MemberRecord, domain: FailureDomainId) -> MemberRecord:
-    """Take another failure domain's death notice only as a suspicion.
+    """Downgrade another domain's report that a local member is dead to a suspicion.
 
-    When a cut heals, each side holds the other's daemons for dead. Taken as it
-    is, the notice would empty the other side's own list for a moment; as a
-    suspicion it leaves its daemon in place and lets it contradict.
+    After a partition each side has declared the other's daemons dead. Merged as is, such
+    a report would briefly empty the other side's own table; a suspicion keeps its
+    daemons in the table and lets them refute it.
     """
     if record.domain != domain or record.status is not MemberStatus.DEAD:
         return record
     return record.model_copy(update={'status': MemberStatus.SUSPECT})
 
 
-def _ignore(_news: object) -> None:
-    """Do nothing with news until somebody asks for them."""
+def _ignore(_change: object) -> None:
+    """Ignore a change; the default callback."""
--- a/libs/membership/fireflyhitch_membership/records.py
+++ b/libs/membership/fireflyhitch_membership/records.py
@@ -1,7 +1,7 @@
-"""The configuration as it is stored and handed on, and differences between two.
+"""Configuration records, their serialization, and differences between two records.
 
-A record keeps the text that the proposer wrote. A daemon of an older release
-hands it on unchanged, with fields that it does not know itself.
+A record keeps the text that the proposer wrote, so a daemon of an older release
+forwards it unchanged, including fields that it does not know.
 """
 
 import json
@@ -21,15 +21,15 @@
 from fireflyhitch_settings.schema import Configuration
 
 RECORD_FORMAT = 1
-# Far above what compresses into the store's largest value.
+# Far more than can be compressed into the store's largest value.
 MAX_TEXT_BYTES = 33554432
-# A proposal whose answer was lost is settled within seconds; at 42,000 changes
-# a day this remembers a minute of them.
+# A proposal whose response was lost is resolved within seconds; at 42,000 changes
+# a day this covers a minute.
 MAX_RECENT_CHANGES = 32
-# The lists of the configuration and what names an item of each.
+# The lists in the configuration and the field that identifies an item of each.
 ITEM_KEYS: Mapping[str, str] = {'deployments': 'name', 'customers': 'customer_id'}
 
-# What reading a document of another shape raises.
+# Exceptions raised when a document does not have the expected structure.
 DECODE_ERRORS = (ValueError, LookupError, TypeError, zlib.error)
 
 Json = dict[str, Any]
@@ -39,8 +39,8 @@
 class ConfigurationRecord:
     """One accepted configuration.
 
-    :param recent: the last changes and the revisions at which they were
-        accepted, this one included.
+    :param recent: the most recent changes, including this one, with the revisions
+        at which they were accepted.
     :param text: the configuration as canonical JSON.
     """
 
@@ -51,19 +51,19 @@
 
     @cached_property
     def content(self) -> int:
-        """Return a hash over the text."""
+        """Return a hash of the text."""
         return hash_text(self.text)
 
     @cached_property
     def configuration(self) -> Configuration:
-        """Return the configuration as this release understands it.
+        """Return the parsed configuration, without fields that this release lacks.
 
-        :raises ValidationError: if it is not valid.
+        :raises ValidationError: if it is invalid.
         """
         return parse_configuration(self.text)
 
     def accepted_revision(self, change_id: ChangeId) -> Revision:
-        """Return at which revision a recent change was accepted, or 0."""
+        """Return the revision at which a recent change was accepted, or 0."""
         return dict(self.recent).get(change_id, ABSENT)
 
     def follow(
@@ -71,7 +71,7 @@
     ) -> 'ConfigurationRecord':
         """Return the record of the next change.
 
-        Defaults are written out: a release with other defaults must not change
+        Defaults are written out, so that a release with other defaults does not change
         what the operator accepted.
         """
         recent = (*self.recent, (change_id, revision))[-MAX_RECENT_CHANGES:]
@@ -83,7 +83,7 @@
 
 
 def pack(record: ConfigurationRecord) -> bytes:
-    """Return a record as it is stored: compressed JSON."""
+    """Serialize a record as compressed JSON, the stored format."""
     document = {
         'format': RECORD_FORMAT,
         'revision': record.revision,
@@ -95,9 +95,9 @@
 
 
 def unpack(content: bytes, peer: str) -> ConfigurationRecord:
-    """Read a stored record.
+    """Deserialize a stored record.
 
-    :raises PlatformError: if it is none.
+    :raises PlatformError: if the content is not a valid record.
     """
     try:
         document = json.loads(_inflate(content))
@@ -114,7 +114,7 @@
 
 
 def pack_difference(base: ConfigurationRecord, record: ConfigurationRecord) -> bytes:
-    """Return what leads from one record to a later one."""
+    """Return the serialized difference between a record and a later one."""
     old = json.loads(base.text)
     new = json.loads(record.text)
     plain = {key: value for key, value in new.items() if key not in ITEM_KEYS}
@@ -133,12 +133,13 @@
     revision: Revision,
     change_id: ChangeId,
 ) -> ConfigurationRecord | None:
-    """Return the later record.
+    """Apply a serialized difference and return the later record.
 
-    Items keep their places and new ones come last. The caller compares the
-    content's hash, which shows any order that this does not give.
+    Existing items keep their positions and new ones are appended. A difference does
+    not encode the order of items; the caller detects a wrong order by the content
+    hash.
 
-    :returns: ``None`` if the difference cannot be read.
+    :returns: ``None`` if the difference cannot be decoded.
     """
     try:
         difference = json.loads(_inflate(content))
@@ -160,13 +161,13 @@
 
 
 def parse_configuration(text: str) -> Configuration:
-    """Read a configuration, passing over fields of a later release.
+    """Parse a configuration, ignoring unknown fields.
 
-    Operators' input is checked for unknown fields before it is accepted. Here
-    they can only come from a newer release that runs beside this one; refusing
-    them would keep this daemon at an old configuration until it is replaced.
+    Operator input is checked for unknown fields before it is accepted. Here they can
+    only come from a newer release that runs concurrently; rejecting them would keep
+    this daemon on an old configuration until it is upgraded.
 
-    :raises ValidationError: if it is not valid otherwise.
+    :raises ValidationError: if it is invalid in any other way.
     """
     document = json.loads(text)
     try:
@@ -178,13 +179,13 @@
     for location in unknown:
         _remove(document, location)
     logger.bind(step=Step.CONFIGURE.value).warning(
-        'unknown fields passed over', fields=unknown
+        'unknown fields ignored', fields=unknown
     )
     return Configuration.model_validate(document)
 
 
 def write_canonical(document: object) -> str:
-    """Return JSON that is the same for equal documents."""
+    """Return canonical JSON, identical for equal documents."""
     return json.dumps(document, sort_keys=True, separators=(',', ':'))
 
 
@@ -224,7 +225,10 @@
 
 
 def _remove(document: Any, location: tuple[int | str, ...]) -> None:
-    """Delete a field; unions add the name of their branch to the location."""
+    """Delete the field at a pydantic error location.
+
+    Locations inside a union contain the name of its branch, which is skipped.
+    """
     place = document
     for part in location[:-1]:
         if isinstance(part, int) or part in place:
--- a/libs/membership/fireflyhitch_membership/relaying.py
+++ b/libs/membership/fireflyhitch_membership/relaying.py
@@ -1,4 +1,4 @@
-"""Messages to all daemons of a scope, handed on along trees chosen by hash."""
+"""Broadcasts to all daemons of a scope along trees chosen by hash."""
 
 import itertools
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 from fireflyhitch_model.ids import DaemonId
 from fireflyhitch_model.peers import Daemon, PeerMessage, Scope
 
-# Copies arrive within seconds; at 100 messages a second this holds a minute.
+# Duplicates arrive within seconds; at 100 messages a second this covers a minute.
 MAX_REMEMBERED_MESSAGES = 6000
 
 Deliver = Callable[[DaemonId, PeerMessage], None]
 
 
 class Broadcaster:
-    """Spreads messages and hands on those of others, each once.
+    """Broadcasts messages and forwards those of other daemons, each once.
 
-    A failure domain is entered at its two carriers, so that one may fail. A
-    copy lost further down is not repaired here: what must arrive is compared
-    by digests as well.
+    A message enters another failure domain at its two gateways, so that one may fail.
+    A copy lost further down the tree is not resent; state that must arrive is also
+    compared by digests.
     """
 
     def __init__(self, exchange: Exchange, members: MemberTable, epoch: int) -> None:
         self._exchange = exchange
         self._members = members
-        # Numbers of an earlier life of this process must not recur.
+        # Starts at the epoch, so that numbers used before a restart do not recur.
         self._numbers = itertools.count(epoch)
         self._seen: cachetools.LRUCache[tuple[DaemonId, int], None] = (
             cachetools.LRUCache(MAX_REMEMBERED_MESSAGES)
@@ -38,7 +38,7 @@
         exchange.handle_inline(Relay.kind, self._receive)
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
-        """Send a message to all daemons of a scope but this one."""
+        """Send a message to all other daemons of a scope."""
         own = self._own()
         relay = Relay(
             origin=own.daemon_id,
--- a/libs/membership/fireflyhitch_membership/revisions.py
+++ b/libs/membership/fireflyhitch_membership/revisions.py
@@ -1,4 +1,4 @@
-"""Which configuration is in force at this daemon: only ever a higher revision."""
+"""The configuration in force at this daemon, whose revision only increases."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 from fireflyhitch_model.states import Step
 from fireflyhitch_settings.schema import Configuration
 
-# Enough for peers a few seconds behind at a change every two seconds.
+# Enough for peers a few seconds behind, at one change every two seconds.
 MAX_EARLIER_RECORDS = 16
 
 
 class Source(Enum):
-    """Where a configuration came from."""
+    """The source of a configuration."""
 
     STORE = 'store'
     PROPOSAL = 'proposal'
@@ -31,7 +31,7 @@
 
 
 class Adoption(Enum):
-    """What became of a record that was offered."""
+    """The result of offering a record."""
 
     ADOPTED = 'adopted'
     KNOWN = 'known'
@@ -44,7 +44,7 @@
 class InForce:
     """A configuration in force at this daemon.
 
-    :param since: wall time at which this daemon applied it.
+    :param since: wall clock time at which this daemon applied it.
     """
 
     revision: Revision
@@ -73,16 +73,16 @@
         return self._record
 
     def in_force(self) -> InForce | None:
-        """Return what is in force."""
+        """Return the configuration in force, or ``None``."""
         return self._in_force
 
     def earlier(self, revision: Revision) -> ConfigurationRecord | None:
-        """Return a record that was in force lately."""
+        """Return a recent earlier record, or ``None`` if it is no longer kept."""
         with self._lock:
             return self._earlier.get(revision)
 
     def on_change(self, callback: Callable[[InForce], None]) -> None:
-        """Have a callback called after each change."""
+        """Register a callback to be called after each change."""
         self._callbacks.append(callback)
 
     def adopt(
@@ -90,7 +90,7 @@
     ) -> Adoption:
         """Put a record in force if it is newer.
 
-        :param peer: who handed it on, for the log.
+        :param peer: where it came from, for the log.
         """
         try:
             configuration = record.configuration
@@ -114,7 +114,7 @@
         return adoption
 
     def report_divergence(self, revision: Revision, peer: str) -> None:
-        """Log that a peer has other content in force under the same revision."""
+        """Log that a peer has different content under the same revision."""
         text = f'another configuration {revision} than the one in force'
         self._log_refusal(text, Source.PEER, peer)
 
@@ -151,9 +151,8 @@
         peer: str | None,
     ) -> None:
         if adoption is Adoption.OLDER and source is Source.STORE:
-            # A store restored from a backup would take customers' traffic back
-            # to settings that were replaced long ago. The next accepted change
-            # brings the store forward again.
+            # Applying a store restored from a backup would revert customers' traffic
+            # to outdated settings. The next accepted change updates the store.
             held = self._record.revision
             text = f'store holds {record.revision}, older than {held} in force'
             self._log_refusal(text, source, peer)
--- a/libs/membership/fireflyhitch_membership/scope.py
+++ b/libs/membership/fireflyhitch_membership/scope.py
@@ -1,9 +1,9 @@
-"""Who does what within a failure domain, chosen by hash without any exchange.
+"""Role assignment within a failure domain by rendezvous hashing.
 
-Each daemon works the choice out from the members that it knows. Two daemons
-with different views choose differently for a moment; every use tolerates that,
-since messages that arrive twice do no harm and lost ones are repaired by the
-digests that heartbeats carry.
+Each daemon computes the assignment from its own member table, without coordination.
+Two daemons with different tables may disagree for a moment. All uses tolerate that:
+duplicate messages are harmless, and lost ones are repaired by the digests in
+heartbeats.
 """
 
 from collections.abc import Iterable
@@ -12,12 +12,12 @@
 from fireflyhitch_model.ids import DaemonId, FailureDomainId
 from fireflyhitch_model.peers import Daemon, Scope
 
-# Two, so that one may fail without any gap.
+# Two, so that one may fail without an interruption.
 WATCHERS_PER_DOMAIN = 2
 GATEWAYS_PER_DOMAIN = 2
-# How many daemons of a failure domain the others know by name.
+# How many members of a failure domain are recorded in other domains.
 SUMMARY_MEMBERS = 8
-# A failure domain of 42 is reached in three hops.
+# Three hops reach all daemons of a failure domain of 42.
 TREE_FANOUT = 4
 
 
@@ -40,10 +40,10 @@
 def choose_summary(
     domain: FailureDomainId, members: Iterable[DaemonId]
 ) -> list[DaemonId]:
-    """Return the daemons that other failure domains know by name.
+    """Return the members of a failure domain that other domains record.
 
-    The carriers are among them: both choices rank by the same key, so that a
-    daemon elsewhere finds the carriers within the summary that it holds.
+    They include the gateways: both choices rank by the same key, so that a daemon of
+    another domain finds the gateways in its summary.
     """
     return rank_by_hash(f'carry/{domain}', members)[:SUMMARY_MEMBERS]
 
@@ -55,13 +55,12 @@
     *,
     is_entry: bool,
 ) -> list[DaemonId]:
-    """Return to whom a daemon hands a message on within its failure domain.
+    """Return the daemons to which a daemon forwards a message in its failure domain.
 
-    Members form a tree that differs from message to message, so that no daemon
-    carries more than its share.
+    Members form a tree that differs per message, which spreads the load evenly.
 
-    :param key: names the message.
-    :param is_entry: whether the message enters the failure domain here.
+    :param key: identifies the message.
+    :param is_entry: whether the message enters the failure domain at this daemon.
     """
     ranked = rank_by_hash(key, members_of(here.failure_domain, daemons))
     hops = ranked[:TREE_FANOUT] if is_entry else []
@@ -74,7 +73,7 @@
 def choose_first_hops(
     key: str, here: Daemon, daemons: Iterable[Daemon], scope: Scope
 ) -> list[DaemonId]:
-    """Return to whom the origin of a message sends it."""
+    """Return the daemons to which the origin of a message sends it."""
     known = tuple(daemons)
     hops = choose_next_hops(key, here, known, is_entry=True)
     if scope is Scope.FAILURE_DOMAIN:
--- a/libs/membership/fireflyhitch_membership/snapshots.py
+++ b/libs/membership/fireflyhitch_membership/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of soft state, so that a replacement is warm at once."""
+"""Snapshots of soft state, by which a replacement daemon starts warm."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from fireflyhitch_model.peers import Daemon, PeerMessage, PeerMessenger
 from fireflyhitch_model.states import Step
 
-# Below the frame limit, with room for the names and the envelope.
+# Below the frame limit, with room for section names and the envelope.
 MAX_SNAPSHOT_BYTES = 1024 * 1024
 MAX_PEERS_ASKED = 3
 
@@ -22,10 +22,8 @@
 class Section:
     """One part of a daemon's soft state.
 
-    :param produce: returns the state, consistent in itself; called from any
-        thread.
-    :param merge: takes another daemon's state in; it must do no harm when the
-        own state is newer.
+    :param produce: returns a consistent copy of the state; called from any thread.
+    :param merge: merges another daemon's state; must keep local state that is newer.
     """
 
     name: str
@@ -34,10 +32,10 @@
 
 
 class SnapshotExchange:
-    """Gives snapshots to peers and takes one in at start.
+    """Serves snapshots to peers, and merges one from a peer at startup.
 
     :param messenger: the links to peers.
-    :param here: this daemon.
+    :param here: the local daemon.
     """
 
     def __init__(self, messenger: PeerMessenger, here: Daemon) -> None:
@@ -47,11 +45,11 @@
         messenger.handle(SnapshotRequest, self._answer)
 
     def add(self, section: Section) -> None:
-        """Add a section; earlier ones go first when a snapshot is too large."""
+        """Add a section; earlier ones take precedence if not all fit into a snapshot."""
         self._sections[section.name] = section
 
     def warm_up(self, timeout: timedelta) -> DaemonId | None:
-        """Take in the snapshot of the first peer that answers, nearest first.
+        """Merge the snapshot of the first peer that answers, local domain first.
 
         :param timeout: how long each of at most three peers may take.
         :returns: the peer, or ``None`` if none answered.
@@ -85,8 +83,8 @@
             try:
                 section.merge(content)
             except ValueError as error:
-                # A section of another release that cannot be read costs only
-                # warmth; the daemon must start without it.
+                # The daemon must start without a section that another release
+                # wrote in an unreadable form; its state is rebuilt later.
                 logger.bind(step=Step.PEER.value, peer=peer, section=name).warning(
                     'snapshot section unreadable', error=repr(error)
                 )
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -1,4 +1,4 @@
-"""The configuration among peers: digests are told, what is newer is pulled."""
+"""Configuration exchange among peers: digests are sent, newer revisions pulled."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -33,21 +33,21 @@
 from fireflyhitch_model.peers import Daemon, PeerMessenger
 
 PULL_TIMEOUT = timedelta(seconds=0.5)
-# After a lost question or answer; the next digest may take a second or two.
+# Covers a lost request or answer; the next digest may take a second or two.
 PULL_ATTEMPTS = 2
 STATUS_TIMEOUT = timedelta(seconds=1)
 STATUS_THREADS = 8
-# What a daemon was heard to have in force counts for this long.
+# How long a peer's reported revision counts.
 HEARD_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class DomainRevision:
-    """What a failure domain has in force, as told by one of its daemons.
+    """The revision in force in a failure domain, as reported by one of its daemons.
 
-    :param revision: ``None`` if no daemon there could be asked.
-    :param lowest: the lowest revision heard of within that failure domain.
-    :param since: wall time at which the asked daemon applied it.
+    :param revision: ``None`` if no daemon there could be queried.
+    :param lowest: the lowest revision reported within that failure domain.
+    :param since: wall clock time at which the queried daemon applied it.
     """
 
     revision: Revision | None
@@ -62,9 +62,9 @@
 
 
 class ConfigurationSync:
-    """Tells peers what is in force here, and pulls what they have newer.
+    """Sends the local revision to peers, and pulls newer configurations from them.
 
-    :param wake: set when a pull is wanted.
+    :param wake: set when a pull is pending.
     """
 
     def __init__(
@@ -89,10 +89,10 @@
         messenger.handle(StatusRequest, self._answer_status)
 
     def gossip(self) -> None:
-        """Tell one random peer nearby what is in force; carriers also one far.
+        """Send a digest to a random local peer; gateways also to one other domain.
 
-        This finds whatever a lost message left behind: a daemon with an older
-        revision pulls, one with a newer says so.
+        This repairs the effects of lost messages: a peer with an older revision pulls,
+        and one with a newer revision sends its own digest.
         """
         here = self._here
         live = self._messenger.live()
@@ -105,9 +105,9 @@
             self._send_digest(choose_carriers(self._rng.choice(domains), live))
 
     def announce(self, *, is_entry: bool) -> None:
-        """Tell the next daemons of the failure domain's tree.
+        """Send a digest to the next daemons in the failure domain's tree.
 
-        :param is_entry: whether the revision came into the failure domain here.
+        :param is_entry: whether the revision entered the failure domain at this daemon.
         """
         record = self._revisions.record
         live = self._messenger.live()
@@ -116,7 +116,7 @@
             self._messenger.tell(hop, self._digest())
 
     def pull_pending(self) -> None:
-        """Pull from the peers that told of a newer revision, newest first."""
+        """Pull from the peers that reported a newer revision, newest first."""
         with self._lock:
             wanted = sorted(
                 self._pending_pulls.items(), key=lambda one: one[1], reverse=True
@@ -128,9 +128,9 @@
                     self.pull(peer)
 
     def pull(self, peer: DaemonId) -> bool:
-        """Pull what a peer has newer, as a difference if it can.
+        """Pull a newer configuration from a peer, as a difference if possible.
 
-        :returns: whether something newer came into force.
+        :returns: whether a newer configuration was applied.
         """
         base = self._revisions.record
         update = self._ask(peer, base, whole=base.revision == ABSENT)
@@ -148,7 +148,7 @@
         return True
 
     def pull_initial(self) -> None:
-        """Pull from a few peers, for a daemon that starts with nothing."""
+        """Pull from up to two peers, for a daemon without a configuration."""
         others = [
             one.daemon_id
             for one in self._messenger.live()
@@ -159,7 +159,7 @@
                 return
 
     def ask_domains(self) -> dict[FailureDomainId, DomainRevision]:
-        """Ask one daemon of each failure domain what is in force there."""
+        """Query one daemon of each failure domain for its revision in force."""
         live = self._messenger.live()
         domains = sorted({one.failure_domain for one in live})
         elsewhere = [one for one in domains if one != self._here.failure_domain]
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform's store: read, watched and proposed."""
+"""Reads, watches and proposes configurations in the platform's store."""
 
 import random
 from collections.abc import Callable
@@ -45,8 +45,8 @@
 from fireflyhitch_settings.schema import Configuration
 
 CONFIGURATION_KEY = 'fireflyhitch/configuration'
-# A watch that the store lost silently is renewed, and a restored store noticed,
-# within this time; 38 watchers cost the store two reads each per period.
+# Bounds the time until a watch that the store lost silently is renewed and a restored
+# store is detected; 38 watchers cause two reads each per period.
 WATCH_SECONDS = 20
 WATCH_TIMEOUT = timedelta(seconds=WATCH_SECONDS)
 PROPOSAL_ATTEMPTS = 4
@@ -58,16 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The proposal is in the store at this revision."""
+    """The proposal was stored at this revision."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Another change came first; nothing was written.
+    """Another change was accepted first; nothing was written.
 
-    :param current: what the proposal has to start from (``None``: nothing yet).
+    :param current: the configuration on which a new proposal must be based, or
+        ``None`` if there is none yet.
     """
 
     current: InForce | None
@@ -78,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that an operator wants.
+    """A change requested by an operator.
 
-    :param expected: the revision that the operator saw; 0: none.
+    :param expected: the revision that the operator saw, or 0 for none.
     """
 
     configuration: Configuration
@@ -89,9 +90,9 @@
 
 
 class StoredConfiguration:
-    """Moves records between the store and what is in force.
+    """Transfers configuration records between the store and this daemon.
 
-    :param announce: called after something newer came from the store.
+    :param announce: called after a newer record was applied from the store.
     """
 
     def __init__(
@@ -107,9 +108,9 @@
         self._announce = announce
 
     def read(self) -> Revision:
-        """Read once and put in force what is newer.
+        """Read the store once and apply a newer configuration.
 
-        :returns: the store's revision from which to watch.
+        :returns: the store revision from which to watch.
         :raises PlatformError: if the store cannot be read.
         """
         listing = self._store.get_prefix(CONFIGURATION_KEY)
@@ -119,9 +120,9 @@
         return listing.revision
 
     def watch(self, after: Revision) -> None:
-        """Put in force what comes until the watch's timeout.
+        """Apply changes as they arrive until the watch's timeout.
 
-        :raises PlatformError: if the store goes away.
+        :raises PlatformError: if the store becomes unavailable.
         """
         try:
             for event in self._store.watch(CONFIGURATION_KEY, after, WATCH_TIMEOUT):
@@ -129,21 +130,21 @@
                     continue
                 if event.value is None:
                     logger.bind(step=Step.STORE_WATCH.value).error(
-                        'configuration was deleted from the store; keeping ours'
+                        'configuration deleted from store; keeping the one in force'
                     )
                     continue
                 self._adopt(event.value)
         except WatchCompacted:
-            # What was missed shows in the read with which the next round begins.
+            # The next round starts with a read, which covers the missed changes.
             logger.bind(step=Step.STORE_WATCH.value).info('watch compacted')
 
     def sweep(self) -> None:
-        """Delete bodies that lost proposals or dead proposers left behind.
+        """Delete orphaned bodies of rejected proposals and crashed proposers.
 
-        A body of a later revision than the head may belong to a change that is
-        just being written, and stays.
+        A body of a later revision than the head's is kept, since it may belong to a
+        change that is being written.
 
-        :raises PlatformError: if the store goes away.
+        :raises PlatformError: if the store becomes unavailable.
         """
         stored = self._store.get(CONFIGURATION_KEY)
         if stored is None:
@@ -155,13 +156,13 @@
                 self._store.delete_if(item.key, item.revision)
 
     def propose(self, proposal: Proposal) -> ProposalResult:
-        """Write a change if nothing came since the revision it starts from.
+        """Write a change if none was accepted since its base revision.
 
-        A lost answer is settled by trying again: each attempt first looks for
-        the change among the accepted ones. A delayed first write and a second
-        one compare with the same revision, so that only one takes effect, and
-        both write the same. So a change is never applied twice, and is called
-        rejected only when its write can no longer take effect.
+        A lost response is resolved by a retry: each attempt first looks for the change
+        among the accepted ones. A delayed first write and a retry compare with the
+        same revision and write the same content, so only one of them takes effect.
+        Thus a change is never applied twice, and is only reported as rejected once
+        its write can no longer take effect.
 
         :raises PlatformError: ``not-run`` or ``unknown``, see its ``outcome``.
         """
@@ -198,7 +199,7 @@
         record = latest.follow(
             Revision(latest.revision + 1), proposal.change_id, proposal.configuration
         )
-        # The body goes first: a head never names a body that is not there.
+        # The body is written first, so that a head never refers to a missing body.
         body = self._put_body(record)
         head = make_head(latest, record, _bodies_of(stored), body)
         at = stored.revision if stored else ABSENT
@@ -225,9 +226,9 @@
         return Rejected(self._revisions.in_force())
 
     def _put_body(self, record: ConfigurationRecord) -> Body:
-        """Write the whole configuration under the name of its content.
+        """Write the whole configuration under a key derived from its content.
 
-        An earlier attempt may have written it; it is then the same.
+        If an earlier attempt already wrote that key, its content is the same.
         """
         content = pack(record)
         key = name_body(content, record.revision)
@@ -244,16 +245,16 @@
         try:
             self._store.delete_if(body.key, body.stored)
         except PlatformError as error:
-            # It costs the store some kilobytes and nothing else.
+            # Harmless: an orphaned body only takes some kilobytes in the store.
             logger.bind(step=error.step.value, peer=error.peer).info(
-                'configuration body left behind', key=body.key
+                'configuration body not deleted', key=body.key
             )
 
     def _latest(self, stored: KeyValue | None) -> ConfigurationRecord:
-        """Return the newer of what is stored and what is in force.
+        """Return the newer of the stored record and the one in force.
 
-        They differ when the store was restored from a backup: a change that
-        starts from what is in force then brings the store forward.
+        The one in force is newer after the store was restored from a backup; a change
+        based on it then updates the store.
         """
         held = self._adopt(stored.value) if stored else NOTHING
         in_force = self._revisions.record
@@ -266,7 +267,7 @@
         return record
 
     def _load(self, head: Head) -> ConfigurationRecord:
-        """Return a head's record: held already, by difference, or whole."""
+        """Return a head's record: the one in force, by difference, or from its body."""
         in_force = self._revisions.record
         if (head.revision, head.content) == (in_force.revision, in_force.content):
             return in_force
@@ -299,7 +300,7 @@
 
 
 class Backoff:
-    """Waits that grow with each failure, jittered so that no two keep step."""
+    """Exponential backoff with jitter, so that daemons do not retry in lockstep."""
 
     def __init__(self, first: float, longest: float, rng: random.Random) -> None:
         self._first = first
@@ -308,16 +309,16 @@
         self.failures = 0
 
     def reset(self) -> bool:
-        """Begin anew.
+        """Reset the backoff.
 
-        :returns: whether there were failures.
+        :returns: whether there were failures since the last reset.
         """
         failed = self.failures > 0
         self.failures = 0
         return failed
 
     def next(self) -> timedelta:
-        """Return how long to wait after one more failure."""
+        """Record a failure and return how long to wait."""
         ceiling = min(self._longest, self._first * 2**self.failures)
         self.failures = min(self.failures + 1, MAX_DOUBLINGS)
         return timedelta(seconds=ceiling * self._rng.uniform(*BACKOFF_JITTER))
--- a/libs/membership/fireflyhitch_membership/wire.py
+++ b/libs/membership/fireflyhitch_membership/wire.py
@@ -1,4 +1,4 @@
-"""Frames between daemons: CBOR arrays with version and size limits."""
+"""Frames between daemons: versioned CBOR arrays of limited size."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,21 +11,21 @@
 from fireflyhitch_model.peers import PeerMessage
 from fireflyhitch_model.states import Step
 
-# Raised only when a frame can no longer be read by the release before.
+# Increased only if the previous release can no longer decode a frame.
 WIRE_VERSION = 1
-# The largest value of the store, with room for an envelope.
+# The largest value of the store, plus room for an envelope.
 MAX_FRAME_BYTES = 1310720
-# Version, kind, number of the ask, number of the answered ask, body; a later
-# release may add elements, which are passed over.
+# Version, kind, request number, number of the answered request, body. Additional
+# elements of a later release are ignored.
 FRAME_ELEMENTS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """A message with what links a question to its answer.
+    """A message with the numbers that match an answer to its request.
 
-    :param ask: the sender's number of the question, if it wants an answer.
-    :param answers: the receiver's number of the question that this answers.
+    :param ask: the sender's request number, if it expects an answer.
+    :param answers: the receiver's number of the request that this answers.
     """
 
     kind: str
@@ -35,15 +35,15 @@
 
 
 class UnknownKindError(PeerError):
-    """The peer sent a kind of message that this release does not know."""
+    """A peer sent a kind of message that this release does not have."""
 
 
 def encode(
     message: PeerMessage, ask: int | None = None, answers: int | None = None
 ) -> bytes:
-    """Return a message's frame.
+    """Encode a message as a frame.
 
-    :raises PeerError: if it is too large for any peer to take.
+    :raises PeerError: if it exceeds the size limit of a frame.
     """
     body = message.model_dump(mode='python')
     frame = cbor2.dumps(
@@ -55,14 +55,14 @@
 
 
 def encode_body(message: PeerMessage) -> bytes:
-    """Return a message's fields alone, to go inside another message."""
+    """Encode a message's fields alone, to be enclosed in another message."""
     return cbor2.dumps(message.model_dump(mode='python'), default=_encode_enum)
 
 
 def decode(frame: bytes, peer: str) -> Frame:
-    """Read a frame.
+    """Decode a frame.
 
-    :raises PeerError: if it is none, or of another version.
+    :raises PeerError: if it is malformed or of another version.
     """
     try:
         elements = cbor2.loads(frame)
@@ -80,10 +80,10 @@
 
 
 def read_message(kind: str, body: dict[str, Any] | bytes, peer: str) -> PeerMessage:
-    """Return the typed message of a frame.
+    """Decode a typed message from its kind and fields.
 
-    :raises UnknownKindError: if this release has no such kind.
-    :raises PeerError: if its fields are not as the kind has them.
+    :raises UnknownKindError: if this release does not have the kind.
+    :raises PeerError: if the fields are invalid for the kind.
     """
     known = find_kind(kind)
     if known is None:
@@ -96,9 +96,9 @@
 
 
 def find_kind(kind: str) -> type[PeerMessage] | None:
-    """Return the class of a kind, among all message classes of the program."""
+    """Return the message class of a kind, or ``None`` if there is none."""
     if kind not in _kinds:
-        # Other libraries declare their messages after this module was loaded.
+        # Other libraries define their messages after this module is loaded.
         _kinds.update((one.kind, one) for one in _collect_kinds())
     return _kinds.get(kind)
 
--- a/libs/membership/tests/test_configuration.py
+++ b/libs/membership/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration keeper over small fakes."""
+"""Tests of the configuration manager with in-memory store and peers."""
 
 from datetime import timedelta
 
@@ -21,7 +21,7 @@
 from fireflyhitch_standins.keyvalue import MemoryKeyValueStore
 from fireflyhitch_standins.peers import MemoryPeerNetwork
 
-# Each change writes its body and then its head, which accepts it.
+# Each change writes its body and then its head; the head's write accepts the change.
 WRITES = 2
 LOST_HEAD_ANSWER = (Fault.NONE, Fault.LOST_ANSWER)
 
@@ -32,7 +32,7 @@
 
 
 class Site:
-    """A store and the keepers that tests add."""
+    """A store with the managers that tests add."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -64,45 +64,45 @@
 
 
 class TestProposals:
-    """Accepted, rejected, or honestly not known."""
+    """Proposals end as accepted, rejected or unknown."""
 
-    def test_lost_answer_is_settled_by_the_change_id(self, site, manager):
-        """The operator hears that the change was accepted, at its revision.
+    def test_lost_response_is_resolved_by_the_change_id(self, site, manager):
+        """The change is reported as accepted at its revision.
 
-        The write takes effect and its answer is lost. The keeper looks for the
-        change's id among the accepted ones before it writes again.
+        The write takes effect, but its response is lost. The manager looks for the
+        change id among the accepted changes before it writes again.
         """
         site.store.faults.queue('put_if', *LOST_HEAD_ANSWER)
         assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
         assert site.store.calls['put_if'] == 4 * WRITES
 
-    def test_lost_answer_is_settled_after_another_change(self, site, manager):
-        """The operator hears of acceptance although another change came since.
+    def test_lost_response_is_resolved_after_another_change(self, site, manager):
+        """The change is reported as accepted although another one followed.
 
-        The write takes effect, its answer is lost, and another operator's
-        change follows before the keeper reads back. The record of recent
-        changes still tells that the first one was accepted.
+        The write takes effect, its response is lost, and another operator's change is
+        accepted before the manager reads again. The list of recent changes still
+        contains the first one.
         """
         other = site.add('b')
         other.follow_store_once()
         site.store.faults.queue('put_if', *LOST_HEAD_ANSWER)
 
-        def change_too(operation):
+        def propose_concurrently(operation):
             if operation == 'get' and site.store.calls['put_if'] == 4 * WRITES:
                 site.store.faults.before(None)
                 other.propose(make_configuration('y'), 4, 'y')
 
-        site.store.faults.before(change_too)
+        site.store.faults.before(propose_concurrently)
         assert manager.propose(make_configuration('x'), 3, 'x') == Accepted(4)
         assert revision_of(manager) == 5
 
-    def test_second_operator_gets_what_is_in_force(self, site, manager):
+    def test_rejected_operator_gets_the_configuration_in_force(self, site, manager):
         other = site.add('b')
         result = other.propose(make_configuration('x'), 2, 'x')
         assert isinstance(result, Rejected)
         assert result.current.configuration == make_configuration('three')
 
-    def test_repeated_change_gives_the_same_answer(self, manager):
+    def test_repeated_change_gives_the_same_result(self, manager):
         assert manager.propose(make_configuration('two'), 1, 'two') == Accepted(2)
         assert revision_of(manager) == 3
 
@@ -110,14 +110,14 @@
         ('fault', 'outcome'),
         [(Fault.REFUSED, Outcome.NOT_RUN), (Fault.LOST_REQUEST, Outcome.UNKNOWN)],
     )
-    def test_unsettled_change_says_what_is_known(self, site, manager, fault, outcome):
+    def test_failed_proposal_reports_its_outcome(self, site, manager, fault, outcome):
         site.store.faults.queue('put_if', *(Fault.NONE, fault) * 9)
         with pytest.raises(PlatformError) as caught:
             manager.propose(make_configuration('x'), 3, 'x')
         assert caught.value.outcome is outcome
 
-    def test_body_that_may_be_lost_leaves_no_doubt(self, site, manager):
-        """The operator hears "not run": only the head's write accepts."""
+    def test_unknown_body_write_is_reported_as_not_run(self, site, manager):
+        """Only the head's write accepts a change, so a lost body response is "not run"."""
         site.store.faults.stand('put_if', Fault.LOST_ANSWER)
         with pytest.raises(PlatformError) as caught:
             manager.propose(make_configuration('x'), 3, 'x')
@@ -131,26 +131,26 @@
         manager.propose(make_configuration('late'), 3, 'late')
         assert len(site.store.get_prefix(BODY_PREFIX).items) == MAX_BODIES
 
-    def test_bodies_left_behind_are_swept(self, site, manager):
-        """A proposer that dies between body and head leaves nothing for long.
+    def test_orphaned_bodies_are_swept(self, site, manager):
+        """A proposer that crashes between body and head leaves an orphaned body.
 
-        One body lost its race, another belongs to a change that is being
-        written; the watcher's sweep deletes the first one alone.
+        One body belongs to a rejected change, another to a change that is being
+        written; the watcher's sweep deletes only the first.
         """
-        lost, under_way = f'{BODY_PREFIX}3-x', f'{BODY_PREFIX}4-x'
-        for key in (lost, under_way):
+        orphaned, pending = f'{BODY_PREFIX}3-x', f'{BODY_PREFIX}4-x'
+        for key in (orphaned, pending):
             site.store.put_if(key, b'', ABSENT)
         site.clock.advance(timedelta(minutes=10))
         manager.follow_store_once()
         kept = [item.key for item in site.store.get_prefix(BODY_PREFIX).items]
-        assert under_way in kept
-        assert lost not in kept
+        assert pending in kept
+        assert orphaned not in kept
         assert len(kept) == MAX_BODIES + 1
 
-    def test_doubt_outlasts_a_later_refusal(self, site, manager):
-        """The operator hears "unknown", since the first write may yet land.
+    def test_outcome_stays_unknown_after_later_refusals(self, site, manager):
+        """The outcome is unknown, since the first write may still take effect.
 
-        The first attempt's answer is lost, and all later ones are refused.
+        The first attempt's request is lost, and all later ones are refused.
         """
         refusals = (Fault.REFUSED for _ in range(9))
         faults = (Fault.NONE, Fault.LOST_REQUEST, *refusals)
@@ -161,14 +161,14 @@
 
 
 class TestStaleStore:
-    """A store that was restored, wiped or lost its key."""
+    """A store that was restored or wiped, or whose key was deleted."""
 
     def test_restored_store_is_refused_until_the_next_change(self, site, manager):
-        """Nothing in force goes back, and operators can go on.
+        """The configuration in force does not revert, and operators can change it.
 
-        The store is restored from a backup two changes old. Daemons read it and
-        keep what they have. The next change, made from what is in force, brings
-        the store forward.
+        The store is restored from a backup two changes old. Daemons that read it keep
+        their configuration. The next change, based on the one in force, updates the
+        store.
         """
         backup = MemoryKeyValueStore(site.clock)
         old = Site()
@@ -196,7 +196,7 @@
 
 
 class TestStart:
-    """Where a daemon that knows nothing gets its configuration."""
+    """How a daemon without a configuration obtains one."""
 
     def test_daemon_that_starts_in_an_outage_loads_from_peers(self, site, manager):
         site.store.faults.stand('*', Fault.REFUSED)
@@ -222,14 +222,14 @@
 
 
 class TestWatching:
-    """Who calls the store, and how often."""
+    """Which daemons call the store, and how often."""
 
     def test_two_of_a_failure_domain_watch(self, site):
         managers = [site.add(f'd{number}') for number in range(9)]
         assert sum(one.is_watcher() for one in managers) == 2
 
     def test_others_poll_once_and_then_rarely(self, site, manager):
-        """The store is spared: head and body are read once, then rarely again."""
+        """Head and body are read once and then rarely, to limit the store's load."""
         idle = next(
             one
             for one in (site.add(f'd{number}') for number in range(9))
@@ -242,8 +242,8 @@
         assert site.store.calls.total() - before == 2
 
     def test_change_during_a_watch_is_applied_at_once(self, site, manager):
-        told = []
-        manager.on_change(lambda one: told.append(one.revision))
+        applied = []
+        manager.on_change(lambda one: applied.append(one.revision))
         other = site.add('b')
         polls = []
 
@@ -256,12 +256,12 @@
         site.store.faults.before(change_at_third_poll)
         began = site.clock.monotonic()
         manager.follow_store_once()
-        assert told == [4]
+        assert applied == [4]
         assert site.clock.monotonic() - began >= 20
 
 
 class TestBodies:
-    """When the whole is read and when not."""
+    """When the whole configuration is read from its body."""
 
     def test_watcher_of_each_change_reads_no_body(self, site, manager):
         other = site.add('b')
@@ -272,8 +272,8 @@
         assert revision_of(other) == 4
         assert site.store.calls['get'] == before
 
-    def test_missing_body_leaves_what_is_in_force(self, site, manager):
-        """A head without its body is an error of the store, never half a change."""
+    def test_missing_body_keeps_the_configuration_in_force(self, site, manager):
+        """A head without its body is a store error and is never partly applied."""
         other = site.add('b')
         other.follow_store_once()
         for number, name in ((3, 'x'), (4, 'y')):
@@ -284,10 +284,10 @@
         assert revision_of(other) == 3
 
 
-class TestSpreading:
-    """From peer to peer."""
+class TestSync:
+    """Exchange from peer to peer."""
 
-    def test_daemon_far_behind_pulls_the_whole(self, site, manager):
+    def test_daemon_many_revisions_behind_pulls_the_whole(self, site, manager):
         late = site.add('b')
         late.follow_peers_once()
         for number in range(3, 40):
@@ -299,7 +299,7 @@
         assert late.in_force().configuration == manager.in_force().configuration
 
     def test_change_of_order_alone_arrives_exactly(self, site, manager):
-        """A difference by items does not show their order, the whole does."""
+        """A difference does not encode the order of items, so the whole is pulled."""
         late = site.add('b')
         one, other = (make_configuration(name).deployments for name in ('x', 'y'))
         for number, order in ((3, one + other), (4, other + one)):
@@ -308,12 +308,12 @@
             late.follow_peers_once()
             assert late.in_force().configuration == wanted
 
-    def test_status_names_domains_that_cannot_be_asked(self, site, manager):
+    def test_status_lists_domains_that_cannot_be_queried(self, site, manager):
         site.add('b', 'brugge').follow_store_once()
         site.add('c', 'aalst')
         site.peers.separate('a', 'c')
-        shown = manager.revisions_by_failure_domain()
-        assert {name: one.revision for name, one in shown.items()} == {
+        revisions = manager.revisions_by_failure_domain()
+        assert {name: one.revision for name, one in revisions.items()} == {
             'gent': 3,
             'brugge': 3,
             'aalst': None,
--- a/libs/membership/tests/test_marks.py
+++ b/libs/membership/tests/test_marks.py
@@ -18,7 +18,7 @@
 
 
 class MarkTablesMachine(RuleBasedStateMachine):
-    """Three daemons that mark and exchange in any order, with old copies."""
+    """Three tables that add and merge marks in any order, including stale copies."""
 
     def __init__(self):
         super().__init__()
@@ -27,7 +27,7 @@
         self.old_copies = []
 
     @rule(table=tables, mark=marks)
-    def raise_mark(self, table, mark):
+    def add_mark(self, table, mark):
         self.tables[table].merge((mark,))
 
     @rule(table=tables)
@@ -48,7 +48,7 @@
         assert set(left.all()) == set(right.all())
 
     @invariant()
-    def no_mark_goes_back(self):
+    def marks_never_decrease(self):
         for table, seen in zip(self.tables, self.seen, strict=True):
             now = {(one.kind, one.key): one.number for one in table.all()}
             assert all(now.get(key, 0) >= number for key, number in seen.items())
@@ -66,9 +66,9 @@
 
 
 class TestBounds:
-    """What keeps the table small."""
+    """Limits on the size of the table."""
 
-    def test_oldest_leaving_mark_goes_and_withdrawn_ones_stay(self):
+    def test_oldest_leaving_mark_is_evicted_and_withdrawn_ones_stay(self):
         table = MarkTable()
         table.merge([Mark(kind=MarkKind.WITHDRAWN, key='chat/2', number=1)])
         many = range(MAX_LEAVING_MARKS)
--- a/libs/membership/tests/test_members.py
+++ b/libs/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of the member table: liveness, suspicion, leaving and scope."""
+"""Tests of the member table: merging, suspicion, leaving and summaries."""
 
 from datetime import timedelta
 
@@ -38,7 +38,7 @@
 
 
 class TestMerge:
-    """Which news win."""
+    """Which of two records wins."""
 
     @settings(
         derandomize=True,
@@ -46,33 +46,33 @@
         deadline=None,
         suppress_health_check=(HealthCheck.too_slow,),
     )
-    @given(news=st.lists(records, max_size=8), order=st.randoms())
-    def test_order_of_news_does_not_matter(self, news, order):
-        # Both are known at first, since what is gone is not taken in as new.
+    @given(updates=st.lists(records, max_size=8), order=st.randoms())
+    def test_order_of_updates_does_not_matter(self, updates, order):
+        # Both are in the table at first, since dead or leaving daemons are never added.
         known = [make_record('b', incarnation=0), make_record('c', incarnation=0)]
         one, other = make_table(), make_table()
-        one.merge(known + news)
-        shuffled = list(news)
+        one.merge(known + updates)
+        shuffled = list(updates)
         order.shuffle(shuffled)
         other.merge(known + shuffled)
         assert live_ids(one) == live_ids(other)
         assert one.digests('gent') == other.digests('gent')
 
-    def test_late_report_does_not_bring_a_leaving_daemon_back(self):
+    def test_stale_report_does_not_revert_leaving(self):
         table = make_table()
         table.merge([make_record('b')])
         table.merge([make_record('b', status=MemberStatus.LEAVING)])
         assert not table.merge([make_record('b')])
         assert live_ids(table) == {'a'}
 
-    def test_wrong_news_about_oneself_are_contradicted(self):
+    def test_wrong_record_about_the_local_daemon_is_refuted(self):
         table = make_table()
         raised = table.merge(
             [make_record('a', incarnation=4, status=MemberStatus.DEAD)]
         )[0]
         assert (raised.incarnation, raised.status) == (5, MemberStatus.ALIVE)
 
-    def test_leaving_daemon_stays_leaving_when_it_contradicts(self):
+    def test_leaving_daemon_stays_leaving_when_it_refutes(self):
         table = make_table()
         table.leave()
         raised = table.merge([make_record('a', status=MemberStatus.DEAD)])[0]
@@ -81,14 +81,14 @@
 
 
 class TestSuspicion:
-    """What fits a paused process."""
+    """Suspicion and its timeout, also around paused processes."""
 
-    def test_paused_process_keeps_its_place_if_it_wakes_in_time(self):
-        """The paused daemon stays in the list and no duty moves.
+    def test_paused_process_stays_live_if_it_resumes_in_time(self):
+        """The paused daemon stays in the table, so no duty moves.
 
-        It misses its probes and is suspected. Within the suspicion's time it
-        wakes up, finds the suspicion in a probe and contradicts it by a higher
-        incarnation, which all others accept.
+        It misses its probes and is suspected. It resumes within the suspicion timeout,
+        sees the suspicion in a probe and refutes it by a higher incarnation, which all
+        others accept.
         """
         clock = ManualClock()
         table, paused = make_table(clock=clock), make_table('b', clock=clock)
@@ -102,7 +102,7 @@
         assert not table.expire()
         assert 'b' in live_ids(table)
 
-    def test_silent_daemon_is_declared_dead(self):
+    def test_unresponsive_daemon_is_declared_dead(self):
         clock = ManualClock()
         table = make_table(clock=clock)
         table.merge([make_record('b')])
@@ -113,11 +113,11 @@
         assert live_ids(table) == {'a'}
         assert table.dead_addresses() == {'b:1'}
 
-    def test_own_pause_is_not_blamed_on_others(self):
-        """A daemon that wakes up does not declare its suspects dead.
+    def test_local_pause_does_not_expire_suspicions(self):
+        """A daemon that resumes does not declare its suspects dead.
 
-        It was stopped while it suspected another, so the suspicion looks
-        overdue although only its own clock stood still for the peers.
+        It was paused while it suspected another daemon, so the suspicion looks overdue
+        although the peer had no chance to refute it.
         """
         clock = ManualClock()
         table = make_table(clock=clock)
@@ -129,18 +129,18 @@
 
 
 class TestScope:
-    """Detail within a failure domain, a summary of others."""
+    """All members of the local failure domain, a summary of the others."""
 
     def test_only_a_summary_of_other_domains_is_kept(self):
-        table, far = make_table(), make_table('b0', 'brugge')
-        far.merge([make_record(f'b{one}', 'brugge') for one in range(1, 30)])
-        assert len(far.live()) == 30
-        table.merge(far.differing('gent', {}))
+        table, remote = make_table(), make_table('b0', 'brugge')
+        remote.merge([make_record(f'b{one}', 'brugge') for one in range(1, 30)])
+        assert len(remote.live()) == 30
+        table.merge(remote.differing('gent', {}))
         assert len(table.live()) == 1 + SUMMARY_MEMBERS
-        assert table.digests('brugge')['brugge'] == far.digests('gent')['brugge']
+        assert table.digests('brugge')['brugge'] == remote.digests('gent')['brugge']
 
     @pytest.mark.parametrize('status', [MemberStatus.LEAVING, MemberStatus.DEAD])
-    def test_difference_carries_those_that_are_gone(self, status):
+    def test_difference_includes_dead_and_leaving_daemons(self, status):
         one, other = make_table(), make_table('b')
         for table in (one, other):
             table.merge([make_record('c'), other.own, one.own])
--- a/libs/membership/tests/test_network.py
+++ b/libs/membership/tests/test_network.py
@@ -1,4 +1,4 @@
-"""Tests of the peer network over loopback."""
+"""Tests of the peer network over the loopback interface."""
 
 import socket
 import ssl
@@ -33,12 +33,12 @@
 def wait_until(holds):
     ends = time.monotonic() + PATIENCE
     while not holds():
-        assert time.monotonic() < ends, 'gave up waiting'
+        assert time.monotonic() < ends, 'condition not met in time'
         time.sleep(0.01)
 
 
 class Cluster:
-    """Networks that are stopped at the end of the test."""
+    """Networks whose links can be cut, stopped at the end of the test."""
 
     def __init__(self):
         self.networks = []
@@ -86,9 +86,9 @@
 
 
 class TestMessages:
-    """Telling, asking and spreading."""
+    """Sending, asking and broadcasting."""
 
-    def test_question_gets_its_answer(self, three):
+    def test_request_gets_its_answer(self, three):
         three[2].handle(Echo, lambda sender, echo: Echo(text=f'{sender}: {echo.text}'))
         assert three[0].ask('c', Echo(text='hi'), SECOND) == Echo(text='a: hi')
 
@@ -99,11 +99,11 @@
                 three[0].ask(peer, Echo(text=''), timedelta(milliseconds=100))
             assert caught.value.peer == peer
 
-    def test_spread_reaches_its_scope_once(self, three):
+    def test_broadcast_reaches_each_daemon_of_its_scope_once(self, three):
         arrived = []
         done = threading.Event()
 
-        def take(name):
+        def make_handler(name):
             def handler(sender, echo):
                 arrived.append((name, sender, echo.text))
                 if echo.text == 'last':
@@ -112,7 +112,7 @@
             return handler
 
         for network in three:
-            network.handle(Echo, take(network.daemon.daemon_id))
+            network.handle(Echo, make_handler(network.daemon.daemon_id))
         three[0].spread(Echo(text='near'), Scope.FAILURE_DOMAIN)
         three[0].spread(Echo(text='all'), Scope.EVERYWHERE)
         wait_until(lambda: len(arrived) == 3)
@@ -125,12 +125,11 @@
             ('c', 'a', 'all'),
         ]
 
-    def test_silent_peer_does_not_hold_up_another(self, three):
-        """Questions to others are answered while one peer is silent.
+    def test_unresponsive_peer_does_not_delay_another(self, three):
+        """Requests to others are answered while one peer is unresponsive.
 
-        The peer's port accepts connections and then says nothing. More is told
-        to it than its queue holds; the surplus is dropped, and only its own
-        writer waits.
+        The peer's port accepts connections but never answers. It is sent more messages
+        than its queue holds; the excess is dropped, and only its own writer waits.
         """
         with socket.create_server(('127.0.0.1', 0)) as silent:
             address = f'127.0.0.1:{silent.getsockname()[1]}'
@@ -164,7 +163,7 @@
         network = PeerNetwork(Daemon('a', 'gent', '', ''), options, SystemClock())
         network.stop()
 
-    def test_seeds_that_do_not_answer_do_not_keep_it_from_starting(self, cluster):
+    def test_network_starts_without_responsive_seeds(self, cluster):
         with socket.create_server(('127.0.0.1', 0)) as silent:
             address = f'127.0.0.1:{silent.getsockname()[1]}'
             alone = cluster.add('a', 'gent', seeds=(address, '127.0.0.1:9'))
@@ -172,9 +171,9 @@
 
 
 class TestAccess:
-    """Who may join."""
+    """Authentication of peers."""
 
-    def test_daemon_without_the_key_stays_out(self, cluster):
+    def test_daemon_without_the_key_is_rejected(self, cluster):
         inside = cluster.add('a', 'gent')
         stranger = cluster.add('x', 'gent', key='guess')
         with pytest.raises(PeerError):
@@ -200,14 +199,14 @@
 
 
 class TestLeaving:
-    """Marks and daemons that go."""
+    """Leaving marks and leaving daemons."""
 
-    def test_lagging_list_does_not_undo_a_mark(self, three):
-        """The instance gets no new work although the list still says live.
+    def test_stale_list_does_not_revert_a_mark(self, three):
+        """The instance gets no new work although the list still shows it as live.
 
-        One daemon marks the instance; all hear of it. Another then reads the
-        lagging list. Only a higher incarnation, a restarted instance, is free
-        of the mark.
+        One daemon marks the instance, and all receive the mark. Another then reads the
+        stale list. Only a higher incarnation, of a restarted instance, is free of the
+        mark.
         """
         three[0].mark_leaving('engine', 2)
         wait_until(lambda: all(one.is_leaving('engine', 2) for one in three))
@@ -224,19 +223,19 @@
         assert three[1].leaving() == {'engine': 2}
         assert not three[1].is_leaving('engine', 3)
 
-    def test_leaving_daemon_is_out_of_all_lists(self, three):
+    def test_leaving_daemon_is_removed_from_all_lists(self, three):
         changed = threading.Event()
         three[2].on_members(changed.set)
         three[0].announce_leaving()
         wait_until(lambda: all(len(one.live()) == 2 for one in three))
         assert changed.wait(PATIENCE)
 
-    def test_cut_off_sides_merge_their_marks(self, cluster, three):
-        """After a cut each side knows what the other marked meanwhile.
+    def test_partitioned_sides_merge_their_marks(self, cluster, three):
+        """After a partition each side has the other's marks.
 
-        No message gets through while one side marks an instance and the other
-        withdraws a version. When the links work again, digests in heartbeats
-        differ and both sides pull the union.
+        All messages are lost while one side marks an instance and the other withdraws
+        a version. Once the links work again, the digests in heartbeats differ, and both
+        sides pull the missing marks.
         """
         cluster.cut = True
         three[0].mark_leaving('engine', 1)
@@ -246,14 +245,14 @@
         wait_until(lambda: all(one.is_leaving('engine', 1) for one in three))
         wait_until(lambda: all(one.is_withdrawn('chat', '2') for one in three))
 
-    def test_sides_that_held_each_other_for_dead_find_back(
+    def test_sides_that_declared_each_other_dead_reconnect(
         self, cluster, three, monkeypatch
     ):
-        """Each side goes on alone, and the healed fleet is whole and remembers.
+        """After a long partition the members are live again and all marks are kept.
 
-        The cut outlasts the suspicion, so all declare each other dead. What was
-        marked meanwhile survives. On healing the dead are tried again, find
-        themselves declared dead, and contradict by a higher incarnation.
+        The partition outlasts the suspicion timeout, so all daemons declare each other
+        dead. Once it ends, dead daemons are contacted again, see their status in a
+        probe and refute it by a higher incarnation. Marks made meanwhile are merged.
         """
         monkeypatch.setattr(probing, 'PROBE_TIMEOUT', SECOND / 5)
         monkeypatch.setattr(probing, 'INDIRECT_TIMEOUT', SECOND / 5)
@@ -271,10 +270,10 @@
 
 
 class TestSnapshots:
-    """Soft state for a replacement."""
+    """Soft state for a replacement daemon."""
 
-    def test_replacement_is_warm_at_once(self, cluster):
-        """A daemon can ask for a snapshot as soon as its network has started."""
+    def test_replacement_starts_warm(self, cluster):
+        """A daemon can request a snapshot as soon as its network has started."""
         first = cluster.add('a', 'gent')
         first.mark_leaving('engine', 1)
         taken = []
--- a/libs/membership/tests/test_records.py
+++ b/libs/membership/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of stored configurations and differences between two."""
+"""Tests of configuration records and differences between two records."""
 
 import json
 
@@ -42,7 +42,7 @@
 
 
 class TestDifference:
-    """What is sent to a peer that is a few changes behind."""
+    """Differences sent to a peer that is a few changes behind."""
 
     @settings(
         derandomize=True,
@@ -51,17 +51,19 @@
         suppress_health_check=(HealthCheck.too_slow,),
     )
     @given(before=names, after=names, version=st.sampled_from('12'))
-    def test_applied_difference_is_exact_or_shows(self, before, after, version):
+    def test_applied_difference_is_exact_or_detectably_wrong(
+        self, before, after, version
+    ):
         old = NOTHING.follow(1, 'one', make_configuration(before, after))
         new = old.follow(2, 'two', make_configuration(after, before, version))
         made = apply_difference(old, pack_difference(old, new), 2, 'two')
         if made.content == new.content:
             assert made == new
         else:
-            # Only the order differs; the puller then asks for the whole.
-            ours, theirs = json.loads(made.text), json.loads(new.text)
+            # Only the order differs; the hash shows it, and the whole is pulled instead.
+            local, remote = json.loads(made.text), json.loads(new.text)
             for key in ('deployments', 'customers'):
-                assert sorted(map(str, ours[key])) == sorted(map(str, theirs[key]))
+                assert sorted(map(str, local[key])) == sorted(map(str, remote[key]))
 
     def test_difference_is_small(self):
         many = [f's{number}' for number in range(200)]
@@ -74,14 +76,14 @@
 
 
 class TestRecord:
-    """The stored form."""
+    """The serialized format."""
 
     def test_round_trip_keeps_fields_of_a_later_release(self):
         text = write_canonical({'deployments': [], 'customers': [], 'later': 1})
         record = ConfigurationRecord(3, 'x', (('x', 3),), text)
         assert unpack(pack(record), 'peer') == record
 
-    def test_fields_of_a_later_release_are_passed_over_anywhere(self):
+    def test_fields_of_a_later_release_are_ignored_at_any_depth(self):
         wanted = make_configuration(['a'], ['b'])
         document = wanted.model_dump(mode='json')
         document['later'] = 1
--- a/libs/membership/tests/test_scope.py
+++ b/libs/membership/tests/test_scope.py
@@ -1,4 +1,4 @@
-"""Tests of who does what within a failure domain."""
+"""Tests of role assignment and broadcast trees."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def reach(origin, daemons, scope):
-    """Walk a message's hops; the first arrival counts."""
+    """Return the number of hops at which each daemon first receives a message."""
     by_id = {daemon.daemon_id: daemon for daemon in daemons}
     hops = {origin.daemon_id: 0}
     senders = [(origin, choose_first_hops('m', origin, daemons, scope))]
@@ -39,10 +39,10 @@
 
 
 class TestTree:
-    """Messages to all of a scope."""
+    """Broadcasts to all daemons of a scope."""
 
     @pytest.mark.parametrize(('domains', 'each'), [(4, 1), (4, 2), (4, 9), (19, 42)])
-    def test_everyone_is_reached_in_few_hops(self, domains, each):
+    def test_all_daemons_are_reached_in_few_hops(self, domains, each):
         daemons = make_daemons(domains, each)
         hops = reach(daemons[0], daemons, Scope.EVERYWHERE)
         assert len(hops) == len(daemons)
@@ -55,16 +55,16 @@
 
 
 class TestChoices:
-    """Hash-chosen duties."""
+    """Roles assigned by hash."""
 
-    def test_carriers_are_part_of_the_summary(self):
+    def test_gateways_are_part_of_the_summary(self):
         daemons = make_daemons(1, 42)
         summary = choose_summary('d0', [one.daemon_id for one in daemons])
-        known_elsewhere = [one for one in daemons if one.daemon_id in summary]
+        recorded = [one for one in daemons if one.daemon_id in summary]
         gateways = choose_carriers('d0', daemons)
-        assert gateways == choose_carriers('d0', known_elsewhere)
+        assert gateways == choose_carriers('d0', recorded)
 
-    def test_loss_of_a_watcher_moves_only_its_own_duty(self):
+    def test_loss_of_a_watcher_moves_only_its_own_role(self):
         daemons = make_daemons(1, 9)
         first, second = choose_watchers('d0', daemons)
         rest = [one for one in daemons if one.daemon_id != first]
--- a/libs/membership/tests/test_wire.py
+++ b/libs/membership/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of frames: what is read, passed over and refused."""
+"""Tests of frames: what is decoded, ignored and rejected."""
 
 import cbor2
 import pytest
@@ -22,7 +22,7 @@
 
 
 class TestFrames:
-    """Two releases side by side, and bytes that are no frame."""
+    """Frames of other releases and malformed frames."""
 
     def test_round_trip(self):
         mark = Mark(kind=MarkKind.LEAVING, key='i', number=1)
@@ -30,21 +30,21 @@
         assert frame.ask == 7
         assert read_message(frame.kind, frame.body, 'p') == StateUpdate(marks=(mark,))
 
-    def test_fields_and_elements_of_a_later_release_are_passed_over(self):
+    def test_fields_and_elements_of_a_later_release_are_ignored(self):
         body = {'sections': ['a'], 'of_a_later_release': {'x': 1}}
         sent = cbor2.dumps([WIRE_VERSION, 'snapshot-request', 1, None, body, 'more'])
         frame = decode(sent, 'peer')
         message = read_message(frame.kind, frame.body, 'peer')
         assert message == SnapshotRequest(sections=('a',))
 
-    def test_kind_of_a_later_release_is_told_apart(self):
+    def test_kind_of_a_later_release_is_unknown(self):
         with pytest.raises(UnknownKindError):
             read_message('of-a-later-release', {}, 'peer')
 
     @pytest.mark.parametrize(
         'sent', [[WIRE_VERSION + 1, 'probe', 1, None, {}], [1], {}, 'x']
     )
-    def test_other_shapes_are_refused(self, sent):
+    def test_malformed_frames_are_rejected(self, sent):
         with pytest.raises(PeerError):
             decode(cbor2.dumps(sent), 'peer')
 
@@ -55,12 +55,12 @@
         suppress_health_check=(HealthCheck.too_slow,),
     )
     @given(sent=st.binary(max_size=40))
-    def test_any_bytes_are_read_or_refused(self, sent):
+    def test_arbitrary_bytes_are_decoded_or_rejected(self, sent):
         try:
             decode(sent, 'peer')
         except PeerError as error:
             assert error.peer == 'peer'
 
-    def test_too_large_a_message_is_not_sent(self):
+    def test_oversized_message_is_rejected(self):
         with pytest.raises(PeerError):
             encode(SnapshotRequest(sections=('x' * 2_000_000,)))
--- a/libs/model/fireflyhitch_model/__init__.py
+++ b/libs/model/fireflyhitch_model/__init__.py
@@ -1,1 +1,1 @@
-"""Ids, states, messages, errors, the clock and invariants."""
+"""Ids, states, messages, errors, the clock and runtime invariants."""
--- a/libs/model/fireflyhitch_model/backends.py
+++ b/libs/model/fireflyhitch_model/backends.py
@@ -1,4 +1,4 @@
-"""Backend servers and what they report of themselves."""
+"""Backend servers and their reports."""
 
 from fireflyhitch_model.ids import (
     BackendServerId,
@@ -14,12 +14,12 @@
 
 @immutable
 class BackendServer:
-    """A process that answers calls of one deployment in one version.
+    """A process that serves calls for one version of a deployment.
 
-    :param address: ``host:port`` by IP number.
-    :param price: cost of its instance, in currency units an hour.
-    :param capacity: how many calls it works on at once before they queue.
-    :param incarnation: grows when the instance is restarted.
+    :param address: ``host:port``, the host as an IP address.
+    :param price: cost of its instance, in currency units per hour.
+    :param capacity: how many calls it runs concurrently before it queues more.
+    :param incarnation: increases with each restart of the instance.
     """
 
     server_id: BackendServerId
@@ -37,10 +37,10 @@
 
 @immutable
 class LoadReport:
-    """A backend server's own account of its load, which lags.
+    """The load that a backend server reports, with a delay.
 
-    :param measured: monotonic seconds at which it was true, by estimate.
-    :param kv_cache_used: share of the KV cache in use, 0 to 1.
+    :param measured: estimated time of measurement, in monotonic seconds.
+    :param kv_cache_used: fraction of the KV cache in use, 0 to 1.
     """
 
     server_id: BackendServerId
@@ -52,9 +52,9 @@
 
 @immutable
 class CacheEvent:
-    """A late and possibly lost notice of prompt blocks stored or dropped.
+    """A notice of prompt blocks stored or evicted, which may be late or lost.
 
-    :param sequence: counts up by one a server; a gap means lost events.
+    :param sequence: increases by one per event of a server; a gap means lost events.
     """
 
     server_id: BackendServerId
--- a/libs/model/fireflyhitch_model/calls.py
+++ b/libs/model/fireflyhitch_model/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decisions see it."""
+"""The properties of a caller's request that decisions depend on."""
 
 from fireflyhitch_model.ids import (
     CustomerId,
@@ -11,17 +11,17 @@
 
 @immutable
 class Call:
-    """What routing, limits and evidence need to know of a request.
+    """The properties of a request used by routing, limits and failure statistics.
 
-    :param route: the kind of call that evidence is kept for, for example
+    :param route: the kind of call by which failure statistics are kept, for example
         ``chat`` or ``POST /bookings``.
-    :param prompt_tokens: an estimate from the body's length, in tokens.
-    :param max_tokens: how many tokens the answer may have at the most.
+    :param prompt_tokens: number of tokens, estimated from the body's length.
+    :param max_tokens: the maximum number of tokens in the answer.
     :param prefix_blocks: chained hashes of the prompt's blocks, first to last;
         two prompts with equal first *n* hashes share that prefix.
-    :param arrived: monotonic seconds.
-    :param deadline: monotonic seconds by which an answer is of use.
-    :param repeatable: whether a second run does no harm.
+    :param arrived: arrival time, in monotonic seconds.
+    :param deadline: time after which an answer is useless, in monotonic seconds.
+    :param repeatable: whether running the request twice is harmless.
     """
 
     request_id: RequestId
--- a/libs/model/fireflyhitch_model/clock.py
+++ b/libs/model/fireflyhitch_model/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that no decision reads the time by itself."""
+"""Clock interface, injected so that decisions never read the system time directly."""
 
 import threading
 import time
@@ -9,13 +9,13 @@
 
 
 class Clock(Protocol):
-    """Wall time for people and dates; monotonic time for every duration."""
+    """Wall clock time for display and dates, monotonic time for durations."""
 
     def now(self) -> datetime:
-        """Return the wall time, in UTC; it may jump."""
+        """Return the wall clock time in UTC; it may jump."""
 
     def monotonic(self) -> float:
-        """Return seconds since an arbitrary start; it never goes back."""
+        """Return seconds since an arbitrary start; they never decrease."""
 
     def wait(self, event: threading.Event, duration: timedelta) -> bool:
         """Wait for an event or until the duration has passed.
@@ -28,7 +28,7 @@
     """The operating system's clock."""
 
     def now(self) -> datetime:
-        """Return the wall time, in UTC."""
+        """Return the wall clock time in UTC."""
         return datetime.now(UTC)
 
     def monotonic(self) -> float:
@@ -41,7 +41,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and benchmarks."""
+    """A clock that is advanced explicitly, for tests and benchmarks."""
 
     def __init__(self, start: datetime | None = None) -> None:
         self._start = start or MANUAL_START
@@ -49,7 +49,7 @@
         self._wall_jump = timedelta()
 
     def now(self) -> datetime:
-        """Return the wall time, in UTC, with any jump applied."""
+        """Return the wall clock time in UTC, with all jumps applied."""
         return self._start + timedelta(seconds=self._elapsed) + self._wall_jump
 
     def monotonic(self) -> float:
@@ -57,16 +57,16 @@
         return self._elapsed
 
     def wait(self, event: threading.Event, duration: timedelta) -> bool:
-        """Let the duration pass at once unless the event is set already."""
+        """Advance by the duration at once, unless the event is already set."""
         if event.is_set():
             return True
         self.advance(duration)
         return event.is_set()
 
     def advance(self, duration: timedelta) -> None:
-        """Move both clocks forward."""
+        """Advance wall clock and monotonic time."""
         self._elapsed += duration.total_seconds()
 
     def jump_wall(self, duration: timedelta) -> None:
-        """Move the wall clock alone, as a time correction does."""
+        """Shift only the wall clock, as a time correction does."""
         self._wall_jump += duration
--- a/libs/model/fireflyhitch_model/errors.py
+++ b/libs/model/fireflyhitch_model/errors.py
@@ -1,4 +1,4 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""Errors with the step and the peer at which they occurred."""
 
 from datetime import timedelta
 
@@ -6,11 +6,11 @@
 
 
 class FireflyhitchError(Exception):
-    """The base of the project's errors.
+    """Base class of the project's errors.
 
-    :param message: what went wrong, in a sentence for people.
-    :param step: the step at which it went wrong.
-    :param peer: the address or id of the other side, if there was one.
+    :param message: a human-readable description.
+    :param step: the step at which the error occurred.
+    :param peer: the address or id of the remote side, if any.
     """
 
     def __init__(self, message: str, *, step: Step, peer: str | None = None) -> None:
@@ -26,12 +26,12 @@
 
 
 class RequestError(FireflyhitchError):
-    """A request that ends without its answer, with what is known of its run.
+    """A request that ends without an answer, with its outcome.
 
-    :param outcome: ``not-run`` only where that is certain.
+    :param outcome: ``not-run`` only if that is certain.
     :param status: the HTTP status for the caller.
-    :param code: a stable word for programs, as in OpenAI's error form.
-    :param retry_after: when the caller may ask again; ``None`` for never.
+    :param code: a stable error code, as in the OpenAI error format.
+    :param retry_after: when the caller may retry; ``None`` for never.
     """
 
     def __init__(
@@ -53,10 +53,10 @@
 
 
 class PlatformError(FireflyhitchError):
-    """A call to one of the platform's services failed.
+    """A failed call to one of the platform's services.
 
-    :param outcome: ``not-run`` if the call certainly had no effect, and
-        ``unknown`` if its answer may have been lost after the effect.
+    :param outcome: ``not-run`` if the call certainly had no effect, ``unknown`` if it
+        may have taken effect before its response was lost.
     """
 
     def __init__(
@@ -72,8 +72,8 @@
 
 
 class PeerError(FireflyhitchError):
-    """A peer could not be asked, or did not answer in time."""
+    """A peer was unreachable or did not answer in time."""
 
 
 class InvariantError(FireflyhitchError):
-    """An invariant of the program does not hold; the one request stops."""
+    """A violated invariant; only the current request fails."""
--- a/libs/model/fireflyhitch_model/hashing.py
+++ b/libs/model/fireflyhitch_model/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who of a changing set is responsible for a key."""
+"""Rendezvous hashing: assigns keys to members of a changing set."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -16,9 +16,9 @@
 def rank_by_hash(key: str, members: Iterable[Member]) -> list[Member]:
     """Order members by their rendezvous weight for a key, highest first.
 
-    A member that goes moves only the keys that it was first for.
+    Removing a member moves only the keys for which it ranked first.
 
-    :param key: what is to be placed.
+    :param key: the key to assign.
     :param members: the candidates, in any order.
     """
     return sorted(
--- a/libs/model/fireflyhitch_model/identity.py
+++ b/libs/model/fireflyhitch_model/identity.py
@@ -1,4 +1,4 @@
-"""What is the same behind several ids, and what differs behind one."""
+"""Ids of request contents and of server processes."""
 
 import xxhash
 
@@ -9,10 +9,10 @@
 def identify_content(
     customer: CustomerId | None, method: str, target: str, body: bytes
 ) -> ContentId:
-    """Return what a caller's request has in common with its repeats.
+    """Return an id that is the same for all repeats of a caller's request.
 
-    :param customer: ``None`` where the caller needs no key; all such callers are one.
-    :param target: path and query.
+    :param customer: ``None`` if no API key is required; all such callers count as one.
+    :param target: path and query string.
     """
     digest = xxhash.xxh3_64()
     for part in (customer or '', method, target):
@@ -25,6 +25,6 @@
 def identify_process(server: BackendServerId, start_time: int) -> ProcessId:
     """Return the id of a backend server's process.
 
-    :param start_time: tells two starts of one server apart.
+    :param start_time: distinguishes processes of the same server.
     """
     return ProcessId(hash_text(f'{server}/{start_time}'))
--- a/libs/model/fireflyhitch_model/ids.py
+++ b/libs/model/fireflyhitch_model/ids.py
@@ -1,9 +1,9 @@
-"""Identifiers, each a type of its own so that they cannot be mixed up."""
+"""Identifiers, each of a distinct type so that the type checker finds mix-ups."""
 
 from typing import NewType
 
 RequestId = NewType('RequestId', str)
-# Of all requests that ask the same, whatever their ids.
+# Shared by all requests with the same content, whatever their request ids.
 ContentId = NewType('ContentId', str)
 CustomerId = NewType('CustomerId', str)
 DeploymentId = NewType('DeploymentId', str)
@@ -11,7 +11,7 @@
 FailureDomainId = NewType('FailureDomainId', str)
 InstanceId = NewType('InstanceId', str)
 BackendServerId = NewType('BackendServerId', str)
-# Of one start of a backend server's process.
+# Identifies one process of a backend server; a restart gets a new id.
 ProcessId = NewType('ProcessId', int)
 DaemonId = NewType('DaemonId', str)
 IdempotencyKey = NewType('IdempotencyKey', str)
@@ -20,11 +20,11 @@
 DutyId = NewType('DutyId', str)
 LeaseId = NewType('LeaseId', int)
 
-# The store's revision; 0 means "does not exist".
+# A revision of the store; 0 means "does not exist".
 Revision = NewType('Revision', int)
-# Grows with each restart of the same instance or process.
+# Increases with each restart of the same instance or process.
 Incarnation = NewType('Incarnation', int)
-# A lease's creation revision, carried by every order given under it.
+# The creation revision of a lease, contained in every order sent under it.
 FencingNumber = NewType('FencingNumber', int)
 
 ABSENT = Revision(0)
--- a/libs/model/fireflyhitch_model/instances.py
+++ b/libs/model/fireflyhitch_model/instances.py
@@ -1,4 +1,4 @@
-"""Instances as the platform's list and the cloud API tell of them."""
+"""Instances as reported by the platform's list and the cloud API."""
 
 from dataclasses import field
 from datetime import datetime
@@ -13,8 +13,8 @@
 class Instance:
     """One entry of the instance list.
 
-    :param address: ``host:port`` of its peers' or backend server's listener.
-    :param server: the backend server on it, for the backend role.
+    :param address: ``host:port`` of its listener for peers or of its backend server.
+    :param server: its backend server, if it has the backend role.
     """
 
     instance_id: InstanceId
@@ -29,16 +29,16 @@
 
 @immutable
 class InstanceListing:
-    """The instance list as read at one time; it lags behind the truth."""
+    """The instance list as read at one time; it lags behind the actual state."""
 
     instances: tuple[Instance, ...] = field(default=())
 
 
 @immutable
 class ReclaimNotice:
-    """The cloud's notice that it takes an instance back.
+    """The cloud's notice that it will reclaim an instance.
 
-    :param reclaim_at: wall time at which the instance goes.
+    :param reclaim_at: wall clock time at which the instance is reclaimed.
     """
 
     instance_id: InstanceId
--- a/libs/model/fireflyhitch_model/invariants.py
+++ b/libs/model/fireflyhitch_model/invariants.py
@@ -1,4 +1,7 @@
-"""Invariants that stay on in production: they count, log and stop one request."""
+"""Runtime invariants, also checked in production.
+
+A violation is counted and reported, and fails only the current request.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,7 +15,7 @@
 
 
 class Invariant(Enum):
-    """The promises that the program checks of itself."""
+    """The invariants that are checked at run time."""
 
     ANSWER_OWNER = 'an answer reaches only its own request'
     ANSWER_ORDER = "an answer's events are in order, each once"
@@ -29,7 +32,7 @@
 
 
 class _Violations:
-    """Counts of violations since the start, and who is told of them."""
+    """Counts of violations since the start, and observers of violations."""
 
     def __init__(self) -> None:
         self._lock = Lock()
@@ -63,11 +66,11 @@
     step: Step = Step.ANSWER,
     peer: str | None = None,
 ) -> None:
-    """Stop the request at hand if an invariant does not hold.
+    """Raise an error if an invariant does not hold.
 
     :param holds: whether the invariant holds.
-    :param kind: which invariant it is.
-    :param detail: the values that break it.
+    :param kind: the invariant.
+    :param detail: the values that violate it.
     :raises InvariantError: if it does not hold.
     """
     if holds:
@@ -77,10 +80,10 @@
 
 
 def observe_violations(observer: Observer) -> None:
-    """Have an observer told of each violation, for logs and metrics."""
+    """Register an observer to be called on each violation, for logs and metrics."""
     _violations.observe(observer)
 
 
 def count_violations() -> int:
-    """Return how many violations there were since the process started."""
+    """Return the number of violations since the process started."""
     return _violations.total()
--- a/libs/model/fireflyhitch_model/peers.py
+++ b/libs/model/fireflyhitch_model/peers.py
@@ -1,4 +1,4 @@
-"""How libraries talk to other daemons, without knowing the links."""
+"""Interface for messages to other daemons, independent of the transport."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,10 +12,10 @@
 
 
 class PeerMessage(BaseModel):
-    """The base of typed messages between daemons.
+    """Base class of typed messages between daemons.
 
-    Fields that a release does not know are passed over, so that two releases
-    run side by side; new fields need a default.
+    Unknown fields are ignored, so that two releases can run concurrently; new fields
+    need a default.
 
     :cvar kind: the message's name on the wire.
     """
@@ -26,7 +26,7 @@
 
 
 class Scope(Enum):
-    """How far a message is spread."""
+    """Which daemons a broadcast reaches."""
 
     FAILURE_DOMAIN = 'failure-domain'
     EVERYWHERE = 'everywhere'
@@ -37,7 +37,7 @@
     """A daemon as membership sees it.
 
     :param peer_address: ``host:port`` of its peer links.
-    :param entry_address: ``host:port`` of its callers' listener.
+    :param entry_address: ``host:port`` of its listener for callers.
     """
 
     daemon_id: DaemonId
@@ -48,29 +48,29 @@
 
 
 SomeMessage = TypeVar('SomeMessage', bound=PeerMessage)
-# Takes the sender and the message; what it returns is the answer to an ask.
+# Takes the sender and the message; returns the answer, if the sender expects one.
 Handler = Callable[[DaemonId, SomeMessage], PeerMessage | None]
 
 
 class PeerMessenger(Protocol):
-    """Messages to other daemons; safe to call from any thread."""
+    """Sends messages to other daemons; safe to use from any thread."""
 
     def live(self) -> tuple[Daemon, ...]:
-        """Return the daemons thought alive and not leaving, this one included."""
+        """Return the daemons considered alive and not leaving, including this one."""
 
     def tell(self, peer: DaemonId, message: PeerMessage) -> None:
-        """Send without an answer; dropped if the peer's queue is full."""
+        """Send a message without answer; it is dropped if the peer's queue is full."""
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
-        """Send to all daemons within the scope, without an answer."""
+        """Send a message to all other daemons of the scope, without answers."""
 
     def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
     ) -> PeerMessage:
-        """Send and wait for the answer.
+        """Send a message and wait for the answer.
 
-        :raises PeerError: if the peer is cut off or does not answer in time.
+        :raises PeerError: if the peer is unreachable or does not answer in time.
         """
 
     def handle(self, kind: type[SomeMessage], handler: Handler[SomeMessage]) -> None:
-        """Have a handler called for each message of a kind."""
+        """Register a handler for a kind of message."""
--- a/libs/model/fireflyhitch_model/records.py
+++ b/libs/model/fireflyhitch_model/records.py
@@ -1,9 +1,8 @@
-"""Immutable records that cost little to define.
+"""Immutable records that are cheap to define at import time.
 
-A daemon serves nobody until its modules are imported, and defining its frozen
-dataclasses took a third of that: five methods of each are compiled from text. A record
-is a dataclass of which only ``__init__`` is; the type checker sees to it that nothing
-is assigned.
+A daemon serves no requests until its modules are imported. Defining frozen dataclasses
+took a third of that time, since five methods of each are compiled from source text. For
+a record only ``__init__`` is compiled; the type checker prevents assignments.
 """
 
 from collections.abc import Callable
@@ -16,9 +15,9 @@
 
 @dataclass_transform(frozen_default=True, field_specifiers=(field,))
 def immutable(cls: type[Record]) -> type[Record]:
-    """Make a class an immutable dataclass with slots, equal and hashed by its fields.
+    """Make a class an immutable dataclass with slots, compared and hashed by fields.
 
-    ``dataclasses.replace`` and ``fields`` work with it.
+    ``dataclasses.replace`` and ``dataclasses.fields`` support it.
     """
     made = dataclass(slots=True, eq=False, repr=False)(cls)
     names = [found.name for found in fields(made)]  # type: ignore[arg-type]
--- a/libs/model/fireflyhitch_model/states.py
+++ b/libs/model/fireflyhitch_model/states.py
@@ -1,10 +1,10 @@
-"""States and kinds shared by several libraries; the values go over the wire."""
+"""Enums shared by several libraries; their values are part of the wire format."""
 
 from enum import Enum, IntEnum
 
 
 class Outcome(Enum):
-    """What is known of a request's execution, as told to the caller."""
+    """Whether a request was executed, as reported to the caller."""
 
     NOT_RUN = 'not-run'
     RAN = 'ran'
@@ -12,28 +12,28 @@
 
 
 class MachineClass(Enum):
-    """How an instance is paid for and whether the cloud may take it back."""
+    """Pricing model of an instance, and whether the cloud may reclaim it."""
 
     RECLAIMABLE = 'reclaimable'
     ON_DEMAND = 'on-demand'
 
 
 class InstanceRole(Enum):
-    """What an instance of the platform's list is there for."""
+    """The purpose of an instance in the platform's list."""
 
     ENTRY = 'entry'
     BACKEND = 'backend'
 
 
 class InstanceState(Enum):
-    """The instance list's view, which lags."""
+    """State of an instance according to the instance list, which lags."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class FencingSupport(Enum):
-    """Whether an engine refuses an order that carries an old fencing number."""
+    """Whether an engine rejects orders with an outdated fencing number."""
 
     ENFORCED = 'enforced'
     IGNORED = 'ignored'
@@ -48,7 +48,7 @@
 
 
 class Step(Enum):
-    """The step of a request or duty at which an error arose."""
+    """The step of a request or duty at which an error occurred."""
 
     PARSE = 'parse'
     AUTHENTICATE = 'authenticate'
--- a/libs/model/tests/test_hashing.py
+++ b/libs/model/tests/test_hashing.py
@@ -6,14 +6,14 @@
 
 
 class TestRankByHash:
-    """Who is responsible for a key."""
+    """Assignment of keys to members."""
 
     def test_order_of_members_makes_no_difference(self):
         assert rank_by_hash('key', MEMBERS) == rank_by_hash(
             'key', list(reversed(MEMBERS))
         )
 
-    def test_member_that_goes_moves_only_its_own_keys(self):
+    def test_removed_member_moves_only_its_own_keys(self):
         keys = [f'key-{number}' for number in range(500)]
         before = {key: rank_by_hash(key, MEMBERS)[0] for key in keys}
         after = {key: rank_by_hash(key, MEMBERS[1:])[0] for key in keys}
--- a/libs/model/tests/test_invariants.py
+++ b/libs/model/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of invariants."""
+"""Tests of runtime invariants."""
 
 import pytest
 
@@ -12,15 +12,15 @@
 
 
 class TestInvariant:
-    """Invariants count, tell and stop the one request."""
+    """A violation is counted, reported to observers and raised."""
 
-    def test_violation_is_counted_told_and_raised(self):
-        told = []
+    def test_violation_is_counted_reported_and_raised(self):
+        reported = []
         before = count_violations()
-        observe_violations(lambda name, detail: told.append(detail))
+        observe_violations(lambda name, detail: reported.append(detail))
         with pytest.raises(InvariantError, match='two sends'):
             invariant(holds=False, kind=Invariant.SENT_ONCE, detail='two sends')
-        assert told == ['two sends']
+        assert reported == ['two sends']
         assert count_violations() == before + 1
 
     def test_nothing_happens_while_it_holds(self):
--- a/libs/model/tests/test_records.py
+++ b/libs/model/tests/test_records.py
@@ -7,7 +7,7 @@
 
 @immutable
 class Place:
-    """A host and a port."""
+    """A record with defaults."""
 
     host: str
     port: int = 80
@@ -16,14 +16,14 @@
 
 @immutable
 class Port:
-    """A port alone."""
+    """A record with one field."""
 
     number: int
 
 
 @immutable
 class Nothing:
-    """No field at all."""
+    """A record without fields."""
 
 
 class TestRecord:
@@ -33,13 +33,13 @@
         assert Port(80) != Place('a')
         assert Nothing() == Nothing()
 
-    def test_equal_records_have_one_place_in_a_dictionary(self) -> None:
+    def test_equal_records_are_the_same_dictionary_key(self) -> None:
         assert {Port(80): 'web'}[Port(80)] == 'web'
 
-    def test_a_record_shows_its_fields(self) -> None:
+    def test_repr_contains_all_fields(self) -> None:
         assert repr(Place('a', 81)) == "Place(host='a', port=81, notes=[])"
 
-    def test_it_is_a_dataclass_with_slots(self) -> None:
+    def test_record_is_a_dataclass_with_slots(self) -> None:
         assert [found.name for found in fields(Place)] == ['host', 'port', 'notes']
         assert replace(Place('a'), port=81) == Place('a', 81)
         assert not hasattr(Place('a'), '__dict__')
--- a/libs/telemetry/fireflyhitch_telemetry/__init__.py
+++ b/libs/telemetry/fireflyhitch_telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and the burn of service levels."""
+"""Logs, metrics and service-level burn rates."""
--- a/libs/telemetry/fireflyhitch_telemetry/burn.py
+++ b/libs/telemetry/fireflyhitch_telemetry/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: good and bad requests against the target, by window."""
+"""Error budget burn: good and bad requests against the target, by window."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -22,18 +22,20 @@
 
 ACCURACY = 0.02
 MAX_BINS = 512
-# Bounds the memory: some 6 KB a row when all of its slots are in use.
+# Bounds the memory: a row takes some 6 KB when all of its slots are in use.
 MAX_ROWS = 2000
-# For a target of 1, which leaves no budget at all.
+# Prevents a division by zero for a target of 1, which leaves no error budget.
 MIN_ERROR_BUDGET = 1e-6
 OTHER_CUSTOMER = CustomerId('(others)')
 OTHER_ROUTE = '(others)'
 
 
 class BurnTarget(BaseModel):
-    """What makes a request good, and which part has to be.
+    """Criteria for a good request, and the required fraction of good requests.
 
-    :param share: part of the requests that has to be good.
+    :param first_token_seconds: maximum time to the first token, in seconds.
+    :param between_tokens_seconds: maximum mean time between tokens, in seconds.
+    :param share: required fraction of good requests, 0 to 1.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -44,7 +46,7 @@
 
 
 class WindowCounts(BaseModel):
-    """Requests in one window."""
+    """Good and bad requests in one window."""
 
     model_config = ConfigDict(frozen=True, extra='ignore')
 
@@ -52,7 +54,7 @@
     bad: int = 0
 
     def burn_rate(self, target_share: float) -> float:
-        """Return how fast the error budget burns: 1 uses it up exactly."""
+        """Return the burn rate; at 1 the error budget is used up exactly."""
         calls = self.good + self.bad
         if calls == 0:
             return 0
@@ -60,9 +62,9 @@
 
 
 class BurnRow(BaseModel):
-    """The requests of one customer on one route, answered by one version.
+    """Requests of one customer on one route, answered by one version.
 
-    :param latencies: first-token latencies by the sketch's bin.
+    :param latencies: counts of first-token latencies by bin of the sketch.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -77,24 +79,25 @@
 
     @property
     def key(self) -> tuple[str, str, str, str]:
-        """What rows are merged by."""
+        """Return the key by which rows are merged."""
         return (self.customer, self.deployment, self.route, self.version)
 
     def latency_quantile(self, quantile: float) -> float | None:
-        """Return the time to the first token at a quantile, in seconds."""
+        """Return a quantile of the time to the first token, in seconds."""
         sketch = _make_sketch(self.latencies)
         found = sketch.get_quantile_value(quantile)
         return None if found is None else float(found)
 
 
 class BurnSnapshot(BaseModel):
-    """Counts of one or several daemons; JSON and CBOR carry it.
-
-    :param since: the earliest start of a daemon that is counted in; windows
-        that reach further back are not full.
-    :param daemons: how many daemons are counted in.
-    :param failure_domains: those whose daemons are counted in.
-    :param unreached: those with daemons that could not be asked.
+    """Counts of one or several daemons, sent as JSON or CBOR.
+
+    :param taken: wall clock time of the snapshot.
+    :param since: the earliest start of an included daemon; windows that reach further
+        back are incomplete.
+    :param daemons: number of included daemons.
+    :param failure_domains: failure domains with included daemons.
+    :param unreached: failure domains with daemons that could not be queried.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -121,10 +124,10 @@
 
 
 class BurnRecorder:
-    """Counts in bounded memory; ``record`` may be called by any thread."""
+    """Counts requests in bounded memory; ``record`` may be called from any thread."""
 
     def __init__(self, clock: Clock, failure_domain: FailureDomainId) -> None:
-        """Make an empty recorder."""
+        """Create an empty recorder."""
         self._clock = clock
         self._failure_domain = failure_domain
         self._since = clock.now()
@@ -134,7 +137,7 @@
         self._counts: dict[_Key, _Counts] = {}
 
     def set_targets(self, targets: Mapping[DeploymentId, BurnTarget]) -> None:
-        """Say what is good for each deployment; to be called when it changes."""
+        """Set the target of each deployment; to be called when targets change."""
         self._targets = dict(targets)
 
     def record(
@@ -148,9 +151,9 @@
         first_token: float | None = None,
         between_tokens: float | None = None,
     ) -> None:
-        """Count one request that was answered or failed.
+        """Count one request that completed or failed.
 
-        :param first_token: seconds from its arrival to the first token or byte.
+        :param first_token: seconds from arrival to the first token or byte.
         :param between_tokens: mean seconds between tokens.
         """
         target = self._targets.get(deployment)
@@ -166,7 +169,7 @@
                 counts.latencies[bin_index] = counts.latencies.get(bin_index, 0) + 1
 
     def snapshot(self) -> BurnSnapshot:
-        """Return all counts in a form that is merged and sent."""
+        """Return all counts in a form that can be merged and sent."""
         taken = self._clock.now()
         with self._lock:
             rows = tuple(
@@ -186,7 +189,7 @@
         if counts is not None:
             return counts
         if len(self._counts) >= MAX_ROWS:
-            # The requests still count, under a row for the rest.
+            # Further keys are counted in a common row.
             key = _Key(OTHER_CUSTOMER, key.deployment, OTHER_ROUTE, key.version)
         return self._counts.setdefault(key, _Counts())
 
@@ -207,7 +210,7 @@
     snapshots: Iterable[BurnSnapshot],
     unreached: Iterable[FailureDomainId] = (),
 ) -> BurnSnapshot:
-    """Add snapshots of different daemons up.
+    """Merge snapshots of different daemons by adding their counts.
 
     :param unreached: failure domains with daemons that did not answer.
     :raises ValueError: if there are no snapshots.
--- a/libs/telemetry/fireflyhitch_telemetry/burn_report.py
+++ b/libs/telemetry/fireflyhitch_telemetry/burn_report.py
@@ -1,4 +1,4 @@
-"""Renders service-level burn as text, JSON and an HTML page."""
+"""Renders burn rates as text, JSON and an HTML page."""
 
 import html
 import json
@@ -29,7 +29,7 @@
 
 
 def render_text(snapshot: BurnSnapshot) -> str:
-    """Return a table for people."""
+    """Return a plain-text table."""
     table = [_header_cells(), *(_row_cells(row) for row in snapshot.rows)]
     widths = [max(len(cell) for cell in column) for column in zip(*table, strict=True)]
     lines = _summary_lines(snapshot)
@@ -40,7 +40,7 @@
 
 
 def render_json(snapshot: BurnSnapshot) -> str:
-    """Return one JSON object for programs."""
+    """Return the report as one JSON object."""
     rows = []
     for row in snapshot.rows:
         document = row.model_dump(mode='json', exclude={'latencies'})
@@ -58,7 +58,7 @@
 
 
 def render_html(snapshot: BurnSnapshot) -> str:
-    """Return a page that needs nothing else, with plots in it."""
+    """Return a self-contained HTML page with plots."""
     table = [_header_cells(), *(_row_cells(row) for row in snapshot.rows)]
     body = ''.join(f'<p>{html.escape(line)}</p>' for line in _summary_lines(snapshot))
     rows = ''.join(_render_cells(cells) for cells in table)
@@ -137,7 +137,7 @@
 
 
 def _render(chart: pygal.HorizontalBar) -> str:
-    # Without scripts, so that a page policy which forbids them lets it through.
+    # Removes scripts, so that a content security policy may forbid them.
     tree = chart.render_tree()
     for parent in tree.iter():
         for child in list(parent):
--- a/libs/telemetry/fireflyhitch_telemetry/burn_windows.py
+++ b/libs/telemetry/fireflyhitch_telemetry/burn_windows.py
@@ -1,16 +1,16 @@
-"""Good and bad requests by time, in a bounded number of slots."""
+"""Good and bad requests over time, in a bounded number of slots."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum
 
-# (slot length in seconds, how many are kept): the first serves 5 minutes, the
-# second 1 and 6 hours, the third 3 days.
+# (slot length in seconds, number of slots): the first tier covers the window of
+# 5 minutes, the second those of 1 and 6 hours, the third that of 3 days.
 TIERS = ((30, 11), (300, 73), (3600, 73))
 
 
 class Window(Enum):
-    """The windows of the report, by their length."""
+    """The windows of the report; the values are their lengths."""
 
     MINUTES_5 = '5m'
     HOUR_1 = '1h'
@@ -40,16 +40,16 @@
 
 
 class SlotCounts:
-    """Counts of one row of the report, by slots of wall time."""
+    """Counts of one row of the report, by slots of wall clock time."""
 
     def __init__(self) -> None:
-        """Make it without counts."""
+        """Create an empty set of slots."""
         self._tiers: list[list[_Slot]] = [[] for _ in TIERS]
 
     def add(self, ok: bool, now: float) -> None:
         """Count one request.
 
-        :param now: wall time in seconds since the epoch.
+        :param now: wall clock time in seconds since the epoch.
         """
         for slots, (length, kept) in zip(self._tiers, TIERS, strict=True):
             number = int(now // length)
@@ -57,14 +57,14 @@
                 slots.append(_Slot(number))
                 if len(slots) > kept:
                     slots.pop(0)
-            # After a jump back of the clock the last slot goes on.
+            # If the clock jumped back, the request is counted in the latest slot.
             if ok:
                 slots[-1].good += 1
             else:
                 slots[-1].bad += 1
 
     def total(self, window: Window, now: float) -> tuple[int, int]:
-        """Return the good and the bad requests within a window."""
+        """Return the numbers of good and bad requests within a window."""
         tier = WINDOW_TIERS[window]
         length, _ = TIERS[tier]
         first = (now - WINDOW_LENGTHS[window].total_seconds()) // length
--- a/libs/telemetry/fireflyhitch_telemetry/lines.py
+++ b/libs/telemetry/fireflyhitch_telemetry/lines.py
@@ -1,7 +1,7 @@
-"""JSON lines to standard output that never hold up the event loop.
+"""JSON log lines on standard output, written without blocking the event loop.
 
-Lines wait in a bounded buffer and go out when the descriptor takes them. What does
-not fit is dropped and counted, and the count is a line of its own.
+Lines are buffered up to a limit and written when the descriptor accepts them. Lines
+that exceed the limits are dropped, and their number is logged.
 """
 
 import json
@@ -17,19 +17,19 @@
     from loguru import Message
 
 STANDARD_OUTPUT = 1
-# Some seconds of a loaded daemon's lines.
+# A few seconds of log lines of a loaded daemon.
 MAX_LINES = 4000
-# A daemon that serves 100 requests a second with a fault each writes some 400.
+# A daemon that serves 100 requests a second, all of them failing, logs some 400.
 MAX_LINES_PER_SECOND = 1000
 
 
 class LineBuffer:
-    """Lines on their way out."""
+    """A bounded buffer of log lines, limited by number and by rate."""
 
     def __init__(self, fields: dict[str, object]) -> None:
-        """Make an empty buffer.
+        """Create an empty buffer.
 
-        :param fields: that each line bears, such as the daemon's name.
+        :param fields: fields to include in each line, such as the daemon's name.
         """
         self._fields = fields
         self._lines: deque[bytes] = deque()
@@ -37,16 +37,16 @@
         self._budget = float(MAX_LINES_PER_SECOND)
 
     def install(self, level: str) -> None:
-        """Have all logs go to this buffer.
+        """Send all logs to this buffer.
 
-        :param level: the least severe that is written.
+        :param level: the least severe level that is written.
         """
         os.set_blocking(STANDARD_OUTPUT, False)
         logger.remove()
         logger.add(self.add, level=level, format='{message}', catch=True)
 
     def add(self, message: 'Message') -> None:
-        """Take a line in, or count it as dropped."""
+        """Append a line, or count it as dropped."""
         if len(self._lines) >= MAX_LINES or self._budget < 1:
             self._dropped += 1
             return
@@ -54,12 +54,12 @@
         self._lines.append(_render(message, self._fields))
 
     def flush(self, seconds: float) -> None:
-        """Write what the descriptor takes.
+        """Write as much as the descriptor accepts.
 
-        :param seconds: since the last flush, for the rate of lines.
+        :param seconds: time since the last flush, for the rate limit.
         """
-        most = float(MAX_LINES_PER_SECOND)
-        self._budget = min(most, self._budget + seconds * most)
+        max_budget = float(MAX_LINES_PER_SECOND)
+        self._budget = min(max_budget, self._budget + seconds * max_budget)
         if self._dropped and self._budget >= 1:
             dropped = self._dropped
             self._dropped = 0
--- a/libs/telemetry/fireflyhitch_telemetry/logs.py
+++ b/libs/telemetry/fireflyhitch_telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with the fields that operators search by."""
+"""Logging as JSON lines, with fields that operators can search."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-# Names of fields that never reach a log, whoever passes them.
+# Fields whose values are never logged, whatever code passes them.
 SECRET_FIELDS = frozenset(('api_key', 'authorization', 'peer_key', 'token'))
 
 
--- a/libs/telemetry/fireflyhitch_telemetry/metrics.py
+++ b/libs/telemetry/fireflyhitch_telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, served in Prometheus' text form."""
+"""OpenTelemetry metrics, served in the Prometheus text format."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRecord:
-    """What is counted of a call once it has ended.
+    """The measurements of a finished call.
 
     :param first_token_seconds: ``None`` if there was no first token.
     """
@@ -32,7 +32,7 @@
 
 
 class Metrics:
-    """All instruments of a daemon; nothing is recorded on the path of a chunk."""
+    """All instruments of a daemon; nothing is recorded per streamed chunk."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -48,7 +48,7 @@
         self._open = meter.create_up_down_counter('fireflyhitch_open_streams')
 
     def record_call(self, record: CallRecord) -> None:
-        """Count a call that has ended."""
+        """Record a finished call."""
         labels = {
             'customer': record.customer,
             'deployment': record.deployment,
@@ -63,17 +63,17 @@
             self._gap.record(record.longest_gap_seconds, labels)
 
     def count_recomputed(self, tokens: int) -> None:
-        """Count tokens that an engine computes a second time."""
+        """Count tokens that an engine recomputes."""
         self._recomputed.add(tokens)
 
     def record_violation(self, name: str, detail: str) -> None:
-        """Count an invariant that did not hold."""
+        """Count a violated invariant."""
         self._violations.add(1, {'invariant': name})
 
     def count_stream(self, change: int) -> None:
-        """Count a stream that opens (1) or ends (-1)."""
+        """Count an opened (1) or ended (-1) stream."""
         self._open.add(change)
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text form."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/libs/telemetry/tests/test_burn.py
+++ b/libs/telemetry/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of service-level burn."""
+"""Tests of error budget burn."""
 
 import json
 from datetime import timedelta
@@ -58,7 +58,7 @@
         assert (counts.good, counts.bad) == (1, 3)
         assert counts.burn_rate(0.9) == pytest.approx(7.5)
 
-    def test_requests_leave_the_windows_by_age(self, clock):
+    def test_old_requests_drop_out_of_the_windows(self, clock):
         recorder = make_recorder(clock)
         record(recorder, ok=False)
         seen = []
@@ -68,7 +68,7 @@
             seen.append([row.windows[window].bad for window in Window])
         assert seen == [[0, 1, 1, 1], [0, 0, 1, 1], [0, 0, 0, 1], [0, 0, 0, 0]]
 
-    def test_memory_is_bounded_and_nothing_is_left_out(self, clock, monkeypatch):
+    def test_rows_are_bounded_and_every_request_is_counted(self, clock, monkeypatch):
         monkeypatch.setattr('fireflyhitch_telemetry.burn.MAX_ROWS', 3)
         recorder = make_recorder(clock)
         for number in range(10):
@@ -77,7 +77,7 @@
         assert len(rows) == 4
         assert sum(row.windows[Window.DAYS_3].good for row in rows) == 10
 
-    def test_clock_that_jumps_back_loses_no_request(self, clock):
+    def test_no_request_is_lost_when_the_clock_jumps_back(self, clock):
         recorder = make_recorder(clock)
         record(recorder)
         clock.jump_wall(timedelta(minutes=-20))
@@ -87,11 +87,11 @@
 
 
 class TestMerge:
-    """Snapshots of several daemons."""
+    """Merging snapshots of several daemons."""
 
     @settings(max_examples=30, derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0.01, 5)), min_size=1))
-    def test_is_as_if_one_daemon_had_counted_all(self, requests):
+    def test_merged_counts_equal_those_of_a_single_recorder(self, requests):
         clock = ManualClock()
         parts = [make_recorder(clock) for _ in range(3)]
         whole = make_recorder(clock)
@@ -102,7 +102,7 @@
         assert merged.rows == whole.snapshot().rows
         assert merged.daemons == 3
 
-    def test_cbor_and_json_carry_a_snapshot(self, clock):
+    def test_snapshot_survives_cbor_and_json(self, clock):
         recorder = make_recorder(clock)
         record(recorder)
         snapshot = recorder.snapshot()
@@ -111,11 +111,11 @@
         text = snapshot.model_dump_json()
         assert BurnSnapshot.model_validate_json(text) == snapshot
 
-    def test_unreached_failure_domains_are_named_in_every_form(self, clock):
-        """Brugge is cut off while the report is made.
+    def test_unreached_failure_domains_are_listed_in_every_format(self, clock):
+        """A failure domain is unreachable while the report is made.
 
-        Its requests are missing from the figures; each form of the report says
-        so, instead of showing too few requests as all there were.
+        Its requests are missing from the counts; each format of the report must say
+        so, instead of presenting incomplete counts as complete.
         """
         recorder = make_recorder(clock)
         record(recorder)
@@ -132,11 +132,11 @@
         recorder = make_recorder(clock)
         for number in range(1, 1001):
             record(recorder, first=number / 1000)
-        document = json.loads(render_json(recorder.snapshot()))
-        row = document['rows'][0]
+        report = json.loads(render_json(recorder.snapshot()))
+        row = report['rows'][0]
         assert row['first_token_seconds']['p95'] == pytest.approx(0.95, rel=0.03)
 
-    def test_page_stands_alone_and_escapes_names(self, clock):
+    def test_page_is_self_contained_and_escapes_names(self, clock):
         recorder = make_recorder(clock)
         record(recorder, customer='<script>bakery')
         page = render_html(recorder.snapshot())
