--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -78,7 +78,7 @@
         self._stored = StoredConfiguration(
             store, self._revisions, clock, self._announce
         )
-        self._spreader = ConfigurationSync(
+        self._sync = ConfigurationSync(
             messenger, here, self._revisions, clock, self._wake
         )
         self._rng = random.Random(here.daemon_id)
@@ -90,11 +90,11 @@
 
     def start(self) -> None:
         """Start the threads that watch the store and exchange state with peers."""
-        rounds = (
+        loops = (
             (self.follow_store_once, self._stopping),
             (self.follow_peers_once, self._wake),
         )
-        for arguments in rounds:
+        for arguments in loops:
             thread = threading.Thread(
                 target=self._run_loop, args=arguments, name='configuration', daemon=True
             )
@@ -136,7 +136,7 @@
 
     def revisions_by_failure_domain(self) -> dict[FailureDomainId, DomainRevision]:
         """Query one daemon of each failure domain for its revision in force."""
-        return self._spreader.ask_domains()
+        return self._sync.ask_domains()
 
     def snapshot_section(self) -> Section:
         """Return the snapshot section for the configuration in force."""
@@ -156,11 +156,11 @@
         if not watches and self._clock.monotonic() < self._next_poll:
             return timedelta(seconds=self._jitter(ROLE_SECONDS))
         try:
-            at = self._stored.read()
+            store_revision = self._stored.read()
             self._on_success()
             if watches:
                 self._sweep()
-                self._stored.watch(at)
+                self._stored.watch(store_revision)
         except PlatformError as error:
             return self._on_failure(error)
         return timedelta()
@@ -171,15 +171,15 @@
         :returns: how long to wait unless a pull becomes pending earlier.
         """
         self._wake.clear()
-        self._spreader.pull_pending()
+        self._sync.pull_pending()
         now = self._clock.monotonic()
         if now >= self._next_gossip:
             self._next_gossip = now + self._jitter(DIGEST_SECONDS)
-            self._spreader.gossip()
+            self._sync.gossip()
             if self._revisions.record.revision == ABSENT:
-                self._spreader.pull_initial()
-        rest = self._next_gossip - self._clock.monotonic()
-        return timedelta(seconds=max(rest, 0))
+                self._sync.pull_initial()
+        pause = self._next_gossip - self._clock.monotonic()
+        return timedelta(seconds=max(pause, 0))
 
     def _sweep(self) -> None:
         now = self._clock.monotonic()
@@ -188,13 +188,13 @@
             self._stored.sweep()
 
     def _announce(self) -> None:
-        self._spreader.announce(is_entry=True)
+        self._sync.announce(is_entry=True)
 
     def _on_success(self) -> None:
         if self._backoff.reset():
             logger.bind(step=Step.STORE_READ.value).info('store reachable again')
-        nothing_yet = self._revisions.record.revision == ABSENT
-        period = MAX_BACKOFF_SECONDS if nothing_yet else POLL_SECONDS
+        is_unconfigured = self._revisions.record.revision == ABSENT
+        period = MAX_BACKOFF_SECONDS if is_unconfigured else POLL_SECONDS
         self._next_poll = self._clock.monotonic() + self._jitter(period)
 
     def _on_failure(self, error: PlatformError) -> timedelta:
@@ -209,15 +209,15 @@
     def _run_loop(self, work: Callable[[], timedelta], wake: threading.Event) -> None:
         while not self._stopping.is_set():
             try:
-                rest = work()
+                pause = work()
             except Exception as error:
                 # An error in one round, also one in a callback, must not stop the
                 # thread: the configuration would never be updated again.
                 logger.bind(step=Step.CONFIGURE.value).error(
                     'configuration round failed', error=repr(error)
                 )
-                rest = timedelta(seconds=ROLE_SECONDS)
-            self._clock.wait(wake, rest)
+                pause = timedelta(seconds=ROLE_SECONDS)
+            self._clock.wait(wake, pause)
 
     def _jitter(self, seconds: float) -> float:
         return seconds * self._rng.uniform(*JITTER)
--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -18,7 +18,7 @@
 
 HANDLER_THREADS = 8
 # Messages waiting for a thread; more are dropped, and their senders retry.
-MAX_WAITING = 512
+MAX_QUEUED_WORK = 512
 
 AnyHandler = Handler[Any]
 AsyncHandler = Callable[[DaemonId, Any], Coroutine[None, None, PeerMessage]]
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         self._links: Links | None = None
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._pending: dict[int, asyncio.Future[PeerMessage]] = {}
         self._inline_handlers: dict[str, AnyHandler] = {}
         self._async_handlers: dict[str, AsyncHandler] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._thread_handlers: dict[str, AnyHandler] = {}
         self._pool = ThreadPoolExecutor(HANDLER_THREADS, 'peer-handler')
-        self._waiting = 0
+        self._queued_work = 0
 
     def attach(self, links: Links) -> None:
         """Set the links over which messages are sent."""
@@ -61,12 +61,12 @@
 
     def run(self, work: Callable[[], object]) -> None:
         """Run work in a thread; it is dropped if too much is waiting already."""
-        if self._waiting >= MAX_WAITING:
+        if self._queued_work >= MAX_QUEUED_WORK:
             logger.bind(step=Step.PEER.value).warning(
                 'message dropped: all handler threads busy'
             )
             return
-        self._waiting += 1
+        self._queued_work += 1
         task = asyncio.get_running_loop().run_in_executor(self._pool, work)
         task.add_done_callback(self._finish)
 
@@ -85,7 +85,7 @@
 
         :raises PeerError: if no answer arrives in time.
         """
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         answer: asyncio.Future[PeerMessage] = asyncio.get_running_loop().create_future()
         self._pending[number] = answer
         try:
@@ -118,20 +118,22 @@
         self, peer: DaemonId, message: PeerMessage, ask: int | None = None
     ) -> None:
         """Call a message's handler, and send the result if an answer is expected."""
-        quick = self._inline_handlers.get(message.kind)
-        if quick is not None:
-            self._answer(peer, quick(peer, message), ask)
+        inline_handler = self._inline_handlers.get(message.kind)
+        if inline_handler is not None:
+            self._answer(peer, inline_handler(peer, message), ask)
             return
-        by_task = self._async_handlers.get(message.kind)
-        if by_task is not None:
-            work = self._answer_async(by_task, peer, message, ask)
+        async_handler = self._async_handlers.get(message.kind)
+        if async_handler is not None:
+            work = self._answer_async(async_handler, peer, message, ask)
             task = asyncio.get_running_loop().create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        slow = self._thread_handlers.get(message.kind)
-        if slow is not None:
+        thread_handler = self._thread_handlers.get(message.kind)
+        if thread_handler is not None:
             loop = asyncio.get_running_loop()
-            self.run(lambda: self._handle_in_thread(loop, slow, peer, message, ask))
+            self.run(
+                lambda: self._handle_in_thread(loop, thread_handler, peer, message, ask)
+            )
 
     async def _answer_async(
         self,
@@ -170,7 +172,7 @@
             self._links.send(peer, kind, frame)
 
     def _finish(self, task: 'asyncio.Future[object]') -> None:
-        self._waiting -= 1
+        self._queued_work -= 1
         error = None if task.cancelled() else task.exception()
         if error is None:
             return
--- a/libs/membership/fireflyhitch_membership/links.py
+++ b/libs/membership/fireflyhitch_membership/links.py
@@ -135,13 +135,13 @@
             task.cancel()
         # Handlers of accepted links are tasks of the server. If left pending they
         # would be destroyed with the loop during a closing handshake.
-        rest = asyncio.all_tasks() - {asyncio.current_task()}
-        if rest:
-            _done, rest = await asyncio.wait(rest, timeout=STOP_SECONDS)
-        for task in rest:
+        pending = asyncio.all_tasks() - {asyncio.current_task()}
+        if pending:
+            _done, pending = await asyncio.wait(pending, timeout=STOP_SECONDS)
+        for task in pending:
             task.cancel()
-        if rest:
-            await asyncio.wait(rest, timeout=CLOSE_SECONDS)
+        if pending:
+            await asyncio.wait(pending, timeout=CLOSE_SECONDS)
 
     def send(self, peer: DaemonId, kind: str, frame: bytes) -> bool:
         """Queue a frame.
--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -64,9 +64,11 @@
         self._marks = MarkTable()
         self._exchange = Exchange()
         epoch = int(clock.now().timestamp())
-        self._relayer = Broadcaster(self._exchange, self._members, epoch << EPOCH_BITS)
+        self._broadcaster = Broadcaster(
+            self._exchange, self._members, epoch << EPOCH_BITS
+        )
         self._prober = Prober(
-            self._exchange, self._members, self._marks, self._relayer.spread, clock
+            self._exchange, self._members, self._marks, self._broadcaster.spread, clock
         )
         self._prober.changed = self._notify_members
         self._prober.marked = self._notify_marks
@@ -130,7 +132,7 @@
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
         """Send a message to all other daemons of the scope, without answers."""
-        self._loop.call_soon_threadsafe(self._relayer.spread, message, scope)
+        self._loop.call_soon_threadsafe(self._broadcaster.spread, message, scope)
 
     def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
@@ -154,7 +156,9 @@
         """Broadcast that this daemon is leaving; this cannot be reverted."""
         record = self._members.leave()
         update = StateUpdate(members=(record,))
-        self._loop.call_soon_threadsafe(self._relayer.spread, update, Scope.EVERYWHERE)
+        self._loop.call_soon_threadsafe(
+            self._broadcaster.spread, update, Scope.EVERYWHERE
+        )
 
     def mark_leaving(self, instance: InstanceId, incarnation: Incarnation) -> None:
         """Mark an instance as leaving up to an incarnation, and broadcast the mark."""
--- a/libs/membership/fireflyhitch_membership/probing.py
+++ b/libs/membership/fireflyhitch_membership/probing.py
@@ -52,7 +52,7 @@
 DISCOVERY_ROUNDS = 4
 
 Seen = tuple[Incarnation, MemberStatus]
-Spread = Callable[[PeerMessage, Scope], None]
+Broadcast = Callable[[PeerMessage, Scope], None]
 
 
 class Prober:
@@ -68,7 +68,7 @@
         exchange: Exchange,
         members: MemberTable,
         marks: MarkTable,
-        spread: Spread,
+        spread: Broadcast,
         clock: Clock,
     ) -> None:
         self.addresses: frozenset[str] = frozenset()
@@ -77,7 +77,7 @@
         self._exchange = exchange
         self._members = members
         self._marks = marks
-        self._spread = spread
+        self._broadcast = spread
         self._clock = clock
         self._local_turns: list[DaemonId] = []
         self._remote_turns: list[DaemonId] = []
@@ -107,14 +107,14 @@
         """Broadcast member records that changed at this daemon."""
         if not changed:
             return
-        self._spread(StateUpdate(members=changed), Scope.FAILURE_DOMAIN)
+        self._broadcast(StateUpdate(members=changed), Scope.FAILURE_DOMAIN)
         self.changed(changed)
 
     def publish_marks(self, marks: tuple[Mark, ...]) -> None:
         """Broadcast marks that were made at this daemon."""
         if not marks:
             return
-        self._spread(StateUpdate(marks=marks), Scope.EVERYWHERE)
+        self._broadcast(StateUpdate(marks=marks), Scope.EVERYWHERE)
         self.marked(marks)
 
     def add_peer(self, peer: MemberRecord) -> None:
@@ -295,9 +295,9 @@
         marks = self._marks.merge(update.marks)
         if rebroadcast and (changed or marks):
             news = StateUpdate(members=changed, marks=marks)
-            self._spread(news, Scope.FAILURE_DOMAIN)
+            self._broadcast(news, Scope.FAILURE_DOMAIN)
         elif own != self._members.own:
-            self._spread(
+            self._broadcast(
                 StateUpdate(members=(self._members.own,)), Scope.FAILURE_DOMAIN
             )
         if changed:
--- a/libs/membership/fireflyhitch_membership/records.py
+++ b/libs/membership/fireflyhitch_membership/records.py
@@ -117,9 +117,9 @@
     """Return the serialized difference between a record and a later one."""
     old = json.loads(base.text)
     new = json.loads(record.text)
-    plain = {key: value for key, value in new.items() if key not in ITEM_KEYS}
+    other_fields = {key: value for key, value in new.items() if key not in ITEM_KEYS}
     difference = {
-        'plain': plain,
+        'plain': other_fields,
         'recent': record.recent,
         'set': {key: _changed(old, new, key) for key in ITEM_KEYS},
         'removed': {key: _removed(old, new, key) for key in ITEM_KEYS},
@@ -229,8 +229,8 @@
 
     Locations inside a union contain the name of its branch, which is skipped.
     """
-    place = document
+    container = document
     for part in location[:-1]:
-        if isinstance(part, int) or part in place:
-            place = place[part]
-    place.pop(location[-1], None)
+        if isinstance(part, int) or part in container:
+            container = container[part]
+    container.pop(location[-1], None)
--- a/libs/membership/fireflyhitch_membership/revisions.py
+++ b/libs/membership/fireflyhitch_membership/revisions.py
@@ -153,8 +153,8 @@
         if adoption is Adoption.OLDER and source is Source.STORE:
             # Applying a store restored from a backup would revert customers' traffic
             # to outdated settings. The next accepted change updates the store.
-            held = self._record.revision
-            text = f'store holds {record.revision}, older than {held} in force'
+            current = self._record.revision
+            text = f'store holds {record.revision}, older than {current} in force'
             self._log_refusal(text, source, peer)
         if adoption is Adoption.DIVERGENT:
             text = f'another configuration {record.revision} than the one in force'
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -202,9 +202,11 @@
         # The body is written first, so that a head never refers to a missing body.
         body = self._put_body(record)
         head = make_head(latest, record, _bodies_of(stored), body)
-        at = stored.revision if stored else ABSENT
+        store_revision = stored.revision if stored else ABSENT
         try:
-            written = self._store.put_if(CONFIGURATION_KEY, pack_head(head), at)
+            written = self._store.put_if(
+                CONFIGURATION_KEY, pack_head(head), store_revision
+            )
         except PlatformError as error:
             if error.outcome is not Outcome.NOT_RUN:
                 unknown_outcomes.append(error)
@@ -256,9 +258,11 @@
         The one in force is newer after the store was restored from a backup; a change
         based on it then updates the store.
         """
-        held = self._adopt(stored.value) if stored else NOTHING
+        stored_record = self._adopt(stored.value) if stored else NOTHING
         in_force = self._revisions.record
-        return held if held.revision >= in_force.revision else in_force
+        return (
+            stored_record if stored_record.revision >= in_force.revision else in_force
+        )
 
     def _adopt(self, content: bytes) -> ConfigurationRecord:
         head = unpack_head(content, CONFIGURATION_KEY)
--- a/libs/membership/fireflyhitch_membership/wire.py
+++ b/libs/membership/fireflyhitch_membership/wire.py
@@ -85,12 +85,12 @@
     :raises UnknownKindError: if this release does not have the kind.
     :raises PeerError: if the fields are invalid for the kind.
     """
-    known = find_kind(kind)
-    if known is None:
+    message_class = find_kind(kind)
+    if message_class is None:
         raise UnknownKindError(f'unknown kind {kind}', step=Step.PEER, peer=peer)
     try:
         fields = cbor2.loads(body) if isinstance(body, bytes) else body
-        return known.model_validate(fields)
+        return message_class.model_validate(fields)
     except (ValidationError, cbor2.CBORDecodeError, ValueError) as error:
         raise PeerError(f'unreadable {kind}', step=Step.PEER, peer=peer) from error
 
--- a/libs/model/fireflyhitch_model/errors.py
+++ b/libs/model/fireflyhitch_model/errors.py
@@ -21,8 +21,8 @@
 
     def __str__(self) -> str:
         """Return the message with step and peer."""
-        place = f' with {self.peer}' if self.peer else ''
-        return f'{self.message} (at {self.step.value}{place})'
+        location = f' with {self.peer}' if self.peer else ''
+        return f'{self.message} (at {self.step.value}{location})'
 
 
 class RequestError(FireflyhitchError):
--- a/libs/model/fireflyhitch_model/records.py
+++ b/libs/model/fireflyhitch_model/records.py
@@ -27,18 +27,18 @@
 
 
 def _make_methods(names: list[str]) -> dict[str, Callable[..., Any]]:
-    read = attrgetter(*names) if names else type
+    get_values = attrgetter(*names) if names else type
 
     def equals(one: object, other: object) -> object:
         if not isinstance(other, type(one)):
             return NotImplemented
-        return read(one) == read(other)
+        return get_values(one) == get_values(other)
 
     def hash_fields(one: object) -> int:
-        return hash(read(one))
+        return hash(get_values(one))
 
     def describe(one: object) -> str:
-        shown = ', '.join(f'{name}={getattr(one, name)!r}' for name in names)
-        return f'{type(one).__qualname__}({shown})'
+        parts = ', '.join(f'{name}={getattr(one, name)!r}' for name in names)
+        return f'{type(one).__qualname__}({parts})'
 
     return {'__eq__': equals, '__hash__': hash_fields, '__repr__': describe}
