--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -59,18 +59,18 @@
 class ConfigurationKeeper:
     """Maintains one daemon's configuration at the highest accepted revision.
 
-    :param here: the local daemon.
+    :param local_daemon: the daemon of this process.
     """
 
     def __init__(
         self,
         store: KeyValueStore,
         messenger: PeerMessenger,
-        here: Daemon,
+        local_daemon: Daemon,
         clock: Clock,
     ) -> None:
         self._messenger = messenger
-        self._here = here
+        self._local_daemon = local_daemon
         self._clock = clock
         self._stopping = threading.Event()
         self._wake = threading.Event()
@@ -79,9 +79,9 @@
             store, self._revisions, clock, self._announce
         )
         self._sync = ConfigurationSync(
-            messenger, here, self._revisions, clock, self._wake
+            messenger, local_daemon, self._revisions, clock, self._wake
         )
-        self._rng = random.Random(here.daemon_id)
+        self._rng = random.Random(local_daemon.daemon_id)
         self._backoff = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         self._next_poll = clock.monotonic() + self._jitter(FIRST_POLL_SECONDS)
         self._next_gossip = clock.monotonic()
@@ -144,8 +144,10 @@
 
     def is_watcher(self) -> bool:
         """Return whether this daemon watches the store for its failure domain."""
-        domain = self._here.failure_domain
-        return self._here.daemon_id in choose_watchers(domain, self._messenger.live())
+        domain = self._local_daemon.failure_domain
+        return self._local_daemon.daemon_id in choose_watchers(
+            domain, self._messenger.live()
+        )
 
     def follow_store_once(self) -> timedelta:
         """Read and watch the store if this daemon is a watcher or its poll is due.
--- a/libs/membership/fireflyhitch_membership/links.py
+++ b/libs/membership/fireflyhitch_membership/links.py
@@ -238,7 +238,9 @@
             async with asyncio.timeout(OPEN_SECONDS):
                 found = await self._open(record.peer)
         if found.daemon_id != peer:
-            raise PeerError('another daemon answered', step=Step.CONNECT, peer=peer)
+            raise PeerError(
+                'another daemon answers at this address', step=Step.CONNECT, peer=peer
+            )
 
     async def _open(self, address: str) -> MemberRecord:
         tls = self._options.client_tls
@@ -267,9 +269,7 @@
 
     def _reject_self(self, peer: MemberRecord, address: str) -> None:
         if peer.daemon_id == self._hooks.own().daemon_id:
-            raise PeerError(
-                'address is this daemon itself', step=Step.CONNECT, peer=address
-            )
+            raise PeerError('address is our own', step=Step.CONNECT, peer=address)
 
     async def _accept(self, socket: ServerConnection) -> None:
         address = str(socket.remote_address)
--- a/libs/membership/fireflyhitch_membership/members.py
+++ b/libs/membership/fireflyhitch_membership/members.py
@@ -185,14 +185,16 @@
                 for one in local.keys() | remote.keys()
                 if local.get(one) != remote.get(one)
             }
-            gone = [
+            inactive = [
                 entry.record
                 for entry in self._entries.values()
                 if entry.record.status not in SERVING_STATUSES
             ]
-            known = [*self._visible_from(domain), *gone, self._own]
+            candidates = [*self._visible_from(domain), *inactive, self._own]
             chosen = {
-                record.daemon_id: record for record in known if record.domain in differ
+                record.daemon_id: record
+                for record in candidates
+                if record.domain in differ
             }
             return tuple(chosen.values())
 
--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -237,9 +237,9 @@
         self._loop.call_soon_threadsafe(self._notify_marks, marks)
 
     def _add_marks(self, marks: list[Mark] | tuple[Mark, ...]) -> None:
-        news = self._marks.merge(marks)
-        if news:
-            self._loop.call_soon_threadsafe(self._prober.publish_marks, news)
+        new_marks = self._marks.merge(marks)
+        if new_marks:
+            self._loop.call_soon_threadsafe(self._prober.publish_marks, new_marks)
 
     def _notify_members(self, _changed: tuple[MemberRecord, ...]) -> None:
         for callback in tuple(self._on_members):
--- a/libs/membership/fireflyhitch_membership/probing.py
+++ b/libs/membership/fireflyhitch_membership/probing.py
@@ -294,8 +294,8 @@
         changed = self._members.merge(records)
         marks = self._marks.merge(update.marks)
         if rebroadcast and (changed or marks):
-            news = StateUpdate(members=changed, marks=marks)
-            self._broadcast(news, Scope.FAILURE_DOMAIN)
+            merged = StateUpdate(members=changed, marks=marks)
+            self._broadcast(merged, Scope.FAILURE_DOMAIN)
         elif own != self._members.own:
             self._broadcast(
                 StateUpdate(members=(self._members.own,)), Scope.FAILURE_DOMAIN
@@ -329,10 +329,10 @@
 
 
 def _next_turn(
-    turns: list[DaemonId], members: Iterable[Daemon], here: DaemonId
+    turns: list[DaemonId], members: Iterable[Daemon], own_id: DaemonId
 ) -> DaemonId | None:
     """Return the next member in a random order that is reshuffled when exhausted."""
-    ids = {daemon.daemon_id for daemon in members} - {here}
+    ids = {daemon.daemon_id for daemon in members} - {own_id}
     while turns:
         turn = turns.pop()
         if turn in ids:
--- a/libs/membership/fireflyhitch_membership/scope.py
+++ b/libs/membership/fireflyhitch_membership/scope.py
@@ -50,7 +50,7 @@
 
 def choose_next_hops(
     key: str,
-    here: Daemon,
+    local_daemon: Daemon,
     daemons: Iterable[Daemon],
     *,
     is_entry: bool,
@@ -62,24 +62,26 @@
     :param key: identifies the message.
     :param is_entry: whether the message enters the failure domain at this daemon.
     """
-    ranked = rank_by_hash(key, members_of(here.failure_domain, daemons))
+    ranked = rank_by_hash(key, members_of(local_daemon.failure_domain, daemons))
     hops = ranked[:TREE_FANOUT] if is_entry else []
-    if here.daemon_id in ranked:
-        first = TREE_FANOUT * (ranked.index(here.daemon_id) + 1)
+    if local_daemon.daemon_id in ranked:
+        first = TREE_FANOUT * (ranked.index(local_daemon.daemon_id) + 1)
         hops = hops + ranked[first : first + TREE_FANOUT]
-    return [hop for hop in hops if hop != here.daemon_id]
+    return [hop for hop in hops if hop != local_daemon.daemon_id]
 
 
 def choose_first_hops(
-    key: str, here: Daemon, daemons: Iterable[Daemon], scope: Scope
+    key: str, local_daemon: Daemon, daemons: Iterable[Daemon], scope: Scope
 ) -> list[DaemonId]:
     """Return the daemons to which the origin of a message sends it."""
     known = tuple(daemons)
-    hops = choose_next_hops(key, here, known, is_entry=True)
+    hops = choose_next_hops(key, local_daemon, known, is_entry=True)
     if scope is Scope.FAILURE_DOMAIN:
         return hops
-    elsewhere = {daemon.failure_domain for daemon in known} - {here.failure_domain}
-    for domain in sorted(elsewhere):
+    other_domains = {daemon.failure_domain for daemon in known} - {
+        local_daemon.failure_domain
+    }
+    for domain in sorted(other_domains):
         hops.extend(choose_carriers(domain, known))
     return hops
 
--- a/libs/membership/fireflyhitch_membership/snapshots.py
+++ b/libs/membership/fireflyhitch_membership/snapshots.py
@@ -35,12 +35,12 @@
     """Serves snapshots to peers, and merges one from a peer at startup.
 
     :param messenger: the links to peers.
-    :param here: the local daemon.
+    :param local_daemon: the daemon of this process.
     """
 
-    def __init__(self, messenger: PeerMessenger, here: Daemon) -> None:
+    def __init__(self, messenger: PeerMessenger, local_daemon: Daemon) -> None:
         self._messenger = messenger
-        self._here = here
+        self._local_daemon = local_daemon
         self._sections: dict[str, Section] = {}
         messenger.handle(SnapshotRequest, self._answer)
 
@@ -68,11 +68,11 @@
         local: list[DaemonId] = []
         remote: list[DaemonId] = []
         for daemon in self._messenger.live():
-            if daemon.daemon_id == self._here.daemon_id:
+            if daemon.daemon_id == self._local_daemon.daemon_id:
                 continue
-            same_domain = daemon.failure_domain == self._here.failure_domain
+            same_domain = daemon.failure_domain == self._local_daemon.failure_domain
             (local if same_domain else remote).append(daemon.daemon_id)
-        key = f'snapshot/{self._here.daemon_id}'
+        key = f'snapshot/{self._local_daemon.daemon_id}'
         return rank_by_hash(key, local) + rank_by_hash(key, remote)
 
     def _merge(self, peer: DaemonId, snapshot: Snapshot) -> None:
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -70,17 +70,17 @@
     def __init__(
         self,
         messenger: PeerMessenger,
-        here: Daemon,
+        local_daemon: Daemon,
         revisions: RevisionTracker,
         clock: Clock,
         wake: Event,
     ) -> None:
         self._messenger = messenger
-        self._here = here
+        self._local_daemon = local_daemon
         self._revisions = revisions
         self._clock = clock
         self._wake = wake
-        self._rng = random.Random(here.daemon_id)
+        self._rng = random.Random(local_daemon.daemon_id)
         self._lock = Lock()
         self._pending_pulls: dict[DaemonId, Revision] = {}
         self._reports: dict[DaemonId, _Report] = {}
@@ -94,13 +94,19 @@
         This repairs the effects of lost messages: a peer with an older revision pulls,
         and one with a newer revision sends its own digest.
         """
-        here = self._here
+        local_daemon = self._local_daemon
         live = self._messenger.live()
-        local = [one for one in live if one.failure_domain == here.failure_domain]
+        local = [
+            one for one in live if one.failure_domain == local_daemon.failure_domain
+        ]
         self._send_digest([one.daemon_id for one in local])
-        if here.daemon_id not in choose_carriers(here.failure_domain, live):
+        if local_daemon.daemon_id not in choose_carriers(
+            local_daemon.failure_domain, live
+        ):
             return
-        domains = sorted({one.failure_domain for one in live} - {here.failure_domain})
+        domains = sorted(
+            {one.failure_domain for one in live} - {local_daemon.failure_domain}
+        )
         if domains:
             self._send_digest(choose_carriers(self._rng.choice(domains), live))
 
@@ -112,7 +118,7 @@
         record = self._revisions.record
         live = self._messenger.live()
         key = f'configuration/{record.revision}'
-        for hop in choose_next_hops(key, self._here, live, is_entry=is_entry):
+        for hop in choose_next_hops(key, self._local_daemon, live, is_entry=is_entry):
             self._messenger.tell(hop, self._digest())
 
     def pull_pending(self) -> None:
@@ -144,7 +150,7 @@
         if adopted is not Adoption.ADOPTED:
             return False
         domain = self._domain_of(peer)
-        self.announce(is_entry=domain != self._here.failure_domain)
+        self.announce(is_entry=domain != self._local_daemon.failure_domain)
         return True
 
     def pull_initial(self) -> None:
@@ -152,7 +158,7 @@
         others = [
             one.daemon_id
             for one in self._messenger.live()
-            if one.daemon_id != self._here.daemon_id
+            if one.daemon_id != self._local_daemon.daemon_id
         ]
         for peer in self._rng.sample(others, min(2, len(others))):
             if self.pull(peer):
@@ -162,16 +168,18 @@
         """Query one daemon of each failure domain for its revision in force."""
         live = self._messenger.live()
         domains = sorted({one.failure_domain for one in live})
-        elsewhere = [one for one in domains if one != self._here.failure_domain]
-        gateways = {one: choose_carriers(one, live) for one in elsewhere}
+        other_domains = [
+            one for one in domains if one != self._local_daemon.failure_domain
+        ]
+        gateways = {one: choose_carriers(one, live) for one in other_domains}
         with ThreadPoolExecutor(STATUS_THREADS) as pool:
             answers = pool.map(self._ask_domain, gateways.values())
-        found = dict(zip(elsewhere, answers, strict=True))
-        found[self._here.failure_domain] = _summarize(self._status())
+        found = dict(zip(other_domains, answers, strict=True))
+        found[self._local_daemon.failure_domain] = _summarize(self._status())
         return found
 
     def _send_digest(self, candidates: list[DaemonId]) -> None:
-        others = [one for one in candidates if one != self._here.daemon_id]
+        others = [one for one in candidates if one != self._local_daemon.daemon_id]
         if others:
             self._messenger.tell(self._rng.choice(others), self._digest())
 
@@ -241,8 +249,8 @@
         return self._status()
 
     def _status(self) -> StatusAnswer:
-        here = self._here.failure_domain
-        members = frozenset(members_of(here, self._messenger.live()))
+        domain = self._local_daemon.failure_domain
+        members = frozenset(members_of(domain, self._messenger.live()))
         oldest = self._clock.monotonic() - HEARD_SECONDS
         revision = self._revisions.record.revision
         with self._lock:
@@ -253,7 +261,7 @@
             ]
         in_force = self._revisions.in_force()
         return StatusAnswer(
-            domain=here,
+            domain=domain,
             revision=revision,
             lowest=min(reported, default=revision),
             since=in_force.since if in_force else None,
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -130,7 +130,7 @@
                     continue
                 if event.value is None:
                     logger.bind(step=Step.STORE_WATCH.value).error(
-                        'configuration deleted from store; keeping the one in force'
+                        'configuration was deleted from the store; current one kept'
                     )
                     continue
                 self._adopt(event.value)
@@ -249,7 +249,7 @@
         except PlatformError as error:
             # Harmless: an orphaned body only takes some kilobytes in the store.
             logger.bind(step=error.step.value, peer=error.peer).info(
-                'configuration body not deleted', key=body.key
+                'orphaned configuration body left in store', key=body.key
             )
 
     def _latest(self, stored: KeyValue | None) -> ConfigurationRecord:
--- a/libs/membership/tests/test_network.py
+++ b/libs/membership/tests/test_network.py
@@ -33,7 +33,7 @@
 def wait_until(holds):
     ends = time.monotonic() + PATIENCE
     while not holds():
-        assert time.monotonic() < ends, 'condition not met in time'
+        assert time.monotonic() < ends, 'timed out waiting for condition'
         time.sleep(0.01)
 
 
@@ -131,8 +131,8 @@
         The peer's port accepts connections but never answers. It is sent more messages
         than its queue holds; the excess is dropped, and only its own writer waits.
         """
-        with socket.create_server(('127.0.0.1', 0)) as silent:
-            address = f'127.0.0.1:{silent.getsockname()[1]}'
+        with socket.create_server(('127.0.0.1', 0)) as unresponsive:
+            address = f'127.0.0.1:{unresponsive.getsockname()[1]}'
             ghost = MemberRecord(
                 daemon_id='ghost', domain='gent', peer=address, entry='', incarnation=1
             )
@@ -164,8 +164,8 @@
         network.stop()
 
     def test_network_starts_without_responsive_seeds(self, cluster):
-        with socket.create_server(('127.0.0.1', 0)) as silent:
-            address = f'127.0.0.1:{silent.getsockname()[1]}'
+        with socket.create_server(('127.0.0.1', 0)) as unresponsive:
+            address = f'127.0.0.1:{unresponsive.getsockname()[1]}'
             alone = cluster.add('a', 'gent', seeds=(address, '127.0.0.1:9'))
         assert [one.daemon_id for one in alone.live()] == ['a']
 
@@ -276,12 +276,12 @@
         """A daemon can request a snapshot as soon as its network has started."""
         first = cluster.add('a', 'gent')
         first.mark_leaving('engine', 1)
-        taken = []
+        merged = []
         second = cluster.add('b', 'gent')
         for network, content in ((first, b'statistics'), (second, b'')):
             exchange = SnapshotExchange(network, network.daemon)
             exchange.add(network.snapshot_section())
-            exchange.add(Section('routing', lambda held=content: held, taken.append))
+            exchange.add(Section('routing', lambda held=content: held, merged.append))
         assert exchange.warm_up(SECOND) == 'a'
-        assert taken == [b'statistics']
+        assert merged == [b'statistics']
         assert second.is_leaving('engine', 1)
