--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -70,8 +70,8 @@
         self._prober = Prober(
             self._exchange, self._members, self._marks, self._broadcaster.spread, clock
         )
-        self._prober.changed = self._notify_members
-        self._prober.marked = self._notify_marks
+        self._prober.on_members_changed = self._notify_members
+        self._prober.on_new_marks = self._notify_marks
         self._prober.addresses = frozenset(options.seeds)
         hooks = LinkHooks(
             lambda: self._members.own,
@@ -83,8 +83,8 @@
         self._exchange.attach(self._links)
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, name='peers', daemon=True)
-        self._on_members: list[Callable[[], None]] = []
-        self._on_marks: list[Callable[[tuple[Mark, ...]], None]] = []
+        self._member_callbacks: list[Callable[[], None]] = []
+        self._mark_callbacks: list[Callable[[tuple[Mark, ...]], None]] = []
 
     @property
     def address(self) -> str:
@@ -210,11 +210,11 @@
 
     def on_members(self, callback: Callable[[], None]) -> None:
         """Register a callback to be called in a pool thread when ``live()`` changes."""
-        self._on_members.append(callback)
+        self._member_callbacks.append(callback)
 
     def on_marks(self, callback: Callable[[tuple[Mark, ...]], None]) -> None:
         """Register a callback to be called in a pool thread with new marks."""
-        self._on_marks.append(callback)
+        self._mark_callbacks.append(callback)
 
     def unreachable_domains(self) -> frozenset[FailureDomainId]:
         """Return the failure domains of which no daemon is considered alive."""
@@ -242,11 +242,11 @@
             self._loop.call_soon_threadsafe(self._prober.publish_marks, new_marks)
 
     def _notify_members(self, _changed: tuple[MemberRecord, ...]) -> None:
-        for callback in tuple(self._on_members):
+        for callback in tuple(self._member_callbacks):
             self._exchange.run(callback)
 
     def _notify_marks(self, marks: tuple[Mark, ...]) -> None:
-        for callback in tuple(self._on_marks):
+        for callback in tuple(self._mark_callbacks):
             self._exchange.run(partial(callback, marks))
 
     def _run(self) -> None:
--- a/libs/membership/fireflyhitch_membership/probing.py
+++ b/libs/membership/fireflyhitch_membership/probing.py
@@ -59,8 +59,8 @@
     """Runs the heartbeats of one daemon on its event loop.
 
     :ivar addresses: addresses (``host:port``) where daemons may be found.
-    :ivar changed: called with member records that changed at this daemon.
-    :ivar marked: called with marks that are new at this daemon.
+    :ivar on_members_changed: called with member records that changed at this daemon.
+    :ivar on_new_marks: called with marks that are new at this daemon.
     """
 
     def __init__(
@@ -72,8 +72,8 @@
         clock: Clock,
     ) -> None:
         self.addresses: frozenset[str] = frozenset()
-        self.changed: Callable[[tuple[MemberRecord, ...]], None] = _ignore
-        self.marked: Callable[[tuple[Mark, ...]], None] = _ignore
+        self.on_members_changed: Callable[[tuple[MemberRecord, ...]], None] = _ignore
+        self.on_new_marks: Callable[[tuple[Mark, ...]], None] = _ignore
         self._exchange = exchange
         self._members = members
         self._marks = marks
@@ -108,14 +108,14 @@
         if not changed:
             return
         self._broadcast(StateUpdate(members=changed), Scope.FAILURE_DOMAIN)
-        self.changed(changed)
+        self.on_members_changed(changed)
 
     def publish_marks(self, marks: tuple[Mark, ...]) -> None:
         """Broadcast marks that were made at this daemon."""
         if not marks:
             return
         self._broadcast(StateUpdate(marks=marks), Scope.EVERYWHERE)
-        self.marked(marks)
+        self.on_new_marks(marks)
 
     def add_peer(self, peer: MemberRecord) -> None:
         """Add a daemon that proved the shared key on a new link."""
@@ -301,9 +301,9 @@
                 StateUpdate(members=(self._members.own,)), Scope.FAILURE_DOMAIN
             )
         if changed:
-            self.changed(changed)
+            self.on_members_changed(changed)
         if marks:
-            self.marked(marks)
+            self.on_new_marks(marks)
 
     async def _discover(self, links: Links) -> None:
         """Contact one address at which there may be a lost or unknown daemon."""
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -89,7 +89,7 @@
         messenger.handle(StatusRequest, self._answer_status)
 
     def gossip(self) -> None:
-        """Send a digest to a random local peer; gateways also to one other domain.
+        """Send a digest to a random local peer, and as a gateway also to a remote one.
 
         This repairs the effects of lost messages: a peer with an older revision pulls,
         and one with a newer revision sends its own digest.
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -306,9 +306,11 @@
 class Backoff:
     """Exponential backoff with jitter, so that daemons do not retry in lockstep."""
 
-    def __init__(self, first: float, longest: float, rng: random.Random) -> None:
-        self._first = first
-        self._longest = longest
+    def __init__(
+        self, min_seconds: float, max_seconds: float, rng: random.Random
+    ) -> None:
+        self._min_seconds = min_seconds
+        self._max_seconds = max_seconds
         self._rng = rng
         self.failures = 0
 
@@ -323,6 +325,6 @@
 
     def next(self) -> timedelta:
         """Record a failure and return how long to wait."""
-        ceiling = min(self._longest, self._first * 2**self.failures)
+        ceiling = min(self._max_seconds, self._min_seconds * 2**self.failures)
         self.failures = min(self.failures + 1, MAX_DOUBLINGS)
         return timedelta(seconds=ceiling * self._rng.uniform(*BACKOFF_JITTER))
