--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -63,7 +63,7 @@
         """Run work in a thread; it is dropped if too much is waiting already."""
         if self._queued_work >= MAX_QUEUED_WORK:
             logger.bind(step=Step.PEER.value).warning(
-                'message dropped: all handler threads busy'
+                'work dropped: handler queue is full'
             )
             return
         self._queued_work += 1
--- a/libs/membership/tests/test_configuration.py
+++ b/libs/membership/tests/test_configuration.py
@@ -150,7 +150,7 @@
     def test_outcome_stays_unknown_after_later_refusals(self, site, manager):
         """The outcome is unknown, since the first write may still take effect.
 
-        The first attempt's request is lost, and all later ones are refused.
+        The first attempt fails without a response, and all later ones are refused.
         """
         refusals = (Fault.REFUSED for _ in range(9))
         faults = (Fault.NONE, Fault.LOST_REQUEST, *refusals)
