--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -63,7 +63,7 @@
         """Run work in a thread; it is dropped if too much is waiting already."""
         if self._queued_work >= MAX_QUEUED_WORK:
             logger.bind(step=Step.PEER.value).warning(
-                'work dropped: handler queue is full'
+                'work dropped: handlers busy and queue full'
             )
             return
         self._queued_work += 1
