--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: read, proposed, spread, never taken back."""
+"""Reads, proposes and distributes the configuration, which never reverts."""
 
 import random
 import threading
@@ -10,12 +10,12 @@
 from fireflyhitch_membership.records import pack, unpack
 from fireflyhitch_membership.revisions import (
     InForce,
-    RevisionKeeper,
+    RevisionTracker,
     Source,
 )
 from fireflyhitch_membership.scope import choose_watchers
 from fireflyhitch_membership.snapshots import Section
-from fireflyhitch_membership.spreading import ConfigurationSpreader, DomainRevision
+from fireflyhitch_membership.spreading import ConfigurationSync, DomainRevision
 from fireflyhitch_membership.storing import (
     Accepted,
     Backoff,
@@ -32,7 +32,7 @@
 from fireflyhitch_platform.keyvalue import KeyValueStore
 from fireflyhitch_settings.schema import Configuration
 
-# Callers find the results beside the keeper that gives them.
+# Re-exports the result types of the manager's methods.
 __all__ = (  # noqa: WPS410
     'Accepted',
     'ConfigurationKeeper',
@@ -43,79 +43,77 @@
 )
 
 DIGEST_SECONDS = 1.0
-# How soon a daemon notices that it has become a watcher.
+# The delay within which a daemon detects that it has become a watcher.
 ROLE_SECONDS = 1.0
-# The last resort of a daemon that hears of no change by peers; 790 daemons cost
-# the store three reads a second.
+# Fallback for a daemon that receives no changes from peers; 790 daemons cause three
+# store reads a second.
 POLL_SECONDS = 300.0
-# A daemon without any configuration asks its peers before it asks the store.
+# A daemon without a configuration asks its peers before the store.
 FIRST_POLL_SECONDS = 1.0
-FIRST_BACKOFF_SECONDS = 0.5
-LONGEST_BACKOFF_SECONDS = 15.0
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 15.0
 JITTER = (0.75, 1.25)
 STOP_SECONDS = 1.0
 
 
 class ConfigurationKeeper:
-    """Keeps one daemon's configuration at the highest accepted revision.
+    """Maintains one daemon's configuration at the highest accepted revision.
 
-    :param here: this daemon.
+    :param local_daemon: the daemon of this process.
     """
 
     def __init__(
         self,
         store: KeyValueStore,
         messenger: PeerMessenger,
-        here: Daemon,
+        local_daemon: Daemon,
         clock: Clock,
     ) -> None:
         self._messenger = messenger
-        self._here = here
+        self._local_daemon = local_daemon
         self._clock = clock
         self._stopping = threading.Event()
         self._wake = threading.Event()
-        self._revisions = RevisionKeeper(clock)
+        self._revisions = RevisionTracker(clock)
         self._stored = StoredConfiguration(
             store, self._revisions, clock, self._announce
         )
-        self._spreader = ConfigurationSpreader(
-            messenger, here, self._revisions, clock, self._wake
-        )
-        self._rng = random.Random(here.daemon_id)
-        self._backoff = Backoff(
-            FIRST_BACKOFF_SECONDS, LONGEST_BACKOFF_SECONDS, self._rng
+        self._sync = ConfigurationSync(
+            messenger, local_daemon, self._revisions, clock, self._wake
         )
+        self._rng = random.Random(local_daemon.daemon_id)
+        self._backoff = Backoff(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS, self._rng)
         self._next_poll = clock.monotonic() + self._jitter(FIRST_POLL_SECONDS)
-        self._next_exchange = clock.monotonic()
+        self._next_gossip = clock.monotonic()
         self._next_sweep = clock.monotonic() + self._jitter(POLL_SECONDS)
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Start the threads that watch the store and talk to peers."""
-        rounds = (
+        """Start the threads that watch the store and exchange state with peers."""
+        loops = (
             (self.follow_store_once, self._stopping),
             (self.follow_peers_once, self._wake),
         )
-        for arguments in rounds:
+        for arguments in loops:
             thread = threading.Thread(
-                target=self._repeat, args=arguments, name='configuration', daemon=True
+                target=self._run_loop, args=arguments, name='configuration', daemon=True
             )
             self._threads.append(thread)
             thread.start()
 
     def stop(self) -> None:
-        """End the threads; a waiting watch is left to its own timeout."""
+        """Stop the threads; a pending watch ends by its own timeout."""
         self._stopping.set()
         self._wake.set()
         for thread in self._threads:
             thread.join(STOP_SECONDS)
 
     def in_force(self) -> InForce | None:
-        """Return what is in force; ``None`` while no source could be read."""
+        """Return the configuration in force, or ``None`` until a source was read."""
         return self._revisions.in_force()
 
     def on_change(self, callback: Callable[[InForce], None]) -> None:
-        """Have a callback called after each change, in one of the threads."""
+        """Register a callback to be called after each change, in one of the threads."""
         self._revisions.on_change(callback)
 
     def propose(
@@ -124,33 +122,35 @@
         expected_revision: Revision,
         change_id: ChangeId,
     ) -> ProposalResult:
-        """Write a configuration if nothing came since the expected revision.
+        """Write a configuration if no change was accepted since the expected revision.
 
-        Proposing the same change id again gives the same answer.
+        Proposing the same change id again gives the same result.
 
-        :param expected_revision: the revision that the operator saw; 0: none.
+        :param expected_revision: the revision that the operator saw, or 0 for none.
         :raises PlatformError: ``not-run`` if it was certainly not accepted,
-            ``unknown`` if the store went away before that was settled.
+            ``unknown`` if the store failed before the outcome was known.
         """
         return self._stored.propose(
             Proposal(configuration, expected_revision, change_id)
         )
 
     def revisions_by_failure_domain(self) -> dict[FailureDomainId, DomainRevision]:
-        """Ask one daemon of each failure domain what is in force there."""
-        return self._spreader.ask_domains()
+        """Query one daemon of each failure domain for its revision in force."""
+        return self._sync.ask_domains()
 
     def snapshot_section(self) -> Section:
-        """Return the section that holds the configuration in force."""
+        """Return the snapshot section for the configuration in force."""
         return Section('configuration', self._produce_snapshot, self._merge_snapshot)
 
     def is_watcher(self) -> bool:
-        """Tell whether this daemon watches the store for its failure domain."""
-        domain = self._here.failure_domain
-        return self._here.daemon_id in choose_watchers(domain, self._messenger.live())
+        """Return whether this daemon watches the store for its failure domain."""
+        domain = self._local_daemon.failure_domain
+        return self._local_daemon.daemon_id in choose_watchers(
+            domain, self._messenger.live()
+        )
 
     def follow_store_once(self) -> timedelta:
-        """Read and watch if this daemon's turn has come.
+        """Read and watch the store if this daemon is a watcher or its poll is due.
 
         :returns: how long to wait before the next round.
         """
@@ -158,30 +158,30 @@
         if not watches and self._clock.monotonic() < self._next_poll:
             return timedelta(seconds=self._jitter(ROLE_SECONDS))
         try:
-            at = self._stored.read()
-            self._note_success()
+            store_revision = self._stored.read()
+            self._on_success()
             if watches:
                 self._sweep()
-                self._stored.watch(at)
+                self._stored.watch(store_revision)
         except PlatformError as error:
-            return self._note_failure(error)
+            return self._on_failure(error)
         return timedelta()
 
     def follow_peers_once(self) -> timedelta:
-        """Pull what is wanted, and each second tell a peer what is in force.
+        """Run pending pulls, and send a digest to a peer every second.
 
-        :returns: how long to wait unless a pull is wanted before.
+        :returns: how long to wait unless a pull becomes pending earlier.
         """
         self._wake.clear()
-        self._spreader.pull_wanted()
+        self._sync.pull_pending()
         now = self._clock.monotonic()
-        if now >= self._next_exchange:
-            self._next_exchange = now + self._jitter(DIGEST_SECONDS)
-            self._spreader.exchange()
+        if now >= self._next_gossip:
+            self._next_gossip = now + self._jitter(DIGEST_SECONDS)
+            self._sync.gossip()
             if self._revisions.record.revision == ABSENT:
-                self._spreader.load()
-        rest = self._next_exchange - self._clock.monotonic()
-        return timedelta(seconds=max(rest, 0))
+                self._sync.pull_initial()
+        pause = self._next_gossip - self._clock.monotonic()
+        return timedelta(seconds=max(pause, 0))
 
     def _sweep(self) -> None:
         now = self._clock.monotonic()
@@ -190,16 +190,16 @@
             self._stored.sweep()
 
     def _announce(self) -> None:
-        self._spreader.announce(is_entry=True)
+        self._sync.announce(is_entry=True)
 
-    def _note_success(self) -> None:
+    def _on_success(self) -> None:
         if self._backoff.reset():
-            logger.bind(step=Step.STORE_READ.value).info('store is back')
-        nothing_yet = self._revisions.record.revision == ABSENT
-        period = LONGEST_BACKOFF_SECONDS if nothing_yet else POLL_SECONDS
+            logger.bind(step=Step.STORE_READ.value).info('store reachable again')
+        is_unconfigured = self._revisions.record.revision == ABSENT
+        period = MAX_BACKOFF_SECONDS if is_unconfigured else POLL_SECONDS
         self._next_poll = self._clock.monotonic() + self._jitter(period)
 
-    def _note_failure(self, error: PlatformError) -> timedelta:
+    def _on_failure(self, error: PlatformError) -> timedelta:
         if self._backoff.failures == 0:
             logger.bind(step=error.step.value, peer=error.peer).warning(
                 'store cannot be reached', error=error.message
@@ -208,18 +208,18 @@
         self._next_poll = self._clock.monotonic() + delay.total_seconds()
         return delay
 
-    def _repeat(self, work: Callable[[], timedelta], wake: threading.Event) -> None:
+    def _run_loop(self, work: Callable[[], timedelta], wake: threading.Event) -> None:
         while not self._stopping.is_set():
             try:
-                rest = work()
+                pause = work()
             except Exception as error:
-                # A fault in one round, be it a callback's, must not leave this
-                # daemon with a configuration that is never renewed.
+                # An error in one round, also one in a callback, must not stop the
+                # thread: the configuration would never be updated again.
                 logger.bind(step=Step.CONFIGURE.value).error(
-                    'round failed', error=repr(error)
+                    'configuration round failed', error=repr(error)
                 )
-                rest = timedelta(seconds=ROLE_SECONDS)
-            self._clock.wait(wake, rest)
+                pause = timedelta(seconds=ROLE_SECONDS)
+            self._clock.wait(wake, pause)
 
     def _jitter(self, seconds: float) -> float:
         return seconds * self._rng.uniform(*JITTER)
--- a/libs/membership/fireflyhitch_membership/exchange.py
+++ b/libs/membership/fireflyhitch_membership/exchange.py
@@ -1,4 +1,4 @@
-"""Questions and answers over the links, and who handles which kind."""
+"""Requests and answers over the links, and dispatch of messages to handlers."""
 
 import asyncio
 import itertools
@@ -17,72 +17,75 @@
 from fireflyhitch_model.states import Step
 
 HANDLER_THREADS = 8
-# Messages waiting for a thread; more are dropped, their senders ask again.
-MAX_WAITING = 512
+# Messages waiting for a thread; more are dropped, and their senders retry.
+MAX_QUEUED_WORK = 512
 
 AnyHandler = Handler[Any]
 AsyncHandler = Callable[[DaemonId, Any], Coroutine[None, None, PeerMessage]]
 
 
 class Exchange:
-    """Sends, asks and hands received messages out; runs on the event loop.
+    """Sends messages, matches answers and dispatches received messages.
 
-    Kinds of membership itself are handled on the loop, so that heartbeats are
-    answered however busy the threads are; all others in a pool of threads.
+    Runs on the event loop. Membership messages are handled on the loop, so that
+    heartbeats are answered even if all threads are busy; all others are handled in a
+    thread pool.
     """
 
     def __init__(self) -> None:
         self._links: Links | None = None
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._pending: dict[int, asyncio.Future[PeerMessage]] = {}
-        self._quick: dict[str, AnyHandler] = {}
-        self._by_task: dict[str, AsyncHandler] = {}
+        self._inline_handlers: dict[str, AnyHandler] = {}
+        self._async_handlers: dict[str, AsyncHandler] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._slow: dict[str, AnyHandler] = {}
+        self._thread_handlers: dict[str, AnyHandler] = {}
         self._pool = ThreadPoolExecutor(HANDLER_THREADS, 'peer-handler')
-        self._waiting = 0
+        self._queued_work = 0
 
     def attach(self, links: Links) -> None:
-        """Use the links."""
+        """Set the links over which messages are sent."""
         self._links = links
 
-    def handle_quickly(self, kind: str, handler: AnyHandler) -> None:
-        """Have a handler that never blocks called on the loop."""
-        self._quick[kind] = handler
+    def handle_inline(self, kind: str, handler: AnyHandler) -> None:
+        """Register a non-blocking handler to be called on the loop."""
+        self._inline_handlers[kind] = handler
 
-    def handle_by_task(self, kind: str, handler: AsyncHandler) -> None:
-        """Have a handler that waits for other messages run as a task."""
-        self._by_task[kind] = handler
+    def handle_async(self, kind: str, handler: AsyncHandler) -> None:
+        """Register a handler that awaits other messages, to be run as a task."""
+        self._async_handlers[kind] = handler
 
     def handle(self, kind: str, handler: AnyHandler) -> None:
-        """Have a handler called in a thread."""
-        self._slow[kind] = handler
+        """Register a handler to be called in a thread."""
+        self._thread_handlers[kind] = handler
 
     def run(self, work: Callable[[], object]) -> None:
-        """Do work in a thread; dropped if too much waits already."""
-        if self._waiting >= MAX_WAITING:
-            logger.bind(step=Step.PEER.value).warning('handlers too busy')
+        """Run work in a thread; it is dropped if too much is waiting already."""
+        if self._queued_work >= MAX_QUEUED_WORK:
+            logger.bind(step=Step.PEER.value).warning(
+                'work dropped: handlers busy and queue full'
+            )
             return
-        self._waiting += 1
+        self._queued_work += 1
         task = asyncio.get_running_loop().run_in_executor(self._pool, work)
         task.add_done_callback(self._finish)
 
     def close(self) -> None:
-        """End the threads; handlers at work finish by themselves."""
+        """Stop the threads; running handlers are not interrupted."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def tell(self, peer: DaemonId, message: PeerMessage) -> None:
-        """Send without an answer."""
+        """Send a message without waiting for an answer."""
         self._send(peer, message.kind, encode(message))
 
     async def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
     ) -> PeerMessage:
-        """Send and wait for the answer.
+        """Send a message and wait for the answer.
 
-        :raises PeerError: if none comes in time.
+        :raises PeerError: if no answer arrives in time.
         """
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         answer: asyncio.Future[PeerMessage] = asyncio.get_running_loop().create_future()
         self._pending[number] = answer
         try:
@@ -97,40 +100,42 @@
             self._pending.pop(number, None)
 
     def receive(self, peer: DaemonId, frame: Frame) -> None:
-        """Hand a frame out."""
+        """Decode a frame and dispatch its message."""
         try:
             message = read_message(frame.kind, frame.body, peer)
         except UnknownKindError:
-            # A newer release has kinds that this one lacks; its asks time out.
+            # A newer release may send kinds that this one lacks; its requests time out.
             logger.bind(step=Step.PEER.value, peer=peer, kind=frame.kind).debug(
                 'unknown kind'
             )
             return
         if frame.answers is not None:
-            self._settle(frame.answers, message)
+            self._resolve(frame.answers, message)
             return
-        self.hand_out(peer, message, frame.ask)
+        self.dispatch(peer, message, frame.ask)
 
-    def hand_out(
+    def dispatch(
         self, peer: DaemonId, message: PeerMessage, ask: int | None = None
     ) -> None:
-        """Call the handler of a message and send its answer, if it was asked."""
-        quick = self._quick.get(message.kind)
-        if quick is not None:
-            self._answer(peer, quick(peer, message), ask)
+        """Call a message's handler, and send the result if an answer is expected."""
+        inline_handler = self._inline_handlers.get(message.kind)
+        if inline_handler is not None:
+            self._answer(peer, inline_handler(peer, message), ask)
             return
-        by_task = self._by_task.get(message.kind)
-        if by_task is not None:
-            work = self._answer_by_task(by_task, peer, message, ask)
+        async_handler = self._async_handlers.get(message.kind)
+        if async_handler is not None:
+            work = self._answer_async(async_handler, peer, message, ask)
             task = asyncio.get_running_loop().create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        slow = self._slow.get(message.kind)
-        if slow is not None:
+        thread_handler = self._thread_handlers.get(message.kind)
+        if thread_handler is not None:
             loop = asyncio.get_running_loop()
-            self.run(lambda: self._handle_slowly(loop, slow, peer, message, ask))
+            self.run(
+                lambda: self._handle_in_thread(loop, thread_handler, peer, message, ask)
+            )
 
-    async def _answer_by_task(
+    async def _answer_async(
         self,
         handler: AsyncHandler,
         peer: DaemonId,
@@ -139,7 +144,7 @@
     ) -> None:
         self._answer(peer, await handler(peer, message), ask)
 
-    def _handle_slowly(
+    def _handle_in_thread(
         self,
         loop: asyncio.AbstractEventLoop,
         handler: AnyHandler,
@@ -157,7 +162,7 @@
         if answer is not None and ask is not None:
             self._send(peer, answer.kind, encode(answer, answers=ask))
 
-    def _settle(self, number: int, message: PeerMessage) -> None:
+    def _resolve(self, number: int, message: PeerMessage) -> None:
         pending = self._pending.get(number)
         if pending is not None and not pending.done():
             pending.set_result(message)
@@ -167,7 +172,7 @@
             self._links.send(peer, kind, frame)
 
     def _finish(self, task: 'asyncio.Future[object]') -> None:
-        self._waiting -= 1
+        self._queued_work -= 1
         error = None if task.cancelled() else task.exception()
         if error is None:
             return
--- a/libs/membership/fireflyhitch_membership/revisions.py
+++ b/libs/membership/fireflyhitch_membership/revisions.py
@@ -1,4 +1,4 @@
-"""Which configuration is in force at this daemon: only ever a higher revision."""
+"""The configuration in force at this daemon, whose revision only increases."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 from fireflyhitch_model.states import Step
 from fireflyhitch_settings.schema import Configuration
 
-# Enough for peers a few seconds behind at a change every two seconds.
-REMEMBERED_RECORDS = 16
+# Enough for peers a few seconds behind, at one change every two seconds.
+MAX_EARLIER_RECORDS = 16
 
 
 class Source(Enum):
-    """Where a configuration came from."""
+    """The source of a configuration."""
 
     STORE = 'store'
     PROPOSAL = 'proposal'
@@ -31,7 +31,7 @@
 
 
 class Adoption(Enum):
-    """What became of a record that was offered."""
+    """The result of offering a record."""
 
     ADOPTED = 'adopted'
     KNOWN = 'known'
@@ -44,7 +44,7 @@
 class InForce:
     """A configuration in force at this daemon.
 
-    :param since: wall time at which this daemon applied it.
+    :param since: wall clock time at which this daemon applied it.
     """
 
     revision: Revision
@@ -53,7 +53,7 @@
     since: datetime
 
 
-class RevisionKeeper:
+class RevisionTracker:
     """Holds the record in force; safe to use from any thread."""
 
     def __init__(self, clock: Clock) -> None:
@@ -61,10 +61,10 @@
         self._lock = Lock()
         self._record = NOTHING
         self._in_force: InForce | None = None
-        self._complaint = ''
+        self._last_refusal = ''
         self._callbacks: list[Callable[[InForce], None]] = []
         self._earlier: cachetools.LRUCache[Revision, ConfigurationRecord] = (
-            cachetools.LRUCache(REMEMBERED_RECORDS)
+            cachetools.LRUCache(MAX_EARLIER_RECORDS)
         )
 
     @property
@@ -73,16 +73,16 @@
         return self._record
 
     def in_force(self) -> InForce | None:
-        """Return what is in force."""
+        """Return the configuration in force, or ``None``."""
         return self._in_force
 
     def earlier(self, revision: Revision) -> ConfigurationRecord | None:
-        """Return a record that was in force lately."""
+        """Return a recent earlier record, or ``None`` if it is no longer kept."""
         with self._lock:
             return self._earlier.get(revision)
 
     def on_change(self, callback: Callable[[InForce], None]) -> None:
-        """Have a callback called after each change."""
+        """Register a callback to be called after each change."""
         self._callbacks.append(callback)
 
     def adopt(
@@ -90,12 +90,12 @@
     ) -> Adoption:
         """Put a record in force if it is newer.
 
-        :param peer: who handed it on, for the log.
+        :param peer: where it came from, for the log.
         """
         try:
             configuration = record.configuration
         except ValidationError as error:
-            self._complain(f'invalid configuration {record.revision}', source, peer)
+            self._log_refusal(f'invalid configuration {record.revision}', source, peer)
             logger.bind(step=Step.CONFIGURE.value).debug('errors', error=str(error))
             return Adoption.INVALID
         with self._lock:
@@ -105,7 +105,7 @@
         if adoption is not Adoption.ADOPTED:
             self._report(adoption, record, source, peer)
             return adoption
-        self._complaint = ''
+        self._last_refusal = ''
         logger.bind(step=Step.CONFIGURE.value, peer=peer, source=source.value).info(
             'configuration in force', revision=record.revision
         )
@@ -114,9 +114,9 @@
         return adoption
 
     def report_divergence(self, revision: Revision, peer: str) -> None:
-        """Log that a peer has other content in force under the same revision."""
+        """Log that a peer has different content under the same revision."""
         text = f'another configuration {revision} than the one in force'
-        self._complain(text, Source.PEER, peer)
+        self._log_refusal(text, Source.PEER, peer)
 
     def _compare(self, record: ConfigurationRecord) -> Adoption:
         if record.revision > self._record.revision:
@@ -151,20 +151,19 @@
         peer: str | None,
     ) -> None:
         if adoption is Adoption.OLDER and source is Source.STORE:
-            # A store restored from a backup would take customers' traffic back
-            # to settings that were replaced long ago. The next accepted change
-            # brings the store forward again.
-            held = self._record.revision
-            text = f'store holds {record.revision}, older than {held} in force'
-            self._complain(text, source, peer)
+            # Applying a store restored from a backup would revert customers' traffic
+            # to outdated settings. The next accepted change updates the store.
+            current = self._record.revision
+            text = f'store holds {record.revision}, older than {current} in force'
+            self._log_refusal(text, source, peer)
         if adoption is Adoption.DIVERGENT:
             text = f'another configuration {record.revision} than the one in force'
-            self._complain(text, source, peer)
+            self._log_refusal(text, source, peer)
 
-    def _complain(self, text: str, source: Source, peer: str | None) -> None:
-        if text == self._complaint:
+    def _log_refusal(self, text: str, source: Source, peer: str | None) -> None:
+        if text == self._last_refusal:
             return
-        self._complaint = text
+        self._last_refusal = text
         logger.bind(step=Step.CONFIGURE.value, peer=peer, source=source.value).error(
             'configuration refused', reason=text
         )
--- a/libs/membership/fireflyhitch_membership/scope.py
+++ b/libs/membership/fireflyhitch_membership/scope.py
@@ -1,9 +1,9 @@
-"""Who does what within a failure domain, chosen by hash without any exchange.
+"""Role assignment within a failure domain by rendezvous hashing.
 
-Each daemon works the choice out from the members that it knows. Two daemons
-with different views choose differently for a moment; every use tolerates that,
-since messages that arrive twice do no harm and lost ones are repaired by the
-digests that heartbeats carry.
+Each daemon computes the assignment from its own member table, without coordination.
+Two daemons with different tables may disagree for a moment. All uses tolerate that:
+duplicate messages are harmless, and lost ones are repaired by the digests in
+heartbeats.
 """
 
 from collections.abc import Iterable
@@ -12,12 +12,12 @@
 from fireflyhitch_model.ids import DaemonId, FailureDomainId
 from fireflyhitch_model.peers import Daemon, Scope
 
-# Two, so that one may fail without any gap.
+# Two, so that one may fail without an interruption.
 WATCHERS_PER_DOMAIN = 2
-CARRIERS_PER_DOMAIN = 2
-# How many daemons of a failure domain the others know by name.
+GATEWAYS_PER_DOMAIN = 2
+# How many members of a failure domain are recorded in other domains.
 SUMMARY_MEMBERS = 8
-# A failure domain of 42 is reached in three hops.
+# Three hops reach all daemons of a failure domain of 42.
 TREE_FANOUT = 4
 
 
@@ -34,53 +34,54 @@
 ) -> list[DaemonId]:
     """Return the daemons that exchange state with other failure domains."""
     members = members_of(domain, daemons)
-    return rank_by_hash(f'carry/{domain}', members)[:CARRIERS_PER_DOMAIN]
+    return rank_by_hash(f'carry/{domain}', members)[:GATEWAYS_PER_DOMAIN]
 
 
 def choose_summary(
     domain: FailureDomainId, members: Iterable[DaemonId]
 ) -> list[DaemonId]:
-    """Return the daemons that other failure domains know by name.
+    """Return the members of a failure domain that other domains record.
 
-    The carriers are among them: both choices rank by the same key, so that a
-    daemon elsewhere finds the carriers within the summary that it holds.
+    They include the gateways: both choices rank by the same key, so that a daemon of
+    another domain finds the gateways in its summary.
     """
     return rank_by_hash(f'carry/{domain}', members)[:SUMMARY_MEMBERS]
 
 
 def choose_next_hops(
     key: str,
-    here: Daemon,
+    local_daemon: Daemon,
     daemons: Iterable[Daemon],
     *,
     is_entry: bool,
 ) -> list[DaemonId]:
-    """Return to whom a daemon hands a message on within its failure domain.
+    """Return the daemons to which a daemon forwards a message in its failure domain.
 
-    Members form a tree that differs from message to message, so that no daemon
-    carries more than its share.
+    Members form a tree that differs per message, which spreads the load evenly.
 
-    :param key: names the message.
-    :param is_entry: whether the message enters the failure domain here.
+    :param key: identifies the message.
+    :param is_entry: whether the message enters the failure domain at this daemon.
     """
-    ranked = rank_by_hash(key, members_of(here.failure_domain, daemons))
+    ranked = rank_by_hash(key, members_of(local_daemon.failure_domain, daemons))
     hops = ranked[:TREE_FANOUT] if is_entry else []
-    if here.daemon_id in ranked:
-        first = TREE_FANOUT * (ranked.index(here.daemon_id) + 1)
+    if local_daemon.daemon_id in ranked:
+        first = TREE_FANOUT * (ranked.index(local_daemon.daemon_id) + 1)
         hops = hops + ranked[first : first + TREE_FANOUT]
-    return [hop for hop in hops if hop != here.daemon_id]
+    return [hop for hop in hops if hop != local_daemon.daemon_id]
 
 
 def choose_first_hops(
-    key: str, here: Daemon, daemons: Iterable[Daemon], scope: Scope
+    key: str, local_daemon: Daemon, daemons: Iterable[Daemon], scope: Scope
 ) -> list[DaemonId]:
-    """Return to whom the origin of a message sends it."""
+    """Return the daemons to which the origin of a message sends it."""
     known = tuple(daemons)
-    hops = choose_next_hops(key, here, known, is_entry=True)
+    hops = choose_next_hops(key, local_daemon, known, is_entry=True)
     if scope is Scope.FAILURE_DOMAIN:
         return hops
-    elsewhere = {daemon.failure_domain for daemon in known} - {here.failure_domain}
-    for domain in sorted(elsewhere):
+    other_domains = {daemon.failure_domain for daemon in known} - {
+        local_daemon.failure_domain
+    }
+    for domain in sorted(other_domains):
         hops.extend(choose_carriers(domain, known))
     return hops
 
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -1,4 +1,4 @@
-"""The configuration among peers: digests are told, what is newer is pulled."""
+"""Configuration exchange among peers: digests are sent, newer revisions pulled."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -21,7 +21,7 @@
     pack_difference,
     unpack,
 )
-from fireflyhitch_membership.revisions import Adoption, RevisionKeeper, Source
+from fireflyhitch_membership.revisions import Adoption, RevisionTracker, Source
 from fireflyhitch_membership.scope import (
     choose_carriers,
     choose_next_hops,
@@ -33,21 +33,21 @@
 from fireflyhitch_model.peers import Daemon, PeerMessenger
 
 PULL_TIMEOUT = timedelta(seconds=0.5)
-# After a lost question or answer; the next digest may take a second or two.
+# Covers a lost request or answer; the next digest may take a second or two.
 PULL_ATTEMPTS = 2
 STATUS_TIMEOUT = timedelta(seconds=1)
 STATUS_THREADS = 8
-# What a daemon was heard to have in force counts for this long.
+# How long a peer's reported revision counts.
 HEARD_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class DomainRevision:
-    """What a failure domain has in force, as told by one of its daemons.
+    """The revision in force in a failure domain, as reported by one of its daemons.
 
-    :param revision: ``None`` if no daemon there could be asked.
-    :param lowest: the lowest revision heard of within that failure domain.
-    :param since: wall time at which the asked daemon applied it.
+    :param revision: ``None`` if no daemon there could be queried.
+    :param lowest: the lowest revision reported within that failure domain.
+    :param since: wall clock time at which the queried daemon applied it.
     """
 
     revision: Revision | None
@@ -56,79 +56,87 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _Report:
     revision: Revision
     at: float
 
 
-class ConfigurationSpreader:
-    """Tells peers what is in force here, and pulls what they have newer.
+class ConfigurationSync:
+    """Sends the local revision to peers, and pulls newer configurations from them.
 
-    :param wake: set when a pull is wanted.
+    :param wake: set when a pull is pending.
     """
 
     def __init__(
         self,
         messenger: PeerMessenger,
-        here: Daemon,
-        revisions: RevisionKeeper,
+        local_daemon: Daemon,
+        revisions: RevisionTracker,
         clock: Clock,
         wake: Event,
     ) -> None:
         self._messenger = messenger
-        self._here = here
+        self._local_daemon = local_daemon
         self._revisions = revisions
         self._clock = clock
         self._wake = wake
-        self._rng = random.Random(here.daemon_id)
+        self._rng = random.Random(local_daemon.daemon_id)
         self._lock = Lock()
-        self._wanted: dict[DaemonId, Revision] = {}
-        self._heard: dict[DaemonId, _Heard] = {}
-        messenger.handle(ConfigurationDigest, self._take_digest)
+        self._pending_pulls: dict[DaemonId, Revision] = {}
+        self._reports: dict[DaemonId, _Report] = {}
+        messenger.handle(ConfigurationDigest, self._receive_digest)
         messenger.handle(ConfigurationPull, self._answer_pull)
         messenger.handle(StatusRequest, self._answer_status)
 
-    def exchange(self) -> None:
-        """Tell one random peer nearby what is in force; carriers also one far.
+    def gossip(self) -> None:
+        """Send a digest to a random local peer, and as a gateway also to a remote one.
 
-        This finds whatever a lost message left behind: a daemon with an older
-        revision pulls, one with a newer says so.
+        This repairs the effects of lost messages: a peer with an older revision pulls,
+        and one with a newer revision sends its own digest.
         """
-        here = self._here
+        local_daemon = self._local_daemon
         live = self._messenger.live()
-        near = [one for one in live if one.failure_domain == here.failure_domain]
-        self._tell_one([one.daemon_id for one in near])
-        if here.daemon_id not in choose_carriers(here.failure_domain, live):
+        local = [
+            one for one in live if one.failure_domain == local_daemon.failure_domain
+        ]
+        self._send_digest([one.daemon_id for one in local])
+        if local_daemon.daemon_id not in choose_carriers(
+            local_daemon.failure_domain, live
+        ):
             return
-        domains = sorted({one.failure_domain for one in live} - {here.failure_domain})
+        domains = sorted(
+            {one.failure_domain for one in live} - {local_daemon.failure_domain}
+        )
         if domains:
-            self._tell_one(choose_carriers(self._rng.choice(domains), live))
+            self._send_digest(choose_carriers(self._rng.choice(domains), live))
 
     def announce(self, *, is_entry: bool) -> None:
-        """Tell the next daemons of the failure domain's tree.
+        """Send a digest to the next daemons in the failure domain's tree.
 
-        :param is_entry: whether the revision came into the failure domain here.
+        :param is_entry: whether the revision entered the failure domain at this daemon.
         """
         record = self._revisions.record
         live = self._messenger.live()
         key = f'configuration/{record.revision}'
-        for hop in choose_next_hops(key, self._here, live, is_entry=is_entry):
+        for hop in choose_next_hops(key, self._local_daemon, live, is_entry=is_entry):
             self._messenger.tell(hop, self._digest())
 
-    def pull_wanted(self) -> None:
-        """Pull from the peers that told of a newer revision, newest first."""
+    def pull_pending(self) -> None:
+        """Pull from the peers that reported a newer revision, newest first."""
         with self._lock:
-            wanted = sorted(self._wanted.items(), key=lambda one: one[1], reverse=True)
-            self._wanted.clear()
+            wanted = sorted(
+                self._pending_pulls.items(), key=lambda one: one[1], reverse=True
+            )
+            self._pending_pulls.clear()
         for peer, revision in wanted:
             for _ in range(PULL_ATTEMPTS):
                 if revision > self._revisions.record.revision:
                     self.pull(peer)
 
     def pull(self, peer: DaemonId) -> bool:
-        """Pull what a peer has newer, as a difference if it can.
+        """Pull a newer configuration from a peer, as a difference if possible.
 
-        :returns: whether something newer came into force.
+        :returns: whether a newer configuration was applied.
         """
         base = self._revisions.record
         update = self._ask(peer, base, whole=base.revision == ABSENT)
@@ -142,34 +150,36 @@
         if adopted is not Adoption.ADOPTED:
             return False
         domain = self._domain_of(peer)
-        self.announce(is_entry=domain != self._here.failure_domain)
+        self.announce(is_entry=domain != self._local_daemon.failure_domain)
         return True
 
-    def load(self) -> None:
-        """Pull from a few peers, for a daemon that starts with nothing."""
+    def pull_initial(self) -> None:
+        """Pull from up to two peers, for a daemon without a configuration."""
         others = [
             one.daemon_id
             for one in self._messenger.live()
-            if one.daemon_id != self._here.daemon_id
+            if one.daemon_id != self._local_daemon.daemon_id
         ]
         for peer in self._rng.sample(others, min(2, len(others))):
             if self.pull(peer):
                 return
 
     def ask_domains(self) -> dict[FailureDomainId, DomainRevision]:
-        """Ask one daemon of each failure domain what is in force there."""
+        """Query one daemon of each failure domain for its revision in force."""
         live = self._messenger.live()
         domains = sorted({one.failure_domain for one in live})
-        elsewhere = [one for one in domains if one != self._here.failure_domain]
-        carriers = {one: choose_carriers(one, live) for one in elsewhere}
+        other_domains = [
+            one for one in domains if one != self._local_daemon.failure_domain
+        ]
+        gateways = {one: choose_carriers(one, live) for one in other_domains}
         with ThreadPoolExecutor(STATUS_THREADS) as pool:
-            answers = pool.map(self._ask_domain, carriers.values())
-        found = dict(zip(elsewhere, answers, strict=True))
-        found[self._here.failure_domain] = _summarize(self._status())
+            answers = pool.map(self._ask_domain, gateways.values())
+        found = dict(zip(other_domains, answers, strict=True))
+        found[self._local_daemon.failure_domain] = _summarize(self._status())
         return found
 
-    def _tell_one(self, candidates: list[DaemonId]) -> None:
-        others = [one for one in candidates if one != self._here.daemon_id]
+    def _send_digest(self, candidates: list[DaemonId]) -> None:
+        others = [one for one in candidates if one != self._local_daemon.daemon_id]
         if others:
             self._messenger.tell(self._rng.choice(others), self._digest())
 
@@ -177,17 +187,17 @@
         record = self._revisions.record
         return ConfigurationDigest(revision=record.revision, content=record.content)
 
-    def _take_digest(self, sender: DaemonId, digest: ConfigurationDigest) -> None:
-        mine = self._revisions.record
+    def _receive_digest(self, sender: DaemonId, digest: ConfigurationDigest) -> None:
+        local_record = self._revisions.record
         with self._lock:
-            self._heard[sender] = _Heard(digest.revision, self._clock.monotonic())
-            if digest.revision > mine.revision:
-                self._wanted[sender] = digest.revision
-        if digest.revision > mine.revision:
+            self._reports[sender] = _Report(digest.revision, self._clock.monotonic())
+            if digest.revision > local_record.revision:
+                self._pending_pulls[sender] = digest.revision
+        if digest.revision > local_record.revision:
             self._wake.set()
-        elif digest.revision < mine.revision:
+        elif digest.revision < local_record.revision:
             self._messenger.tell(sender, self._digest())
-        elif digest.content != mine.content:
+        elif digest.content != local_record.content:
             self._revisions.report_divergence(digest.revision, sender)
 
     def _ask(
@@ -223,10 +233,10 @@
             body=body,
         )
 
-    def _ask_domain(self, carriers: list[DaemonId]) -> DomainRevision:
-        for carrier in carriers:
+    def _ask_domain(self, gateways: list[DaemonId]) -> DomainRevision:
+        for gateway in gateways:
             try:
-                answer = self._messenger.ask(carrier, StatusRequest(), STATUS_TIMEOUT)
+                answer = self._messenger.ask(gateway, StatusRequest(), STATUS_TIMEOUT)
             except PeerError:
                 continue
             if isinstance(answer, StatusAnswer):
@@ -239,21 +249,21 @@
         return self._status()
 
     def _status(self) -> StatusAnswer:
-        here = self._here.failure_domain
-        members = frozenset(members_of(here, self._messenger.live()))
+        domain = self._local_daemon.failure_domain
+        members = frozenset(members_of(domain, self._messenger.live()))
         oldest = self._clock.monotonic() - HEARD_SECONDS
         revision = self._revisions.record.revision
         with self._lock:
-            heard = [
+            reported = [
                 one.revision
-                for daemon_id, one in self._heard.items()
+                for daemon_id, one in self._reports.items()
                 if daemon_id in members and one.at >= oldest
             ]
         in_force = self._revisions.in_force()
         return StatusAnswer(
-            domain=here,
+            domain=domain,
             revision=revision,
-            lowest=min(heard, default=revision),
+            lowest=min(reported, default=revision),
             since=in_force.since if in_force else None,
         )
 
