--- a/libs/settings/fireflyhitch_settings/__init__.py
+++ b/libs/settings/fireflyhitch_settings/__init__.py
@@ -1,1 +1,1 @@
-"""Templates, parameters and checked settings."""
+"""Loading and validation of settings and their templates."""
--- a/libs/settings/fireflyhitch_settings/bootstrap.py
+++ b/libs/settings/fireflyhitch_settings/bootstrap.py
@@ -1,13 +1,13 @@
-"""A daemon's own settings, read once from its file at start."""
+"""A daemon's own settings, read from its file at startup."""
 
 from typing import Annotated, Literal
 
 from pydantic import Field
 
 from fireflyhitch_model.ids import DaemonId, FailureDomainId, InstanceId
-from fireflyhitch_settings.schema import Checked, Positive, Sha256
+from fireflyhitch_settings.schema import Positive, SettingsModel, Sha256
 
-# One interpreter relays about so many before callers' first tokens come later.
+# About as many streams as one interpreter relays before first tokens are delayed.
 DEFAULT_MAX_STREAMS = 400
 MAX_PORT = 65535
 KIBIBYTE = 1024
@@ -18,22 +18,22 @@
 Address = Annotated[str, Field(pattern=r'^\S+:\d+$')]
 
 
-class Listener(Checked):
-    """An address to listen at; port 0 lets the kernel choose."""
+class Listener(SettingsModel):
+    """An address to listen on; the kernel chooses a port for 0."""
 
     host: str = '127.0.0.1'
     port: Annotated[int, Field(ge=0, le=MAX_PORT)] = 0
 
 
-class TlsFiles(Checked):
-    """Files that the platform gives at start; read again on SIGHUP."""
+class TlsFiles(SettingsModel):
+    """TLS files provided by the platform at startup and reloaded on SIGHUP."""
 
     certificate: str
     private_key: str
     authority: str | None = None
 
 
-class PlatformAddresses(Checked):
+class PlatformAddresses(SettingsModel):
     """Base URLs of the platform's services."""
 
     key_value: Url
@@ -42,8 +42,8 @@
     weight_store: Url | None = None
 
 
-class Limits(Checked):
-    """Bounds on what one caller's connection may send or hold."""
+class Limits(SettingsModel):
+    """Limits on a caller's connection."""
 
     max_body_bytes: Annotated[int, Field(gt=0)] = 4 * MEBIBYTE
     max_header_bytes: Annotated[int, Field(gt=0)] = MAX_HEADER_BYTES
@@ -52,13 +52,13 @@
     drain_seconds: Positive = 60
 
 
-class DaemonSettings(Checked):
-    """Everything that a daemon is told rather than finds out.
+class DaemonSettings(SettingsModel):
+    """Settings that a daemon cannot discover at run time.
 
-    :param admin_token_sha256: hash of the operators' token.
-    :param peer_key: shared by all daemons.
-    :param seeds: peers' addresses to start from, while the instance list or
-        the links know of no others.
+    :param admin_token_sha256: SHA-256 hash of the operators' token.
+    :param peer_key: secret shared by all daemons.
+    :param seeds: initial peer addresses, used while neither the instance list
+        nor the peer links provide others.
     """
 
     daemon_id: DaemonId
--- a/libs/settings/fireflyhitch_settings/loader.py
+++ b/libs/settings/fireflyhitch_settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads operators' files into a configuration, with all errors at once."""
+"""Loads settings files and reports all errors at once."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -13,23 +13,23 @@
 from fireflyhitch_settings.documents import (
     Element,
     Location,
-    locate,
+    find_position,
+    format_key,
     read_document,
-    write_key,
 )
-from fireflyhitch_settings.errors import Place, SettingsError, raise_errors
+from fireflyhitch_settings.errors import SettingsError, SourcePosition, raise_errors
 from fireflyhitch_settings.schema import Configuration, Customer, Deployment
 from fireflyhitch_settings.templates import (
     Template,
     TemplateUse,
-    fill_in,
+    fill_template,
     read_template,
     validate,
 )
 
 MIN_PEER_KEY = 16
 SECTIONS = ('templates', 'deployments', 'customers')
-SECTION_OF_TEMPLATE = {'deployments': 'deployment', 'customers': 'customer'}
+TEMPLATE_SECTIONS = {'deployments': 'deployment', 'customers': 'customer'}
 _ADAPTERS: dict[str, TypeAdapter[Any]] = {
     'deployments': TypeAdapter(Deployment),
     'customers': TypeAdapter(Customer),
@@ -40,30 +40,31 @@
 def load_configuration(
     paths: Iterable[str | Path], clock: Clock | None = None
 ) -> Configuration:
-    """Read files, or all ``*.json`` files of directories, as one configuration.
+    """Load files, or all ``*.json`` files of directories, as one configuration.
 
-    :param clock: tells whether a move's date has passed; the system's if absent.
-    :raises SettingsErrors: with every error in all of the files.
+    :param clock: used to reject move dates that have passed; defaults to the
+        system clock.
+    :raises SettingsErrors: with every error in all files.
     """
-    loading = _Loading()
-    files = list(_list_files(paths, loading.errors))
+    loader = _ConfigurationLoader()
+    files = list(_list_files(paths, loader.errors))
     for path in files:
-        document = read_document(path, loading.errors)
+        document = read_document(path, loader.errors)
         if document is not None:
-            loading.add_document(document)
-    loading.read_entries('deployments')
-    loading.read_entries('customers')
-    if not (loading.sources['deployments'] or loading.errors):
-        place = Place(str(files[-1]) if files else 'settings')
-        loading.errors.append(SettingsError('no deployment in any file', place))
-    configuration = loading.build()
-    loading.check(configuration, clock or SystemClock())
-    raise_errors(loading.errors)
+            loader.add_document(document)
+    loader.read_entries('deployments')
+    loader.read_entries('customers')
+    if not (loader.sources['deployments'] or loader.errors):
+        position = SourcePosition(str(files[-1]) if files else 'settings')
+        loader.errors.append(SettingsError('no deployment in any file', position))
+    configuration = loader.build()
+    loader.check(configuration, clock or SystemClock())
+    raise_errors(loader.errors)
     return configuration
 
 
 def load_daemon_settings(path: str | Path) -> DaemonSettings:
-    """Read a daemon's own settings.
+    """Load a daemon's own settings.
 
     :raises SettingsErrors: with every error in the file.
     """
@@ -83,14 +84,14 @@
     if given is None or len(str(given.value)) >= MIN_PEER_KEY:
         return
     message = f'has to have at least {MIN_PEER_KEY} characters'
-    errors.append(SettingsError(message, given.place, 'peer_key'))
+    errors.append(SettingsError(message, given.position, 'peer_key'))
 
 
 @dataclass(slots=True)
 class _Entry:
-    """A checked deployment or customer and the element it was read from.
+    """A validated deployment or customer and its source element.
 
-    :param index: its place among all entries, also those that have errors.
+    :param index: its index among all entries, including those with errors.
     """
 
     index: int
@@ -99,8 +100,8 @@
 
 
 @dataclass(slots=True)
-class _Loading:
-    """What has been read so far, and all errors found."""
+class _ConfigurationLoader:
+    """The entries loaded so far and all errors found."""
 
     errors: list[SettingsError] = field(default_factory=list)
     templates: dict[str, Template | None] = field(default_factory=dict)
@@ -112,13 +113,13 @@
     )
 
     def add_document(self, document: Element) -> None:
-        """Take over a file's templates, deployments and customers."""
+        """Add a file's templates, deployments and customers."""
         if not isinstance(document.value, dict):
             self._add_error('the file must hold an object', document, ())
             return
         for key in document.members.keys() - set(SECTIONS):
-            place = document.key_places[key]
-            self.errors.append(SettingsError('unknown key', place, key))
+            position = document.key_positions[key]
+            self.errors.append(SettingsError('unknown key', position, key))
         for section, sources in self.sources.items():
             listed = document.members.get(section)
             if listed is None:
@@ -129,7 +130,7 @@
         self._add_templates(document)
 
     def read_entries(self, section: str) -> None:
-        """Fill in and check each entry of a section by itself."""
+        """Expand and validate each entry of a section."""
         for index, source in enumerate(self.sources[section]):
             location: Location = (section, index)
             element = self._expand(section, source, location)
@@ -140,25 +141,25 @@
                 self.entries[section].append(_Entry(index, checked, element))
 
     def build(self) -> Configuration:
-        """Return what is right in itself as a configuration."""
+        """Build a configuration from the valid entries."""
         return Configuration(
             deployments=tuple(entry.checked for entry in self.entries['deployments']),
             customers=tuple(entry.checked for entry in self.entries['customers']),
         )
 
     def check(self, configuration: Configuration, clock: Clock) -> None:
-        """Check the parts against each other."""
+        """Check the entries against each other."""
         for finding in check_configuration(configuration, clock.now()):
             section, index, *inner = finding.location
             if inner[0] == 'customers' and self._lacks_customers():
                 continue
             entry = self.entries[str(section)][int(index)]
-            place = locate(entry.element, tuple(inner))
-            key = write_key((section, entry.index, *inner))
-            self.errors.append(SettingsError(finding.message, place, key))
+            position = find_position(entry.element, tuple(inner))
+            key = format_key((section, entry.index, *inner))
+            self.errors.append(SettingsError(finding.message, position, key))
 
     def _lacks_customers(self) -> bool:
-        # A customer with an error of its own is not missing for deployments.
+        # A customer that failed validation must not also be reported as missing.
         return len(self.entries['customers']) < len(self.sources['customers'])
 
     def _add_templates(self, document: Element) -> None:
@@ -180,24 +181,24 @@
         use = validate(_USE, source, location, self.errors)
         if use is None:
             return None
-        place = source.members['template'].place
-        key = write_key((*location, 'template'))
+        position = source.members['template'].position
+        key = format_key((*location, 'template'))
         if use.template not in self.templates:
             message = f'there is no template {use.template!r}'
-            self.errors.append(SettingsError(message, place, key))
+            self.errors.append(SettingsError(message, position, key))
             return None
         template = self.templates[use.template]
         if template is None:
             return None
-        if template.section != SECTION_OF_TEMPLATE[section]:
+        if template.section != TEMPLATE_SECTIONS[section]:
             message = f'{use.template!r} is a template of a {template.section}'
-            self.errors.append(SettingsError(message, place, key))
+            self.errors.append(SettingsError(message, position, key))
             return None
-        return fill_in(template, source, location, self.errors)
+        return fill_template(template, source, location, self.errors)
 
     def _add_error(self, message: str, element: Element, location: Location) -> None:
-        place = locate(element, location)
-        self.errors.append(SettingsError(message, place, write_key(location)))
+        position = find_position(element, location)
+        self.errors.append(SettingsError(message, position, format_key(location)))
 
 
 def _list_files(
@@ -210,5 +211,5 @@
         found = sorted(path.glob('*.json'))
         if not found:
             message = 'the directory holds no .json file'
-            errors.append(SettingsError(message, Place(str(path))))
+            errors.append(SettingsError(message, SourcePosition(str(path))))
         yield from found
--- a/libs/settings/fireflyhitch_settings/schema.py
+++ b/libs/settings/fireflyhitch_settings/schema.py
@@ -1,4 +1,4 @@
-"""The configuration that operators accept: what is served, for whom and how."""
+"""Schema of the operators' configuration: deployments and customers."""
 
 from typing import Annotated, Literal
 
@@ -19,41 +19,41 @@
 Sha256 = Annotated[str, Field(pattern='^[0-9a-f]{64}$')]
 
 
-class Checked(BaseModel):
-    """The base of settings: immutable, and unknown keys are errors."""
+class SettingsModel(BaseModel):
+    """Base class of settings: immutable, with unknown keys rejected."""
 
-    # Errors do not show what was given, as it may be a key.
+    # Inputs are hidden in errors because they may be secret keys.
     model_config = ConfigDict(frozen=True, extra='forbid', hide_input_in_errors=True)
 
 
-class LatencyTarget(Checked):
-    """The latency that a share of calls must meet, in seconds."""
+class LatencyTarget(SettingsModel):
+    """Latency in seconds that a share of calls must meet."""
 
     first_token_seconds: Positive = 0.92
     between_tokens_seconds: Positive = 0.068
     share: Share = 0.95
 
 
-class PriceEntry(Checked):
-    """What an instance costs an hour in a failure domain."""
+class PriceEntry(SettingsModel):
+    """Hourly price of an instance in a failure domain."""
 
     failure_domain: FailureDomainId
     machine_class: MachineClass
     price: Positive
 
 
-class VersionMove(Checked):
-    """The wish to move a deployment to another version by a date."""
+class VersionMove(SettingsModel):
+    """A move of a deployment to another version by a date."""
 
     to_version: VersionId
     move_by: AwareDatetime
 
 
-class CapacityPlan(Checked):
-    """Bounds and safety that the operator sets for a deployment's instances.
+class CapacityPlan(SettingsModel):
+    """Capacity limits of a deployment's instances.
 
-    :param survive_domain_loss: share of peak load still carried after the
-        loss of any one failure domain.
+    :param survive_domain_loss: share of peak load that must still be served after
+        the loss of any one failure domain.
     """
 
     min_servers: Count = 2
@@ -63,11 +63,11 @@
     max_on_demand: Count = 8
 
 
-class _Deployment(Checked):
-    """What models and plain services have in common.
+class _Deployment(SettingsModel):
+    """Settings common to model and service deployments.
 
-    :param customers: who may call it; empty for all customers. It lets one
-        template be filled in for each customer with its own failure domains,
+    :param customers: customers that may call it; empty for all. With it, one
+        template can be used for each customer with its own failure domains,
         version and date.
     """
 
@@ -82,7 +82,7 @@
     timeout_seconds: Positive = 120
 
     def serves(self, customer: CustomerId) -> bool:
-        """Tell whether a customer may call this deployment."""
+        """Return whether a customer may call this deployment."""
         return not self.customers or customer in self.customers
 
 
@@ -107,16 +107,16 @@
 Deployment = Annotated[ModelDeployment | ServiceDeployment, Field(discriminator='kind')]
 
 
-class CustomerLimits(Checked):
-    """What one customer may use over all daemons together."""
+class CustomerLimits(SettingsModel):
+    """Limits of one customer across all daemons."""
 
     requests_per_second: Positive = 50
     tokens_per_second: Positive = 20000
     concurrent_requests: Annotated[int, Field(ge=1)] = 200
 
 
-class Customer(Checked):
-    """A customer, known by the hash of its key only.
+class Customer(SettingsModel):
+    """A customer, identified by the hash of its API key.
 
     :param api_key_sha256: lower-case hex of the key's SHA-256.
     """
@@ -127,8 +127,8 @@
     limits: CustomerLimits = CustomerLimits()
 
 
-class Configuration(Checked):
-    """All that operators change at run time, accepted as a whole."""
+class Configuration(SettingsModel):
+    """The settings that operators change at run time, applied as a unit."""
 
     deployments: tuple[Deployment, ...]
     customers: tuple[Customer, ...]
--- a/libs/settings/fireflyhitch_settings/templates.py
+++ b/libs/settings/fireflyhitch_settings/templates.py
@@ -1,4 +1,4 @@
-"""Templates with typed parameters, filled in for each deployment or customer."""
+"""Templates with typed parameters for deployments and customers."""
 
 import re
 from dataclasses import dataclass
@@ -11,28 +11,28 @@
 from fireflyhitch_settings.documents import (
     Element,
     Location,
-    locate,
-    locate_key,
-    plain_value,
-    write_key,
+    find_key_position,
+    find_position,
+    format_key,
+    strip_positions,
 )
 from fireflyhitch_settings.errors import SettingsError
 from fireflyhitch_settings.schema import (
     CapacityPlan,
-    Checked,
     CustomerLimits,
     LatencyTarget,
     PriceEntry,
+    SettingsModel,
     VersionMove,
 )
 
-# pydantic's name for a key that a model does not have.
+# pydantic's error type for an unknown key.
 UNKNOWN_KEY = 'extra_forbidden'
 PLACEHOLDER = re.compile(r'\$\{([^}]*)\}')
 
 
 class ParameterType(Enum):
-    """What a template's parameter may hold."""
+    """Type of a template parameter."""
 
     STRING = 'string'
     STRINGS = 'strings'
@@ -64,25 +64,25 @@
 }
 
 
-class Parameter(Checked):
-    """A parameter as its template declares it; without default it is required."""
+class Parameter(SettingsModel):
+    """Declaration of a template parameter; required if it has no default."""
 
     type: ParameterType
     default: Any = None
     description: str = ''
 
 
-class _TemplateHead(Checked):
+class _TemplateSchema(SettingsModel):
     parameters: dict[str, Parameter] = {}
     deployment: Any = None
     customer: Any = None
 
 
-_HEAD = TypeAdapter(_TemplateHead)
+_TEMPLATE = TypeAdapter(_TemplateSchema)
 
 
-class TemplateUse(Checked):
-    """A template's name and the values of its parameters."""
+class TemplateUse(SettingsModel):
+    """A reference to a template with parameter values."""
 
     template: str
     parameters: dict[str, Any] = {}
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Template:
-    """A deployment or customer with placeholders.
+    """A deployment or customer containing placeholders.
 
     :param section: ``deployment`` or ``customer``.
     """
@@ -102,55 +102,58 @@
 
     @property
     def body(self) -> Element:
-        """Return what the template stands for, with placeholders."""
+        """Return the deployment or customer with its placeholders."""
         return self.element.members[self.section]
 
 
 def read_template(
     name: str, element: Element, errors: list[SettingsError]
 ) -> Template | None:
-    """Read a template and check it by itself.
+    """Read and check a template.
 
     :returns: the template, or ``None`` if it cannot be used.
     """
-    head = validate(_HEAD, element, ('templates', name), errors)
-    if head is None:
+    schema = validate(_TEMPLATE, element, ('templates', name), errors)
+    if schema is None:
         return None
     sections = [key for key in ('deployment', 'customer') if key in element.members]
     if len(sections) != 1:
         message = 'a template holds either a deployment or a customer'
-        errors.append(SettingsError(message, element.place, f'templates.{name}'))
+        errors.append(SettingsError(message, element.position, f'templates.{name}'))
         return None
-    template = Template(name, sections[0], head.parameters, element)
+    template = Template(name, sections[0], schema.parameters, element)
     before = len(errors)
     _check_placeholders(template, template.body, errors)
     _check_defaults(template, errors)
     return template if len(errors) == before else None
 
 
-def fill_in(
+def fill_template(
     template: Template, use: Element, location: Location, errors: list[SettingsError]
 ) -> Element | None:
-    """Put a use's values in place of the template's placeholders.
+    """Replace the template's placeholders with the given values.
 
-    :returns: the filled-in body, or ``None`` if a value is wrong or missing.
+    :param use: the entry that refers to the template.
+    :returns: the expanded body, or ``None`` if a value is wrong or missing.
     """
     before = len(errors)
-    given = use.members.get('parameters', Element(use.place, {}, {}))
+    given = use.members.get('parameters', Element(use.position, {}, {}))
     chosen: dict[str, Element] = {}
     for name, parameter in template.parameters.items():
-        here = (*location, 'parameters', name)
+        parameter_location = (*location, 'parameters', name)
         found = given.members.get(name) or _read_default(template, name)
         if found is None:
             message = f'missing: template {template.name} needs this parameter'
-            errors.append(SettingsError(message, given.place, write_key(here)))
+            errors.append(
+                SettingsError(message, given.position, format_key(parameter_location))
+            )
             continue
-        validate(_ADAPTERS[parameter.type], found, here, errors)
+        validate(_ADAPTERS[parameter.type], found, parameter_location, errors)
         chosen[name] = found
     for name in given.members.keys() - template.parameters.keys():
         message = f'unknown: template {template.name} has no such parameter'
-        key = write_key((*location, 'parameters', name))
-        errors.append(SettingsError(message, given.key_places[name], key))
+        key = format_key((*location, 'parameters', name))
+        errors.append(SettingsError(message, given.key_positions[name], key))
     if len(errors) > before:
         return None
     return _substitute(template.body, chosen)
@@ -162,20 +165,20 @@
     location: Location,
     errors: list[SettingsError],
 ) -> Any:
-    """Check an element, adding an error with its place for each fault.
+    """Validate an element, appending errors with positions to ``errors``.
 
-    :param location: the path to the element, for the errors' keys.
-    :returns: the checked value, or ``None`` if there were errors.
+    :param location: path of the element, for the errors' keys.
+    :returns: the validated value, or ``None`` if there were errors.
     """
     try:
-        return adapter.validate_python(plain_value(element))
+        return adapter.validate_python(strip_positions(element))
     except ValidationError as error:
         for detail in error.errors(include_url=False, include_input=False):
             inner = _drop_union_tag(detail['loc'], element)
-            key = write_key((*location, *inner))
-            find_place = locate_key if detail['type'] == UNKNOWN_KEY else locate
-            place = find_place(element, inner)
-            errors.append(SettingsError(detail['msg'].lower(), place, key))
+            key = format_key((*location, *inner))
+            find = find_key_position if detail['type'] == UNKNOWN_KEY else find_position
+            position = find(element, inner)
+            errors.append(SettingsError(detail['msg'].lower(), position, key))
     return None
 
 
@@ -197,7 +200,7 @@
         if name not in template.parameters:
             message = f'the template declares no parameter {name!r}'
             key = f'templates.{template.name}'
-            errors.append(SettingsError(message, element.place, key))
+            errors.append(SettingsError(message, element.position, key))
 
 
 def _check_defaults(template: Template, errors: list[SettingsError]) -> None:
@@ -218,10 +221,10 @@
         members = {
             key: _substitute(member, chosen) for key, member in element.value.items()
         }
-        return Element(element.place, members, element.key_places)
+        return Element(element.position, members, element.key_positions)
     if isinstance(element.value, list):
         listed = [_substitute(member, chosen) for member in element.value]
-        return Element(element.place, listed, {})
+        return Element(element.position, listed, {})
     if isinstance(element.value, str):
         return _substitute_text(element, element.value, chosen)
     return element
@@ -234,4 +237,4 @@
     if whole:
         return chosen[whole.group(1)]
     filled = PLACEHOLDER.sub(lambda match: str(chosen[match.group(1)].value), text)
-    return Element(element.place, filled, {})
+    return Element(element.position, filled, {})
--- a/libs/settings/fireflyhitch_settings/tls.py
+++ b/libs/settings/fireflyhitch_settings/tls.py
@@ -1,23 +1,22 @@
-"""TLS contexts from files, which are read again without dropping a connection."""
+"""TLS contexts whose files can be reloaded without dropping connections."""
 
 import ssl
 from pathlib import Path
 
 from fireflyhitch_settings.bootstrap import TlsFiles
-from fireflyhitch_settings.errors import Place, SettingsError, raise_errors
+from fireflyhitch_settings.errors import SettingsError, SourcePosition, raise_errors
 
 PROTOCOLS = ('http/1.1',)
 
 
 class TlsContexts:
-    """The contexts of one daemon: towards callers, operators and peers.
+    """A daemon's TLS contexts for callers, operators and peers.
 
-    A context hands out the certificate that it holds at each handshake, so new
-    files in the same context reach new connections, and those that are open go
-    on with what they have agreed.
+    Files reloaded into a context apply to new handshakes; open connections keep
+    the parameters that they negotiated.
 
-    :param files: certificate and key; the authority is needed between peers.
-    :raises SettingsErrors: naming every file that cannot be used.
+    :param files: certificate and key; the authority is required between peers.
+    :raises SettingsErrors: for every file that cannot be used.
     """
 
     def __init__(self, files: TlsFiles) -> None:
@@ -26,29 +25,29 @@
         self.callers = _make_server_context()
         self.peers_server = _make_server_context()
         self.peers_client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        # A peer without a certificate of the authority is not talked to.
+        # Peers must present a certificate issued by the authority.
         self.peers_server.verify_mode = ssl.CERT_REQUIRED
-        self._held = b''
+        self._loaded = b''
         self.reload()
 
     def reload(self) -> bool:
-        """Read the files again if they have changed.
+        """Reload the files if they have changed.
 
-        A pair that does not fit is found in a context of its own first: in the
-        contexts in use it would leave the old key beside the new certificate,
+        They are first loaded into a temporary context. A mismatched pair loaded
+        into the active contexts would combine the old key with the new certificate,
         and every new handshake would fail until the next reload.
 
-        :returns: whether anything was new.
+        :returns: whether the files had changed.
         :raises SettingsErrors: if the new files cannot be used; the contexts
-            then keep what they hold.
+            then stay unchanged.
         """
-        found = _read_files(self._files)
-        if found == self._held:
+        content = _read_files(self._files)
+        if content == self._loaded:
             return False
         _check_files(self._files)
         for context in (self.callers, self.peers_server, self.peers_client):
             _load_files(context, self._files)
-        self._held = found
+        self._loaded = content
         return True
 
 
@@ -62,24 +61,24 @@
 def _load_files(context: ssl.SSLContext, files: TlsFiles) -> None:
     context.load_cert_chain(files.certificate, files.private_key)
     if files.authority is not None:
-        # Authorities add up, so that an old and a new one overlap; one that is
-        # to be trusted no more goes with the next restart.
+        # Loaded authorities accumulate, so that an old and a new one can overlap;
+        # an authority is no longer trusted only after the next restart.
         context.load_verify_locations(files.authority)
 
 
 def _check_files(files: TlsFiles) -> None:
     errors = [
-        SettingsError(f'cannot be read: {failure.strerror}', Place(path), key)
+        SettingsError(f'cannot be read: {failure.strerror}', SourcePosition(path), key)
         for key, path in _list_paths(files)
-        if (failure := _try_read(path)) is not None
+        if (failure := _find_read_error(path)) is not None
     ]
     raise_errors(errors)
     try:
         _load_files(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), files)
     except (ssl.SSLError, ValueError) as error:
         message = f'certificate, key and authority cannot be used together: {error}'
-        place = Place(files.certificate)
-        raise_errors([SettingsError(message, place, 'tls')])
+        position = SourcePosition(files.certificate)
+        raise_errors([SettingsError(message, position, 'tls')])
 
 
 def _list_paths(files: TlsFiles) -> list[tuple[str, str]]:
@@ -92,7 +91,7 @@
     return paths
 
 
-def _try_read(path: str) -> OSError | None:
+def _find_read_error(path: str) -> OSError | None:
     try:
         Path(path).read_bytes()
     except OSError as error:
--- a/libs/settings/tests/test_loader.py
+++ b/libs/settings/tests/test_loader.py
@@ -1,4 +1,4 @@
-"""Tests of reading settings, above all of what is said about errors."""
+"""Tests of loading settings, especially of error reporting."""
 
 from pathlib import Path
 
@@ -55,10 +55,10 @@
 
 
 class TestExamples:
-    """The examples that stand in the repository."""
+    """The example settings of this repository."""
 
     @pytest.mark.parametrize('firm', ['brandveilig', 'zapestnice'])
-    def test_firms_deployments_are_right(self, firm):
+    def test_example_deployments_are_valid(self, firm):
         configuration = load_configuration([EXAMPLES / firm], ManualClock())
         model, service = configuration.deployments
         assert (model.kind, service.kind) == ('model', 'service')
@@ -66,22 +66,22 @@
         assert len(model.prices) == 8
         assert len(configuration.customers) == 5
 
-    def test_daemon_settings_are_right(self):
+    def test_daemon_settings_are_valid(self):
         settings = load_daemon_settings(EXAMPLES / 'daemon.json')
         assert settings.failure_domain == 'gent'
 
 
 class TestTemplates:
-    """Parameters and their values."""
+    """Template parameters and their values."""
 
-    def test_values_take_the_place_of_placeholders(self, load):
+    def test_values_replace_placeholders(self, load):
         used = '{deployments: [{template: "pool", parameters: {name: "a", size: 5}}]}'
         deployment = load(TEMPLATES, used).deployments[0]
         assert deployment.name == 'pool-a'
         assert deployment.failure_domains == ('gent', 'brugge')
         assert deployment.capacity.min_servers == 5
 
-    def test_every_fault_of_the_values_is_named(self, complain):
+    def test_every_invalid_value_is_reported(self, complain):
         used = """{deployments: [
   {template: "pool", parameters: {size: "five", colour: 1}},
   {template: "pond"},
@@ -96,7 +96,7 @@
             "1.json:3:14: deployments[1].template: there is no template 'pond'",
         ]
 
-    def test_undeclared_placeholder_is_an_error_of_the_template(self, complain):
+    def test_undeclared_placeholder_is_reported_for_the_template(self, complain):
         broken = TEMPLATES.replace('${size}', '${sise}')
         errors = complain(broken)
         assert len(errors) == 1
@@ -104,7 +104,7 @@
             '0.json:14:37: templates.pool: the template declares'
         )
 
-    def test_error_in_a_value_is_shown_in_the_file_of_the_value(self, complain):
+    def test_invalid_value_is_reported_in_its_own_file(self, complain):
         used = """{deployments: [{template: "pool",
   parameters: {name: "a", size: -1}}]}"""
         assert complain(TEMPLATES, used) == [
@@ -114,9 +114,9 @@
 
 
 class TestErrors:
-    """All errors of a run, each with its place."""
+    """Error reports with source positions."""
 
-    def test_syntax_error_in_one_file_hides_none_in_another(self, complain):
+    def test_syntax_error_does_not_hide_errors_in_other_files(self, complain):
         errors = complain('{"deployments": [1 2]}', '{"customers": [\n {}]}')
         assert [error.split(': ')[0] for error in errors] == [
             '0.json:1:20',
@@ -124,20 +124,20 @@
             '1.json:2:2',
         ]
 
-    def test_unfinished_file_is_shown_by_its_end(self, complain):
+    def test_truncated_file_is_reported_at_its_end(self, complain):
         errors = complain('{"customers": [],\n "templates": {')
         assert len(errors) == 1
         assert errors[0].startswith('0.json:2:16: not JSON')
 
-    def test_double_key_is_an_error(self, complain):
+    def test_duplicate_key_is_an_error(self, complain):
         errors = complain('{"customers": [],\n "customers": []}')
         assert len(errors) == 1
         assert (
             errors[0] == '0.json:2:2: customers: the key stands twice, first at line 1'
         )
 
-    def test_parts_are_checked_against_each_other(self, complain):
-        """Each fault below is right by itself and wrong beside the others."""
+    def test_entries_are_checked_against_each_other(self, complain):
+        """Each value is valid by itself but inconsistent with the others."""
         text = f"""{{
   deployments: [
     {{kind: "model", name: "m", failure_domains: ["gent"], version: "v1",
@@ -174,21 +174,21 @@
         assert len(errors) == 1
         assert errors[0].startswith('0.json:3:37: deployments[0].move.move_by: ')
 
-    def test_missing_file_and_empty_directory_are_named(self, tmp_path):
+    def test_missing_file_and_empty_directory_are_reported(self, tmp_path):
         with pytest.raises(SettingsErrors) as caught:
             load_configuration([tmp_path / 'none.json', tmp_path])
         assert len(caught.value.exceptions) == 2
 
-    def test_unknown_key_of_a_daemon_is_named(self, tmp_path):
+    def test_unknown_daemon_key_is_reported(self, tmp_path):
         path = tmp_path / 'daemon.json'
         text = (EXAMPLES / 'daemon.json').read_text()
         path.write_text(text.replace('"seeds"', '"seed"'))
         caught = pytest.raises(SettingsErrors, load_daemon_settings, path)
         error = caught.value.exceptions[0]
         assert error.key == 'seed'
-        assert error.place.line == 13
+        assert error.position.line == 13
 
-    def test_every_value_of_a_daemon_is_checked(self, tmp_path):
+    def test_every_daemon_setting_is_checked(self, tmp_path):
         path = tmp_path / 'daemon.json'
         text = (EXAMPLES / 'daemon.json').read_text()
         for right, wrong in (
@@ -204,7 +204,7 @@
         assert keys == ['admin.port', 'peer_key', 'seeds[0]', 'platform.key_value']
         assert 'short' not in str(caught.value.exceptions[1])
 
-    def test_keys_are_not_shown(self):
+    def test_secrets_are_hidden_in_repr(self):
         settings = load_daemon_settings(EXAMPLES / 'daemon.json')
         assert settings.peer_key not in repr(settings)
         assert settings.admin_token_sha256 not in repr(settings)
--- a/libs/settings/tests/test_mutations.py
+++ b/libs/settings/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""Damaged settings: whatever is wrong is reported, and nothing crashes."""
+"""Randomly corrupted settings must be reported and never cause a crash."""
 
 import copy
 import json
@@ -10,7 +10,7 @@
 
 from fireflyhitch_model.clock import ManualClock
 from fireflyhitch_settings.checks import check_configuration
-from fireflyhitch_settings.documents import parse_document, plain_value
+from fireflyhitch_settings.documents import parse_document, strip_positions
 from fireflyhitch_settings.errors import SettingsErrors
 from fireflyhitch_settings.loader import load_configuration
 
@@ -39,15 +39,15 @@
         errors = []
         document = parse_document(str(path), path.read_text(), errors)
         assert not errors
-        merged.update(plain_value(document))
-    # Parsing takes most of the time: a few entries of each kind are enough.
+        merged.update(strip_positions(document))
+    # Parsing dominates the run time, so only a few entries of each kind are kept.
     merged['customers'] = merged['customers'][1:3]
     for deployment in merged['deployments']:
         del deployment['parameters']['prices'][2:]
     return merged
 
 
-def list_places(node, path=()):
+def list_paths(node, path=()):
     if path:
         yield path
     keys = ()
@@ -56,11 +56,11 @@
     elif isinstance(node, list):
         keys = range(len(node))
     for key in keys:
-        yield from list_places(node[key], (*path, key))
+        yield from list_paths(node[key], (*path, key))
 
 
 MERGED = merge_examples()
-PLACES = sorted(list_places(MERGED), key=repr)
+PATHS = sorted(list_paths(MERGED), key=repr)
 
 
 def damage(document, path, replacement):
@@ -79,7 +79,7 @@
 
 
 class TestDamagedSettings:
-    """One value is replaced or taken out."""
+    """One value is replaced or removed."""
 
     @settings(
         derandomize=True,
@@ -87,18 +87,20 @@
         deadline=None,
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
-    @given(st.sampled_from(PLACES), st.one_of(st.none(), st.tuples(VALUES)))
-    def test_damage_is_accepted_as_right_or_reported(self, path, place, replacement):
+    @given(st.sampled_from(PATHS), st.one_of(st.none(), st.tuples(VALUES)))
+    def test_corrupted_settings_are_valid_or_reported(
+        self, path, location, replacement
+    ):
         damaged = copy.deepcopy(MERGED)
-        damage(damaged, place, replacement)
+        damage(damaged, location, replacement)
         path.write_text(json.dumps(damaged, indent=1))
         try:
             configuration = load_configuration([path], ManualClock())
         except SettingsErrors as errors:
             lines = path.read_text().splitlines()
             for error in errors.exceptions:
-                assert error.place.file == str(path)
-                assert error.place.line <= len(lines)
+                assert error.position.file == str(path)
+                assert error.position.line <= len(lines)
                 assert error.message
         else:
             assert not check_configuration(configuration)
--- a/libs/settings/tests/test_tls.py
+++ b/libs/settings/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS contexts and of reading their files again."""
+"""Tests of TLS contexts and of reloading their files."""
 
 import ssl
 
@@ -18,16 +18,16 @@
         self.client = client.wrap_bio(to_client, to_server, False, '127.0.0.1')
         self.server = server.wrap_bio(to_server, to_client, True)
         for side in (self.client, self.server) * 2:
-            self.shake(side)
+            self.do_handshake_step(side)
 
-    def shake(self, side):
+    def do_handshake_step(self, side):
         try:
             side.do_handshake()
         except ssl.SSLWantReadError:
             return False
         return True
 
-    def carry(self, message):
+    def send_to_client(self, message):
         self.server.write(message)
         return self.client.read(1024)
 
@@ -65,32 +65,34 @@
 
 
 class TestReload:
-    """New files for old contexts."""
+    """Reloading of certificate files."""
 
-    def test_open_connection_goes_on_and_new_one_sees_new_files(self, issue, client):
-        """A stream is open while the platform replaces the certificate.
+    def test_open_connection_survives_and_new_one_gets_new_certificate(
+        self, issue, client
+    ):
+        """The platform replaces the certificate while a stream is open.
 
-        The contexts read the files again. The stream's bytes go on over what
-        its handshake agreed on, and the next caller gets the new certificate.
+        After the reload the stream continues on its negotiated connection, and
+        the next caller gets the new certificate.
         """
         contexts = TlsContexts(issue())
         stream = Connection(client, contexts.callers)
-        assert stream.carry(b'one') == b'one'
+        assert stream.send_to_client(b'one') == b'one'
         issue()
         assert contexts.reload()
-        assert stream.carry(b'two') == b'two'
+        assert stream.send_to_client(b'two') == b'two'
         later = Connection(client, contexts.callers)
-        assert later.carry(b'three') == b'three'
+        assert later.send_to_client(b'three') == b'three'
         assert later.certificate != stream.certificate
 
-    def test_unchanged_files_are_left_alone(self, issue):
+    def test_unchanged_files_are_not_reloaded(self, issue):
         assert not TlsContexts(issue()).reload()
 
-    def test_files_that_do_not_fit_change_nothing(self, issue, client):
-        """The platform has written the key, and not yet the certificate.
+    def test_mismatched_files_change_nothing(self, issue, client):
+        """The platform has written the new key but not yet the certificate.
 
-        A reload at this moment is an error, and callers are served with the old
-        pair until both files are there.
+        A reload at this point fails, and callers are served with the old pair
+        until both files are written.
         """
         files = issue()
         contexts = TlsContexts(files)
@@ -98,20 +100,20 @@
         with open(files.certificate, 'rb') as held:
             old = held.read()
         issue()
-        with open(files.certificate, 'wb') as half_done:
-            half_done.write(old)
+        with open(files.certificate, 'wb') as partial:
+            partial.write(old)
         with pytest.raises(SettingsErrors):
             contexts.reload()
         assert Connection(client, contexts.callers).certificate == before
 
 
 class TestPeers:
-    """Both sides show certificates."""
+    """Mutual authentication between peers."""
 
-    def test_peers_of_one_authority_talk(self, issue):
+    def test_peers_of_one_authority_can_connect(self, issue):
         contexts = TlsContexts(issue())
         link = Connection(contexts.peers_client, contexts.peers_server)
-        assert link.carry(b'digest') == b'digest'
+        assert link.send_to_client(b'digest') == b'digest'
 
     def test_peer_without_certificate_is_refused(self, issue, client):
         contexts = TlsContexts(issue())
@@ -122,7 +124,7 @@
 class TestFiles:
     """Files that cannot be used."""
 
-    def test_each_missing_file_is_named(self, tmp_path):
+    def test_each_missing_file_is_reported(self, tmp_path):
         files = TlsFiles(certificate=str(tmp_path / 'a'), private_key='/none/b')
         caught = pytest.raises(SettingsErrors, TlsContexts, files)
         keys = [error.key for error in caught.value.exceptions]
