--- a/libs/cli/fireflyhitch_cli/admin_client.py
+++ b/libs/cli/fireflyhitch_cli/admin_client.py
@@ -1,4 +1,4 @@
-"""A typed client of a daemon's admin HTTP interface."""
+"""Typed client of a daemon's admin HTTP interface."""
 
 import ssl
 import time
@@ -26,19 +26,19 @@
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_telemetry.burn import BurnSnapshot
 
-# As decoded from JSON: what a newer daemon adds is shown and kept.
+# Decoded JSON; fields added by newer daemons are kept and shown.
 Document = dict[str, Any]
 
 CONNECT_SECONDS = 3
-# A daemon answers an apply after its own attempts at the store.
+# A daemon responds to an apply only after its own store retries.
 READ_SECONDS = 20
 APPLY_ATTEMPTS = 4
-MAX_PAUSE_SECONDS = 4
+MAX_BACKOFF_SECONDS = 4
 CONFIGURATION = '/admin/configuration'
 
 
 class AdminError(FireflyhitchError):
-    """A daemon could not be asked, or refused.
+    """A request to a daemon failed or was refused.
 
     :param outcome: whether the request had no effect or may have had one.
     """
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminAddress:
-    """Where the daemon's admin interface is and how to enter.
+    """Address and credentials of a daemon's admin interface.
 
     :param url: base URL, for example ``https://10.0.0.7:8081``.
-    :param token: the operators' token; it never reaches a log or an error.
-    :param tls: checks the daemon's certificate; the system's trust if absent.
+    :param token: the operators' token; never included in logs or errors.
+    :param tls: verifies the daemon's certificate; defaults to the system's trust.
     """
 
     url: str
@@ -65,7 +65,7 @@
 
 
 class StoredConfiguration(BaseModel):
-    """The configuration in force; revision 0 means that there is none yet."""
+    """The current configuration; revision 0 means that there is none yet."""
 
     model_config = ConfigDict(frozen=True, extra='ignore')
 
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A configuration to put in force instead of the one that was seen.
+    """A configuration that replaces the expected revision.
 
-    :param change_id: tells this change from an equal one of someone else, so
-        that it can be sent again after a lost answer.
+    :param change_id: distinguishes this change from an equal one of another
+        operator, so that it can be resent after a lost response.
     """
 
     change_id: ChangeId
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The change is accepted."""
+    """The change took effect."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
-class Conflicted:
-    """Another revision is in force than the one seen; nothing was changed."""
+class ApplyConflict:
+    """The current revision is not the expected one; nothing was changed."""
 
     in_force: StoredConfiguration
 
@@ -124,23 +124,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     step: Step
     status: int
     document: Document
 
 
 class AdminClient:
-    """Asks one daemon.
+    """Admin client of one daemon.
 
-    :param pause: waits between attempts, in seconds.
+    :param sleep: waits between attempts, in seconds.
     """
 
     def __init__(
-        self, address: AdminAddress, pause: Callable[[float], None] = time.sleep
+        self, address: AdminAddress, sleep: Callable[[float], None] = time.sleep
     ) -> None:
         self.url = address.url.rstrip('/')
-        self._pause = pause
+        self._sleep = sleep
         self._headers = {'Authorization': f'Bearer {address.token}'}
         timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=READ_SECONDS)
         self._pool = urllib3.PoolManager(
@@ -148,42 +148,42 @@
         )
 
     def read_status(self) -> Document:
-        """Return what the daemon says of itself and its surroundings."""
+        """Return the status of the daemon and its environment."""
         return self._read('/admin/status')
 
     def read_configuration(self) -> StoredConfiguration:
-        """Return the configuration in force and its revision."""
+        """Return the current configuration and its revision."""
         return self._parse(StoredConfiguration, self._read(CONFIGURATION))
 
     def read_moves(self) -> Document:
-        """Return the moves to other versions, running and ended."""
+        """Return running and completed version moves."""
         return self._read('/admin/moves')
 
     def read_burn(self) -> BurnSnapshot:
-        """Return the burn of service levels over all reachable daemons."""
+        """Return the service-level burn over all reachable daemons."""
         return self._parse(BurnSnapshot, self._read('/admin/burn'))
 
     def drain(self, instance: InstanceId | None) -> Document:
-        """Have a backend server's instance, or the daemon itself, drained.
+        """Drain a backend server's instance or the daemon itself.
 
-        :param instance: ``None`` for the daemon that is asked.
+        :param instance: ``None`` for the contacted daemon.
         """
-        answer = self._ask('POST', '/admin/drain', {'instance': instance})
-        return self._expect_done(answer)
+        response = self._request('POST', '/admin/drain', {'instance': instance})
+        return self._check_status(response)
 
-    def apply(self, change: Change) -> Applied | Conflicted:
-        """Put a configuration in force, unless another has been since.
+    def apply(self, change: Change) -> Applied | ApplyConflict:
+        """Apply a configuration unless another one was applied in the meantime.
 
-        An answer that is lost leaves open whether the write took effect, so the
-        same change is sent again: its id lets the daemon recognise it.
+        After a lost response it is unknown whether the write took effect, so the
+        same change is resent; the daemon recognises it by its id.
 
-        :raises AdminError: with outcome ``unknown`` if no attempt was answered.
+        :raises AdminError: with outcome ``unknown`` if no attempt got a response.
         """
         retrying = Retrying(
             retry=retry_if_exception(_is_unknown),
             stop=stop_after_attempt(APPLY_ATTEMPTS),
-            wait=wait_random_exponential(max=MAX_PAUSE_SECONDS),
-            sleep=self._pause,
+            wait=wait_random_exponential(max=MAX_BACKOFF_SECONDS),
+            sleep=self._sleep,
             reraise=True,
         )
         applied = retrying(self._apply_once, change)
@@ -191,24 +191,24 @@
         if isinstance(applied, Applied) or attempts == 1:
             return applied
         if applied.in_force.configuration == change.configuration:
-            # An attempt without answer took effect: the conflict is with itself.
+            # An attempt whose response was lost took effect and caused the conflict.
             return Applied(applied.in_force.revision)
         return applied
 
-    def _apply_once(self, change: Change) -> Applied | Conflicted:
+    def _apply_once(self, change: Change) -> Applied | ApplyConflict:
         body = {
             'expected_revision': change.expected_revision,
             'change_id': change.change_id,
             'configuration': change.configuration,
         }
-        answer = self._ask('PUT', CONFIGURATION, body)
-        if answer.status == HTTPStatus.CONFLICT:
-            conflict = self._parse(_ConflictBody, answer.document)
+        response = self._request('PUT', CONFIGURATION, body)
+        if response.status == HTTPStatus.CONFLICT:
+            conflict = self._parse(_ConflictBody, response.document)
             in_force = StoredConfiguration(
                 revision=conflict.current_revision, configuration=conflict.configuration
             )
-            return Conflicted(in_force)
-        document = self._expect_done(answer)
+            return ApplyConflict(in_force)
+        document = self._check_status(response)
         return Applied(self._parse(_AppliedBody, document).revision)
 
     def _parse(self, kind: type[Body], document: Document) -> Body:
@@ -218,24 +218,24 @@
             raise self._error('unexpected answer', Outcome.UNKNOWN) from error
 
     def _read(self, path: str) -> Document:
-        return self._expect_done(self._ask('GET', path))
+        return self._check_status(self._request('GET', path))
 
-    def _expect_done(self, answer: _Answer) -> Document:
-        if answer.status < HTTPStatus.BAD_REQUEST:
-            return answer.document
-        message = _read_message(answer.document) or f'status {answer.status}'
-        if answer.status == HTTPStatus.UNAUTHORIZED:
+    def _check_status(self, response: _Response) -> Document:
+        if response.status < HTTPStatus.BAD_REQUEST:
+            return response.document
+        message = _read_message(response.document) or f'status {response.status}'
+        if response.status == HTTPStatus.UNAUTHORIZED:
             message = 'the token is not accepted'
-        raise self._error(message, _read_outcome(answer), answer.step)
+        raise self._error(message, _read_outcome(response), response.step)
 
-    def _ask(self, method: str, path: str, body: object = None) -> _Answer:
+    def _request(self, method: str, path: str, body: object = None) -> _Response:
         step = _STEPS.get((method, path), Step.REPORT)
         try:
             response = self._pool.request(
                 method, f'{self.url}{path}', headers=self._headers, json=body
             )
         except HTTPError as error:
-            outcome = _judge_failure(error)
+            outcome = _classify_failure(error)
             raise self._error(_describe(error), outcome, step) from error
         try:
             document = response.json() if response.data else {}
@@ -243,7 +243,7 @@
             document = {}
         if not isinstance(document, Mapping):
             document = {'answer': document}
-        return _Answer(step, response.status, dict(document))
+        return _Response(step, response.status, dict(document))
 
     def _error(
         self, message: str, outcome: Outcome, step: Step = Step.REPORT
@@ -255,7 +255,7 @@
     return isinstance(error, AdminError) and error.outcome is Outcome.UNKNOWN
 
 
-def _judge_failure(error: HTTPError) -> Outcome:
+def _classify_failure(error: HTTPError) -> Outcome:
     cause = error.reason if isinstance(error, MaxRetryError) else error
     if isinstance(cause, NewConnectionError):
         return Outcome.NOT_RUN
@@ -263,16 +263,16 @@
 
 
 def _describe(error: HTTPError) -> str:
-    if _judge_failure(error) is Outcome.NOT_RUN:
+    if _classify_failure(error) is Outcome.NOT_RUN:
         return 'cannot connect'
     return f'no answer: {error}'
 
 
-def _read_outcome(answer: _Answer) -> Outcome:
-    said = answer.document.get('outcome')
-    if said in {outcome.value for outcome in Outcome}:
-        return Outcome(said)
-    if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
+def _read_outcome(response: _Response) -> Outcome:
+    reported = response.document.get('outcome')
+    if reported in {outcome.value for outcome in Outcome}:
+        return Outcome(reported)
+    if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return Outcome.NOT_RUN
     return Outcome.UNKNOWN
 
--- a/libs/cli/fireflyhitch_cli/commands.py
+++ b/libs/cli/fireflyhitch_cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands: each prints its result and returns an exit code."""
+"""Implementations of the commands; each prints its result and returns an exit code."""
 
 import argparse
 import json
@@ -11,8 +11,8 @@
 from fireflyhitch_cli.admin_client import (
     AdminClient,
     Applied,
+    ApplyConflict,
     Change,
-    Conflicted,
     Document,
     StoredConfiguration,
 )
@@ -33,7 +33,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a program learns from the tool's end; part of its interface."""
+    """Exit codes, which are part of the tool's public interface."""
 
     DONE = 0
     WRONG_SETTINGS = 1
@@ -45,7 +45,7 @@
 
 
 def check(options: argparse.Namespace) -> ExitCode:
-    """Find every error in settings files, without asking a daemon."""
+    """Report every error in settings files, without contacting a daemon."""
     configuration = load_configuration(options.paths)
     counts = {
         'deployments': len(configuration.deployments),
@@ -63,29 +63,29 @@
 
 
 def apply(options: argparse.Namespace, client: AdminClient) -> ExitCode:
-    """Put files in force, if the revision seen is still the one in force."""
+    """Apply settings files if the given revision is still the current one."""
     configuration = load_configuration(options.paths).model_dump(mode='json')
     if options.dry_run:
-        return _show_change(options, client.read_configuration(), configuration)
+        return _show_dry_run(options, client.read_configuration(), configuration)
     change = Change(
         ChangeId(secrets.token_hex(CHANGE_ID_BYTES)),
         Revision(options.revision),
         configuration,
     )
     applied = client.apply(change)
-    if isinstance(applied, Conflicted):
+    if isinstance(applied, ApplyConflict):
         return _show_conflict(options, applied.in_force, configuration)
     _print_applied(options, applied)
     return ExitCode.DONE
 
 
 def show(options: argparse.Namespace, client: AdminClient) -> ExitCode:
-    """Print the configuration in force and its revision."""
+    """Print the current configuration and its revision."""
     stored = client.read_configuration()
     if options.json:
         print(render_json(stored.model_dump(mode='json')))
     else:
-        # The form that settings are written in, so that parts can be copied.
+        # Same form as in settings files, so that parts can be copied.
         print(f'revision: {stored.revision}')
         print(json.dumps(stored.configuration, ensure_ascii=False, indent=2))
     return ExitCode.DONE
@@ -98,13 +98,13 @@
 
 
 def moves(options: argparse.Namespace, client: AdminClient) -> ExitCode:
-    """Print the moves to other versions."""
+    """Print the version moves."""
     _print_document(options, client.read_moves())
     return ExitCode.DONE
 
 
 def report(options: argparse.Namespace, client: AdminClient) -> ExitCode:
-    """Print a report over all daemons that could be asked."""
+    """Print a report over all reachable daemons."""
     burn = client.read_burn()
     if options.html is not None:
         Path(options.html).write_text(render_html(burn), encoding='utf-8')
@@ -116,15 +116,15 @@
 
 
 def drain(options: argparse.Namespace, client: AdminClient) -> ExitCode:
-    """Let a backend server's instance, or the daemon asked, end its work."""
+    """Drain a backend server's instance or the contacted daemon."""
     instance = None if options.daemon else InstanceId(options.instance)
-    answer = client.drain(instance)
-    _print_document(options, answer or {'draining': instance or client.url})
+    result = client.drain(instance)
+    _print_document(options, result or {'draining': instance or client.url})
     return ExitCode.DONE
 
 
 def print_settings_errors(options: argparse.Namespace, errors: SettingsErrors) -> None:
-    """Print every error, one a line."""
+    """Print every error, one per line."""
     if options.json:
         lines = [str(error) for error in errors.exceptions]
         print(render_json({'errors': lines}))
@@ -134,10 +134,10 @@
     print(errors.message, file=sys.stderr)
 
 
-def _show_change(
-    options: argparse.Namespace, in_force: StoredConfiguration, wanted: Document
+def _show_dry_run(
+    options: argparse.Namespace, in_force: StoredConfiguration, desired: Document
 ) -> ExitCode:
-    lines = _list_difference(in_force, wanted)
+    lines = _list_difference(in_force, desired)
     if options.json:
         document = {'revision': in_force.revision, 'difference': lines}
         print(render_json(document))
@@ -149,7 +149,7 @@
 
 
 def _show_conflict(
-    options: argparse.Namespace, in_force: StoredConfiguration, wanted: Document
+    options: argparse.Namespace, in_force: StoredConfiguration, desired: Document
 ) -> ExitCode:
     message = (
         f'revision {in_force.revision} is in force, not {options.revision}; '
@@ -157,18 +157,18 @@
     )
     if options.json:
         conflict: dict[str, Any] = in_force.model_dump(mode='json')
-        print(render_json({'error': message, **conflict, 'yours': wanted}))
+        print(render_json({'error': message, **conflict, 'yours': desired}))
         return ExitCode.CONFLICT
     print(message, file=sys.stderr)
-    lines = _list_difference(in_force, wanted)
+    lines = _list_difference(in_force, desired)
     print(join_lines(lines) or 'yours is the same as the one in force')
     return ExitCode.CONFLICT
 
 
-def _list_difference(in_force: StoredConfiguration, wanted: Document) -> list[str]:
+def _list_difference(in_force: StoredConfiguration, desired: Document) -> list[str]:
     name = f'in force (revision {in_force.revision})'
     old = in_force.configuration or {}
-    return list(render_difference(old, wanted, name, 'yours'))
+    return list(render_difference(old, desired, name, 'yours'))
 
 
 def _print_applied(options: argparse.Namespace, applied: Applied) -> None:
--- a/libs/cli/fireflyhitch_cli/main.py
+++ b/libs/cli/fireflyhitch_cli/main.py
@@ -1,4 +1,4 @@
-"""The ``fireflyhitch`` program."""
+"""Entry point of the ``fireflyhitch`` program."""
 
 import argparse
 import ssl
@@ -36,8 +36,8 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command.
 
-    :param arguments: the command line without the program's name; that of the
-        process if absent.
+    :param arguments: the command line without the program's name; defaults to
+        that of the process.
     :returns: an :class:`ExitCode`.
     """
     parser = make_parser()
--- a/libs/cli/fireflyhitch_cli/options.py
+++ b/libs/cli/fireflyhitch_cli/options.py
@@ -1,4 +1,4 @@
-"""The command line: what can be asked and how."""
+"""Command-line parser."""
 
 import argparse
 import os
@@ -26,7 +26,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of all commands."""
+    """Build the parser of all commands."""
     parser = argparse.ArgumentParser(
         prog='fireflyhitch',
         description='Checks and applies configurations; reports on the daemons.',
@@ -50,14 +50,14 @@
 
 
 def read_token(options: argparse.Namespace) -> str:
-    """Return the operators' token from its file or the environment."""
+    """Read the operators' token from its file or the environment."""
     if options.token_file is not None:
         return Path(options.token_file).read_text(encoding='utf-8').strip()
     return os.environ.get(TOKEN_VARIABLE, '')
 
 
 def _add_connection(parser: argparse.ArgumentParser) -> None:
-    # The token is no option itself: command lines show in process lists.
+    # The token is not an option because command lines are visible in process lists.
     parser.add_argument(
         '--admin',
         metavar='URL',
--- a/libs/cli/fireflyhitch_cli/rendering.py
+++ b/libs/cli/fireflyhitch_cli/rendering.py
@@ -1,4 +1,4 @@
-"""Turns documents into text for people."""
+"""Renders documents as text and JSON."""
 
 import difflib
 import json
@@ -9,12 +9,12 @@
 
 
 def render_json(document: object) -> str:
-    """Return a document as one line of JSON, for programs."""
+    """Render a document as one line of JSON."""
     return json.dumps(document, ensure_ascii=False, separators=(',', ':'))
 
 
 def render_text(document: Mapping[str, Any]) -> str:
-    """Return a document as lines and tables, for people."""
+    """Render a document as human-readable lines and tables."""
     return '\n'.join(_render_mapping(document, ''))
 
 
@@ -28,7 +28,7 @@
 
 
 def render_table(rows: Sequence[Mapping[str, Any]]) -> Iterator[str]:
-    """Yield a heading and a line for each row; columns as the rows name them."""
+    """Yield a header and one line per row; the columns are the rows' keys."""
     columns = list(dict.fromkeys(name for row in rows for name in row))
     cells = [columns]
     cells.extend([_render_value(row.get(name)) for name in columns] for row in rows)
@@ -76,5 +76,5 @@
 
 
 def join_lines(lines: Iterable[str]) -> str:
-    """Return lines as one text."""
+    """Join lines into one text."""
     return '\n'.join(lines)
--- a/libs/cli/tests/conftest.py
+++ b/libs/cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small admin interface that keeps a configuration in memory."""
+"""Fixtures with a fake admin interface that keeps a configuration in memory."""
 
 import json
 import ssl
@@ -17,7 +17,7 @@
 
 
 class FakeAdmin:
-    """What the daemon would hold, and which answers get lost."""
+    """The fake daemon's state and the number of responses to lose."""
 
     def __init__(self):
         self.revision = 0
@@ -48,7 +48,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Hands requests to the server's fake."""
+    """Passes requests to the fake admin interface."""
 
     def do_GET(self):
         admin = self.server.admin
@@ -69,7 +69,7 @@
     do_POST = do_GET
 
     def log_message(self, *_):
-        """Keep tests quiet."""
+        """Suppress request logging."""
 
 
 @pytest.fixture
@@ -82,7 +82,7 @@
     thread.start()
     monkeypatch.setenv(ADMIN_VARIABLE, f'http://127.0.0.1:{server.server_port}')
     monkeypatch.setenv(TOKEN_VARIABLE, TOKEN)
-    monkeypatch.setattr('fireflyhitch_cli.admin_client.MAX_PAUSE_SECONDS', 0)
+    monkeypatch.setattr('fireflyhitch_cli.admin_client.MAX_BACKOFF_SECONDS', 0)
     yield fake
     server.shutdown()
     server.server_close()
@@ -91,7 +91,7 @@
 
 @pytest.fixture
 def authority(admin, monkeypatch, tmp_path):
-    """Put the admin interface behind TLS; return the file of its authority."""
+    """Enable TLS on the admin interface; return its CA certificate file."""
     issuer = trustme.CA()
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     issuer.issue_cert('127.0.0.1').configure_cert(context)
--- a/libs/cli/tests/test_apply_scenarios.py
+++ b/libs/cli/tests/test_apply_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of operators who change the configuration at the same time."""
+"""Scenarios of operators who change the configuration concurrently."""
 
 from pathlib import Path
 
@@ -9,22 +9,22 @@
 
 
 class TestRaces:
-    """What operators see when their changes meet."""
+    """Concurrent changes by two operators."""
 
     @staticmethod
     @scenario(FEATURE, 'Two operators race each other')
     def test_second_operator_changes_nothing():
-        """The compare-and-swap fails; both sides are shown."""
+        """The compare-and-swap fails, and both configurations are shown."""
 
     @staticmethod
     @scenario(FEATURE, 'The loser merges and applies again')
     def test_merged_change_is_accepted():
-        """The operator applies to the revision that won."""
+        """The operator applies the change to the new revision."""
 
     @staticmethod
     @scenario(FEATURE, 'The answer is lost after the change took effect')
-    def test_lost_answer_does_not_look_like_a_conflict():
-        """The tool sends the change again and finds its own in force."""
+    def test_lost_response_is_not_reported_as_a_conflict():
+        """The tool resends the change and finds that it already took effect."""
 
 
 @pytest.fixture
--- a/libs/cli/tests/test_commands.py
+++ b/libs/cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands and of what their exit codes promise."""
+"""Tests of the commands and their exit codes."""
 
 import json
 
@@ -12,14 +12,14 @@
 
 
 class TestCheck:
-    """Settings files, without a daemon."""
+    """Checking settings files without a daemon."""
 
-    def test_right_settings_are_counted(self, run, settings):
+    def test_valid_settings_are_counted(self, run, settings):
         code, out, _ = run('check', settings)
         assert code == ExitCode.DONE
         assert out == 'no errors: 2 deployments, 5 customers\n'
 
-    def test_every_error_is_one_line(self, run, tmp_path):
+    def test_each_error_is_one_line(self, run, tmp_path):
         wrong = tmp_path / 'wrong.json'
         wrong.write_text('{"customers": [{}], "shops": []}')
         code, out, err = run('check', wrong)
@@ -34,19 +34,19 @@
 
 
 class TestApply:
-    """Putting a configuration in force."""
+    """Applying a configuration."""
 
-    def test_revision_seen_is_replaced(self, run, admin, settings):
+    def test_expected_revision_is_replaced(self, run, admin, settings):
         code, out, _ = run('apply', '--revision', 0, settings)
         assert (code, out) == (ExitCode.DONE, 'in force as revision 1\n')
         assert len(admin.configuration['customers']) == 5
 
-    def test_lost_answer_is_settled_by_sending_again(self, run, admin, settings):
-        """The write takes effect and its answer is lost.
+    def test_lost_response_is_resolved_by_a_retry(self, run, admin, settings):
+        """The write takes effect but its response is lost.
 
-        The client sends the same change again. The daemon now holds another
-        revision than expected, with this very configuration: the conflict is
-        with the client's own first attempt, and the operator sees success.
+        The client resends the change and gets a conflict whose current
+        configuration equals its own. The conflict is with its first attempt, so
+        the operator sees success.
         """
         admin.lost_answers = 1
         code, out, _ = run('apply', '--revision', 0, settings)
@@ -54,20 +54,20 @@
         changes = {body['change_id'] for _, _, body in admin.requests}
         assert (len(admin.requests), len(changes)) == (2, 1)
 
-    def test_no_answer_at_all_is_said_to_be_unknown(self, run, admin, settings):
+    def test_no_response_is_reported_as_unknown(self, run, admin, settings):
         admin.lost_answers = 99
         code, _, err = run('apply', '--revision', 0, settings)
         assert code == ExitCode.UNKNOWN
         assert 'it may have taken effect' in err
 
-    def test_certain_refusal_is_not_sent_again(self, run, admin, settings):
+    def test_certain_refusal_is_not_retried(self, run, admin, settings):
         admin.unavailable = 'not-run'
         code, _, err = run('apply', '--revision', 0, settings)
         assert code == ExitCode.NOT_DONE
         assert 'store is down' in err
         assert len(admin.requests) == 1
 
-    def test_dry_run_only_shows(self, run, admin, settings):
+    def test_dry_run_changes_nothing(self, run, admin, settings):
         code, out, _ = run('apply', '--dry-run', '--revision', 0, settings)
         assert code == ExitCode.DONE
         assert '+++ yours' in out
@@ -75,9 +75,9 @@
 
 
 class TestReports:
-    """What is only read."""
+    """Read-only commands."""
 
-    def test_show_tells_revision_and_parts(self, run, admin, settings):
+    def test_show_prints_revision_and_configuration(self, run, admin, settings):
         run('apply', '--revision', 0, settings)
         code, out, _ = run('show')
         assert code == ExitCode.DONE
@@ -86,7 +86,7 @@
         assert json.loads(out)['revision'] == 1
 
     @pytest.mark.parametrize('command', ['status', 'moves'])
-    def test_documents_become_tables(self, run, admin, command):
+    def test_documents_are_printed_as_tables(self, run, admin, command):
         rows = [{'name': 'a', 'share': 0.25}, {'name': 'bc', 'late': True}]
         admin.documents[f'/admin/{command}'] = {'ready': True, 'rows': rows}
         code, out, _ = run(command)
@@ -99,7 +99,7 @@
             '  bc    -      yes',
         ]
 
-    def test_burn_is_a_table_and_a_page(self, run, admin, tmp_path):
+    def test_burn_report_as_table_and_html_page(self, run, admin, tmp_path):
         recorder = BurnRecorder(ManualClock(), 'gent')
         recorder.set_targets({'summaries': BurnTarget(first_token_seconds=1)})
         recorder.record('bakery', 'summaries', 'chat', 'v1', ok=True, first_token=0.1)
@@ -112,7 +112,7 @@
         _, out, _ = run('--json', 'report', 'burn')
         assert json.loads(out)['rows'][0]['customer'] == 'bakery'
 
-    def test_burn_without_some_failure_domain_is_incomplete(self, run, admin):
+    def test_burn_report_lacking_a_failure_domain_is_incomplete(self, run, admin):
         snapshot = BurnRecorder(ManualClock(), 'gent').snapshot()
         burn = snapshot.model_copy(update={'unreached': ('aalst',)})
         admin.documents['/admin/burn'] = burn.model_dump(mode='json')
@@ -122,42 +122,42 @@
 
 
 class TestDrain:
-    """Letting an instance leave."""
+    """Draining an instance or a daemon."""
 
     @pytest.mark.parametrize(
         ('target', 'instance'),
         [(('--daemon',), None), (('--instance', 'gent-3'), 'gent-3')],
     )
-    def test_target_is_named(self, run, admin, target, instance):
+    def test_target_is_sent(self, run, admin, target, instance):
         admin.documents['/admin/drain'] = {}
         assert run('drain', *target)[0] == ExitCode.DONE
         assert admin.requests[-1] == ('POST', '/admin/drain', {'instance': instance})
 
 
 class TestConnection:
-    """A daemon that cannot be asked."""
+    """Authentication and connection errors."""
 
-    def test_wrong_token_is_named_and_not_shown(self, run, admin, monkeypatch):
+    def test_wrong_token_is_reported_without_showing_it(self, run, admin, monkeypatch):
         monkeypatch.setenv(TOKEN_VARIABLE, 'guess')
         code, _, err = run('status')
         assert code == ExitCode.NOT_DONE
         assert err.startswith('the token is not accepted (at report with http')
         assert 'guess' not in err
 
-    def test_token_comes_from_a_file(self, run, admin, monkeypatch, tmp_path):
+    def test_token_is_read_from_a_file(self, run, admin, monkeypatch, tmp_path):
         monkeypatch.delenv(TOKEN_VARIABLE)
         token_file = tmp_path / 'token'
         token_file.write_text('operator-token\n')
         assert run('--token-file', token_file, 'show')[0] == ExitCode.DONE
 
-    def test_absent_daemon_has_changed_nothing(self, run, admin, settings):
+    def test_unreachable_daemon_is_not_run(self, run, admin, settings):
         unused = 'http://127.0.0.1:1'
         command = ('--admin', unused, 'apply', '--revision', 0, settings)
         code, _, err = run(*command)
         assert code == ExitCode.NOT_DONE
         assert 'cannot connect' in err
 
-    def test_certificate_needs_a_known_authority(self, run, authority):
+    def test_certificate_requires_a_trusted_authority(self, run, authority):
         assert run('--authority', authority, 'show')[0] == ExitCode.DONE
         code, _, err = run('show')
         assert code == ExitCode.NOT_DONE
