--- a/libs/platform/fireflyhitch_platform/__init__.py
+++ b/libs/platform/fireflyhitch_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's services behind narrow protocols."""
+"""Protocols and clients of the platform's services."""
--- a/libs/platform/fireflyhitch_platform/cloud.py
+++ b/libs/platform/fireflyhitch_platform/cloud.py
@@ -1,4 +1,4 @@
-"""The client of the cloud API."""
+"""Client of the cloud API."""
 
 from pydantic import BaseModel, ConfigDict, TypeAdapter
 
@@ -15,8 +15,8 @@
 
 READ_NOTICES = Operation('read-notices', 'GET', Step.CLOUD)
 READ_PRICES = Operation('read-prices', 'GET', Step.CLOUD)
-# Repeating these is safe: an order's id starts one instance, and an instance
-# that has gone is not stopped again.
+# Retrying these is safe: each order id starts only one instance, and stopping a
+# stopped instance has no effect.
 START = Operation('start', 'POST', Step.CLOUD)
 STOP = Operation('stop', 'DELETE', Step.CLOUD)
 
@@ -44,7 +44,7 @@
 
 
 class HttpCloud:
-    """Implements ``Cloud``; each method raises ``PlatformError``.
+    """HTTP implementation of ``Cloud``; each method may raise ``PlatformError``.
 
     :param url: base URL of the cloud API.
     """
@@ -54,21 +54,21 @@
         self._http = PlatformHttp('cloud', policy)
 
     def read_notices(self) -> tuple[ReclaimNotice, ...]:
-        """Return the reclaim notices in force."""
+        """Return the current reclaim notices."""
         response = self._http.call(READ_NOTICES, f'{self._url}/notices')
         return parse_body(_NOTICES, response, Step.CLOUD, self._url).notices
 
     def read_prices(self) -> tuple[Price, ...]:
-        """Return the prices of now."""
+        """Return the current prices."""
         response = self._http.call(READ_PRICES, f'{self._url}/prices')
         return parse_body(_PRICES, response, Step.CLOUD, self._url).prices
 
     def start(self, order: InstanceOrder) -> InstanceId | None:
-        """Start an instance; ``None`` if the cloud has none to give."""
+        """Start an instance; return ``None`` if the cloud has none available."""
         document = _ORDER.dump_python(order, mode='json')
         response = self._http.call(START, f'{self._url}/instances', document)
         return parse_body(_STARTED, response, Step.CLOUD, self._url).instance
 
     def stop(self, instance: InstanceId) -> None:
-        """Give an instance back."""
+        """Stop an instance and return it to the cloud."""
         self._http.call(STOP, f'{self._url}/instances/{instance}')
--- a/libs/platform/fireflyhitch_platform/engines.py
+++ b/libs/platform/fireflyhitch_platform/engines.py
@@ -1,4 +1,4 @@
-"""The client of model engines: orders, reports, streams and KV cache."""
+"""Client of model engines: orders, reports, streams and KV caches."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     Operation,
     PlatformHttp,
     PlatformResponse,
-    Repeat,
+    RetryPolicy,
     StatusError,
     parse_body,
 )
@@ -26,16 +26,16 @@
 KV_TOKENS_HEADER = 'Kv-Tokens'
 
 READ_STATE = Operation('read-state', 'GET', Step.ORDER)
-# Whoever gives an order reads the engine's state first, also before giving it
-# again: an engine that ignores fencing would run an old order late.
-GIVE_ORDER = Operation('give-order', 'POST', Step.ORDER, Repeat.NEVER)
-READ_LOAD = Operation('read-load', 'GET', Step.ROUTE, Repeat.NEVER)
-READ_EVENTS = Operation('read-cache-events', 'GET', Step.ROUTE, Repeat.NEVER)
+# The sender reads the engine's state before each attempt, so there is no automatic
+# retry: an engine that ignores fencing would run a delayed old order.
+SEND_ORDER = Operation('give-order', 'POST', Step.ORDER, RetryPolicy.NEVER)
+READ_LOAD = Operation('read-load', 'GET', Step.ROUTE, RetryPolicy.NEVER)
+READ_EVENTS = Operation('read-cache-events', 'GET', Step.ROUTE, RetryPolicy.NEVER)
 CANCEL = Operation('cancel', 'DELETE', Step.RELAY)
-EXPORT_KV = Operation('export-kv', 'GET', Step.RESUME, Repeat.NEVER)
-IMPORT_KV = Operation('import-kv', 'PUT', Step.RESUME, Repeat.NEVER)
+EXPORT_KV = Operation('export-kv', 'GET', Step.RESUME, RetryPolicy.NEVER)
+IMPORT_KV = Operation('import-kv', 'PUT', Step.RESUME, RetryPolicy.NEVER)
 
-# Returns ``host:port`` of a backend server; ``None`` if it is not known.
+# Returns ``host:port`` of a backend server, or ``None`` if it is unknown.
 FindAddress = Callable[[BackendServerId], str | None]
 
 
@@ -43,8 +43,8 @@
 class KvExport:
     """The KV cache of a stream.
 
-    :param tokens: how many tokens of prompt and answer it covers.
-    :param cache: opaque bytes, for an engine of the same version.
+    :param tokens: number of prompt and response tokens that it covers.
+    :param cache: opaque bytes for an engine of the same version.
     """
 
     tokens: int
@@ -80,9 +80,9 @@
 
 
 class HttpEngines:
-    """Implements ``Engines``, and reads what engines report.
+    """HTTP implementation of ``Engines`` that also reads engine reports.
 
-    :param find_address: where a backend server listens now.
+    :param find_address: returns the current address of a backend server.
     """
 
     def __init__(
@@ -96,18 +96,18 @@
         self._clock = clock or SystemClock()
 
     def read_state(self, server: BackendServerId) -> EngineState:
-        """Ask an engine what it holds."""
+        """Read an engine's version, adapters, role and readiness."""
         response = self._call(READ_STATE, server, 'state')
         return parse_body(_STATE, response, Step.ORDER, server)
 
     def give_order(self, server: BackendServerId, order: EngineOrder) -> bool:
-        """Give an order; ``False`` is the refusal of an old fencing number.
+        """Send an order; return ``False`` if its fencing number is outdated.
 
-        :raises PlatformError: with ``unknown`` if the order may be carried out.
+        :raises PlatformError: with outcome ``unknown`` if the order may still run.
         """
         document = _ORDER.dump_python(order, mode='json')
         try:
-            self._call(GIVE_ORDER, server, 'orders', document)
+            self._call(SEND_ORDER, server, 'orders', document)
         except StatusError as error:
             if error.status == HTTPStatus.CONFLICT:
                 return False
@@ -115,7 +115,7 @@
         return True
 
     def read_load(self, server: BackendServerId) -> LoadReport:
-        """Ask an engine for its load, and date it back by its age."""
+        """Read an engine's load, timestamped with its age subtracted."""
         asked = self._clock.monotonic()
         response = self._call(READ_LOAD, server, 'load')
         answered = asked + (self._clock.monotonic() - asked) * HALF
@@ -131,7 +131,7 @@
     def read_cache_events(
         self, server: BackendServerId, after: int
     ) -> tuple[CacheEvent, ...]:
-        """Return what an engine tells of its prefix cache after a number."""
+        """Return an engine's prefix cache events after a sequence number."""
         response = self._call(READ_EVENTS, server, f'cache-events?after={after}')
         return tuple(
             CacheEvent(
@@ -141,7 +141,7 @@
         )
 
     def cancel(self, server: BackendServerId, attempt: AttemptId) -> None:
-        """Cancel a stream; one that has ended is no error."""
+        """Cancel a stream; it is no error if it has already ended."""
         try:
             self._call(CANCEL, server, f'streams/{attempt}')
         except StatusError as error:
@@ -149,7 +149,7 @@
                 raise
 
     def export_kv(self, server: BackendServerId, attempt: AttemptId) -> KvExport:
-        """Fetch the KV cache of a stream."""
+        """Export the KV cache of a stream."""
         response = self._call(EXPORT_KV, server, f'kv/{attempt}')
         tokens = int(response.headers.get(KV_TOKENS_HEADER, '0'))
         return KvExport(tokens, response.body)
@@ -157,8 +157,8 @@
     def import_kv(
         self, server: BackendServerId, attempt: AttemptId, export: KvExport
     ) -> None:
-        """Give a stream's KV cache to another engine."""
-        url = f'{self._locate(server, IMPORT_KV)}/engine/kv/{attempt}'
+        """Import a stream's KV cache into another engine."""
+        url = f'{self._resolve_url(server, IMPORT_KV)}/engine/kv/{attempt}'
         headers = {KV_TOKENS_HEADER: str(export.tokens)}
         self._http.call(IMPORT_KV, url, headers=headers, body=export.cache)
 
@@ -169,10 +169,10 @@
         path: str,
         document: object = None,
     ) -> PlatformResponse:
-        url = f'{self._locate(server, operation)}/engine/{path}'
+        url = f'{self._resolve_url(server, operation)}/engine/{path}'
         return self._http.call(operation, url, document)
 
-    def _locate(self, server: BackendServerId, operation: Operation) -> str:
+    def _resolve_url(self, server: BackendServerId, operation: Operation) -> str:
         address = self._find_address(server)
         if address is None:
             raise PlatformError(
--- a/libs/platform/fireflyhitch_platform/etcd.py
+++ b/libs/platform/fireflyhitch_platform/etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service over the JSON gateway of etcd's version 3 interface."""
+"""Key-value store client for the JSON gateway of the etcd v3 API."""
 
 import json
 import math
@@ -22,7 +22,7 @@
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import LeaseId, Revision
 from fireflyhitch_model.states import Outcome, Step
-from fireflyhitch_platform.etcd_forms import (
+from fireflyhitch_platform.etcd_messages import (
     Json,
     encode_key,
     encode_range,
@@ -46,11 +46,11 @@
 POOL_CONNECTIONS = 16
 ATTEMPTS = 3
 FIRST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 0.5
 HTTP_OK = 200
-# The gateway refused the call before it reached the store.
+# The gateway rejected the call before it reached the store.
 HTTP_CLIENT_ERRORS = range(400, 500)  # noqa: WPS432 the class of statuses
-# The gateway gives gRPC's code; the store says this before it takes a write.
+# The gateway returns a gRPC code; the store reports this before it runs a write.
 NO_LEADER = 'etcdserver: no leader'
 
 Returned = TypeVar('Returned')
@@ -72,15 +72,15 @@
 
 
 class LeaseNotFoundError(PlatformError):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
 
 
-class BudgetSpentError(PlatformError):
-    """This daemon has called the store too often; nothing was sent."""
+class BudgetExceededError(PlatformError):
+    """The daemon's call budget is exhausted; nothing was sent."""
 
 
 def _is_transient(error: BaseException) -> bool:
-    if isinstance(error, (LeaseNotFoundError, BudgetSpentError)):
+    if isinstance(error, (LeaseNotFoundError, BudgetExceededError)):
         return False
     return isinstance(error, PlatformError)
 
@@ -94,11 +94,11 @@
 
 
 class EtcdKeyValueStore:
-    """Implements ``KeyValueStore``; safe to use from any thread.
+    """Thread-safe etcd implementation of ``KeyValueStore``.
 
-    Reads and renewals are tried again with jitter. Writes are tried again only
-    where the first try certainly did not reach the store; whoever writes knows
-    best how to settle the others.
+    Reads and lease renewals are retried with jitter. Writes are retried only if
+    the first attempt certainly did not reach the store; the caller has to resolve
+    the others.
 
     :param base_url: for example ``http://10.0.0.1:2379``.
     """
@@ -115,13 +115,13 @@
 
     def get(self, key: str) -> KeyValue | None:
         """Read one key."""
-        answer = self._try_again(partial(self._post, GET, {'key': encode_key(key)}))
+        answer = self._retry(partial(self._post, GET, {'key': encode_key(key)}))
         items = [read_item(one) for one in answer.get('kvs', ())]
         return items[0] if items else None
 
     def get_prefix(self, prefix: str) -> Listing:
         """Read all keys below a prefix at one revision."""
-        answer = self._try_again(partial(self._post, GET, encode_range(prefix)))
+        answer = self._retry(partial(self._post, GET, encode_range(prefix)))
         items = tuple(read_item(one) for one in answer.get('kvs', ()))
         return Listing(read_revision(answer), items)
 
@@ -144,23 +144,23 @@
         return self._write_if(key, expected, delete)
 
     def grant_lease(self, duration: timedelta) -> LeaseId:
-        """Make a lease; its duration is rounded up to whole seconds."""
+        """Create a lease; its duration is rounded up to whole seconds."""
         seconds = math.ceil(duration.total_seconds())
         answer = self._post_write(LEASE_GRANT, {'TTL': str(seconds), 'ID': '0'})
         return LeaseId(int(answer['ID']))
 
     def keep_lease(self, lease: LeaseId) -> bool:
-        """Renew a lease; ``False`` if it has ended."""
+        """Renew a lease; return ``False`` if it has expired."""
         keep = partial(self._post, LEASE_KEEP, {'ID': str(lease)})
-        answer = self._try_again(keep)
+        answer = self._retry(keep)
         renewed = answer.get('result', {})
         return int(renewed.get('TTL', 0)) > 0
 
     def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease and delete its keys; repeating it does no harm."""
+        """Revoke a lease and delete its keys; idempotent."""
         revoke = partial(self._post, LEASE_REVOKE, {'ID': str(lease)})
         try:
-            self._try_again(revoke)
+            self._retry(revoke)
         except LeaseNotFoundError:
             return
 
@@ -171,8 +171,8 @@
 
         :raises WatchCompacted: if that revision is no longer held.
         """
-        self._spend(WATCH)
-        ends = self._clock.monotonic() + timeout.total_seconds()
+        self._consume_budget(WATCH)
+        deadline = self._clock.monotonic() + timeout.total_seconds()
         create = {
             **encode_range(prefix),
             'start_revision': str(after + 1),
@@ -180,15 +180,15 @@
         }
         response = self._open(WATCH, {'create_request': create}, timeout)
         try:
-            for notice in self._read_lines(response):
-                if notice.get('compact_revision'):
+            for update in self._read_lines(response):
+                if update.get('compact_revision'):
                     raise WatchCompacted
-                yield from map(read_event, notice.get('events', ()))
-                if self._clock.monotonic() >= ends:
+                yield from map(read_event, update.get('events', ()))
+                if self._clock.monotonic() >= deadline:
                     return
         finally:
-            # The stream has no end; a connection closed half way through
-            # cannot be used again.
+            # The stream never ends, and a connection with a partly read
+            # response cannot be reused.
             response.close()
 
     def _write_if(self, key: str, expected: Revision, write: Json) -> WriteResult:
@@ -208,31 +208,31 @@
         return Conflict(read_item(found[0]) if found else None)
 
     def _post_write(self, call: _Call, body: Json) -> Json:
-        return self._try_again(partial(self._post, call, body), _is_not_run)
+        return self._retry(partial(self._post, call, body), _is_not_run)
 
-    def _try_again(
+    def _retry(
         self,
         work: Callable[[], Returned],
-        is_safe: Callable[[BaseException], bool] = _is_transient,
+        may_retry: Callable[[BaseException], bool] = _is_transient,
     ) -> Returned:
         retrying = tenacity.Retrying(
             stop=tenacity.stop_after_attempt(ATTEMPTS),
             wait=tenacity.wait_random_exponential(
-                multiplier=FIRST_RETRY_SECONDS, max=LONGEST_RETRY_SECONDS
+                multiplier=FIRST_RETRY_SECONDS, max=MAX_RETRY_SECONDS
             ),
-            retry=tenacity.retry_if_exception(is_safe),
+            retry=tenacity.retry_if_exception(may_retry),
             sleep=self._sleep,
             reraise=True,
         )
         return retrying(work)
 
     def _post(self, call: _Call, body: Json) -> Json:
-        self._spend(call)
+        self._consume_budget(call)
         response = self._open(call, body, None)
         try:
             answer: Json = json.loads(response.data)
         except (HTTPError, ValueError) as error:
-            raise self._fail(call, 'answer cut off', Outcome.UNKNOWN) from error
+            raise self._make_error(call, 'answer cut off', Outcome.UNKNOWN) from error
         finally:
             response.release_conn()
         return answer
@@ -240,7 +240,7 @@
     def _open(
         self, call: _Call, body: Json, timeout: timedelta | None
     ) -> urllib3.BaseHTTPResponse:
-        """Send a call; its status is checked, its body not yet read."""
+        """Send a call and check the status, without reading the body."""
         seconds = timeout.total_seconds() if timeout else READ_SECONDS
         wait = urllib3.Timeout(connect=CONNECT_SECONDS, read=max(seconds, READ_SECONDS))
         try:
@@ -252,14 +252,14 @@
                 timeout=wait,
             )
             if response.status != HTTP_OK:
-                self._refuse(call, response.status, response.data)
+                self._raise_status_error(call, response.status, response.data)
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise self._fail(call, 'no connection', Outcome.NOT_RUN) from error
+            raise self._make_error(call, 'no connection', Outcome.NOT_RUN) from error
         except HTTPError as error:
-            raise self._fail(call, 'no answer', Outcome.UNKNOWN) from error
+            raise self._make_error(call, 'no answer', Outcome.UNKNOWN) from error
         return response
 
-    def _refuse(self, call: _Call, status: int, body: bytes) -> None:
+    def _raise_status_error(self, call: _Call, status: int, body: bytes) -> None:
         message = _read_error(body)
         if 'lease not found' in message:
             raise LeaseNotFoundError(
@@ -267,7 +267,7 @@
             )
         certain = status in HTTP_CLIENT_ERRORS or message == NO_LEADER
         outcome = Outcome.NOT_RUN if certain else Outcome.UNKNOWN
-        raise self._fail(call, f'status {status}: {message}', outcome)
+        raise self._make_error(call, f'status {status}: {message}', outcome)
 
     def _read_lines(self, response: urllib3.BaseHTTPResponse) -> Iterator[Json]:
         pending = b''
@@ -279,18 +279,18 @@
         except ReadTimeoutError:
             return
         except (HTTPError, ValueError) as error:
-            raise self._fail(WATCH, 'watch cut off', Outcome.UNKNOWN) from error
+            raise self._make_error(WATCH, 'watch cut off', Outcome.UNKNOWN) from error
 
-    def _spend(self, call: _Call) -> None:
+    def _consume_budget(self, call: _Call) -> None:
         if not self.budget.take(call.kind):
-            raise BudgetSpentError(
+            raise BudgetExceededError(
                 f'own budget for {call.kind.value} calls is spent',
                 step=call.step,
                 peer=self._base,
                 outcome=Outcome.NOT_RUN,
             )
 
-    def _fail(self, call: _Call, message: str, outcome: Outcome) -> PlatformError:
+    def _make_error(self, call: _Call, message: str, outcome: Outcome) -> PlatformError:
         return PlatformError(message, step=call.step, peer=self._base, outcome=outcome)
 
     def _sleep(self, seconds: float) -> None:
--- a/libs/platform/fireflyhitch_platform/etcd_messages.py
+++ b/libs/platform/fireflyhitch_platform/etcd_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of etcd's JSON gateway: Base64 keys, numbers as text."""
+"""Message encoding of etcd's JSON gateway: Base64 keys, numbers as strings."""
 
 import base64
 from typing import Any
@@ -11,23 +11,23 @@
 
 
 def encode_key(key: str | bytes) -> str:
-    """Return a key or value in Base64."""
+    """Encode a key or value in Base64."""
     content = key.encode() if isinstance(key, str) else key
     return base64.b64encode(content).decode()
 
 
 def decode_key(text: str) -> bytes:
-    """Return a key or value from Base64."""
+    """Decode a key or value from Base64."""
     return base64.b64decode(text)
 
 
 def encode_range(prefix: str) -> Json:
-    """Return the range of all keys with a prefix."""
-    return {'key': encode_key(prefix), 'range_end': encode_key(end_of(prefix))}
+    """Return the request fields for all keys with a prefix."""
+    return {'key': encode_key(prefix), 'range_end': encode_key(find_range_end(prefix))}
 
 
-def end_of(prefix: str) -> bytes:
-    """Return the first key after all those with a prefix."""
+def find_range_end(prefix: str) -> bytes:
+    """Return the first key after all keys with a prefix."""
     head = prefix.encode().rstrip(bytes([LAST_BYTE]))
     if not head:
         return b'\x00'
@@ -35,12 +35,12 @@
 
 
 def read_revision(answer: Json) -> Revision:
-    """Return the store's revision of an answer."""
+    """Read the store's revision from a response."""
     return Revision(int(answer['header']['revision']))
 
 
 def read_item(item: Json) -> KeyValue:
-    """Return a stored value."""
+    """Convert a key-value item."""
     return KeyValue(
         decode_key(item['key']).decode(),
         decode_key(item.get('value', '')),
@@ -50,7 +50,7 @@
 
 
 def read_event(event: Json) -> WatchEvent:
-    """Return a change; the gateway leaves the type out for a write."""
+    """Convert a watch event; the gateway omits the type of a write."""
     item = event['kv']
     key = decode_key(item['key']).decode()
     revision = Revision(int(item['mod_revision']))
--- a/libs/platform/fireflyhitch_platform/http.py
+++ b/libs/platform/fireflyhitch_platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform: timeouts, safe repeats, outcomes and counts."""
+"""HTTP calls to the platform with timeouts, safe retries and call counts."""
 
 import ssl
 import threading
@@ -24,24 +24,24 @@
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.states import Outcome, Step
 
-# The platform answers in milliseconds; a duty's lease allows for seconds.
+# The platform responds in milliseconds; a duty's lease leaves room for seconds.
 DEFAULT_CONNECT_SECONDS = 1
 DEFAULT_READ_SECONDS = 2
 DEFAULT_ATTEMPTS = 3
-MAX_PAUSE_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 0.5
 CONNECTIONS = 4
 
-# The platform answers these without having done anything.
-REFUSALS = frozenset(
+# The platform returns these statuses without having had any effect.
+NOT_RUN_STATUSES = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.NOT_FOUND, HTTPStatus.CONFLICT)
 )
 
 
-class Repeat(Enum):
-    """When a call may be sent again.
+class RetryPolicy(Enum):
+    """When a call may be retried.
 
-    ``ALWAYS`` is for reads and idempotent writes; ``IF_NOT_RUN`` for writes
-    whose second effect would do harm.
+    ``ALWAYS`` is for reads and idempotent writes, ``IF_NOT_RUN`` for writes
+    that must not take effect twice.
     """
 
     ALWAYS = 'always'
@@ -51,27 +51,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """A kind of call.
+    """A type of platform call.
 
-    :param reads: a read has no effect, so a failed one never leaves doubt.
+    :param is_read: whether it has no effect, so that a failed call counts as
+        not run.
     """
 
     name: str
     method: str
     step: Step
-    repeat: Repeat = Repeat.ALWAYS
+    retry_policy: RetryPolicy = RetryPolicy.ALWAYS
 
     @property
-    def reads(self) -> bool:
-        """Whether it changes nothing."""
+    def is_read(self) -> bool:
+        """Return whether the call has no effect."""
         return self.method == 'GET'
 
 
 @dataclass(frozen=True, slots=True)
 class CallRecord:
-    """One call as it counts against the platform's rates.
+    """One call that counts against the platform's rate limits.
 
-    :param outcome: ``ran`` if it was answered.
+    :param outcome: ``ran`` if a response was received.
     """
 
     service: str
@@ -84,7 +85,7 @@
 
 
 class StatusError(PlatformError):
-    """The service answered with an error status."""
+    """The service returned an error status."""
 
     def __init__(self, message: str, status: int, **place: Any) -> None:
         super().__init__(message, **place)
@@ -92,7 +93,7 @@
 
 
 class CallCounts:
-    """Counts calls by service, operation and outcome; safe in any thread."""
+    """Thread-safe call counts by service, operation and outcome."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -104,31 +105,31 @@
             self._counts[record.service, record.operation, record.outcome] += 1
 
     def count(self, service: str, operation: str, outcome: Outcome) -> int:
-        """Return how many calls of a kind ended in an outcome."""
+        """Return the number of calls of an operation with an outcome."""
         with self._lock:
             return self._counts[service, operation, outcome]
 
 
 @dataclass(frozen=True, slots=True)
 class CallPolicy:
-    """How long a call may take and how often it is sent.
+    """Timeouts and retries of calls.
 
-    :param observer: told of each call, also of those sent again.
-    :param pause: waits between attempts, in seconds.
+    :param observer: called for each attempt, including retries.
+    :param sleep: waits between attempts, in seconds.
     """
 
     connect_seconds: float = DEFAULT_CONNECT_SECONDS
     read_seconds: float = DEFAULT_READ_SECONDS
     attempts: int = DEFAULT_ATTEMPTS
     observer: CallObserver | None = None
-    pause: Callable[[float], None] = time.sleep
+    sleep: Callable[[float], None] = time.sleep
     clock: Clock = field(default_factory=SystemClock)
     tls: ssl.SSLContext | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformResponse:
-    """An answer that is no error."""
+    """A response without an error status."""
 
     status: int
     headers: Mapping[str, str]
@@ -141,7 +142,7 @@
 class PlatformHttp:
     """Calls one service of the platform.
 
-    :param service: its name in errors and counts.
+    :param service: its name in call records.
     """
 
     def __init__(self, service: str, policy: CallPolicy | None = None) -> None:
@@ -165,17 +166,17 @@
         headers: Mapping[str, str] | None = None,
         body: bytes | None = None,
     ) -> PlatformResponse:
-        """Send a call, again where that is safe.
+        """Send a call and retry it where that is safe.
 
-        :param document: sent as JSON; ``body`` is sent as it is.
-        :raises PlatformError: with ``not-run`` only where that is certain.
+        :param document: sent as JSON; ``body`` is sent unchanged.
+        :raises PlatformError: with outcome ``not-run`` only if that is certain.
         """
         attempt = _Attempt(self._pool, operation, url, document, headers, body)
         retrying = Retrying(
-            retry=retry_if_exception(lambda error: _may_repeat(operation, error)),
+            retry=retry_if_exception(lambda error: _may_retry(operation, error)),
             stop=stop_after_attempt(self._policy.attempts),
-            wait=wait_random_exponential(max=MAX_PAUSE_SECONDS),
-            sleep=self._policy.pause,
+            wait=wait_random_exponential(max=MAX_BACKOFF_SECONDS),
+            sleep=self._policy.sleep,
             reraise=True,
         )
         return retrying(self._call_once, attempt)
@@ -199,9 +200,9 @@
 def parse_body(
     adapter: TypeAdapter[Parsed], response: PlatformResponse, step: Step, peer: str
 ) -> Parsed:
-    """Return an answer's body, checked.
+    """Validate and return a response body.
 
-    :raises PlatformError: if it is not what the service promises.
+    :raises PlatformError: if it does not have the expected form.
     """
     try:
         return adapter.validate_json(response.body)
@@ -228,7 +229,7 @@
         try:
             response = self.pool.request(self.operation.method, self.url, **options)
         except HTTPError as error:
-            raise self._error(str(error), _judge_failure(error)) from error
+            raise self._error(str(error), _classify_failure(error)) from error
         if response.status >= HTTPStatus.BAD_REQUEST:
             raise self._status_error(response)
         return PlatformResponse(response.status, response.headers, response.data)
@@ -239,7 +240,7 @@
             response.status,
             step=self.operation.step,
             peer=self.url,
-            outcome=self._bound(_judge_status(response)),
+            outcome=self._resolve_outcome(_classify_status(response)),
         )
 
     def _error(self, message: str, outcome: Outcome) -> PlatformError:
@@ -247,38 +248,41 @@
             message,
             step=self.operation.step,
             peer=self.url,
-            outcome=self._bound(outcome),
+            outcome=self._resolve_outcome(outcome),
         )
 
-    def _bound(self, outcome: Outcome) -> Outcome:
-        return Outcome.NOT_RUN if self.operation.reads else outcome
+    def _resolve_outcome(self, outcome: Outcome) -> Outcome:
+        return Outcome.NOT_RUN if self.operation.is_read else outcome
 
 
-def _may_repeat(operation: Operation, error: BaseException) -> bool:
-    if not isinstance(error, PlatformError) or operation.repeat is Repeat.NEVER:
+def _may_retry(operation: Operation, error: BaseException) -> bool:
+    if (
+        not isinstance(error, PlatformError)
+        or operation.retry_policy is RetryPolicy.NEVER
+    ):
         return False
-    if operation.repeat is Repeat.IF_NOT_RUN:
+    if operation.retry_policy is RetryPolicy.IF_NOT_RUN:
         return error.outcome is Outcome.NOT_RUN
     return True
 
 
-def _judge_failure(error: HTTPError) -> Outcome:
-    # Without a connection nothing was sent. A connection that breaks later
-    # may have carried the request, so its effect stays unknown.
+def _classify_failure(error: HTTPError) -> Outcome:
+    # Without a connection nothing was sent. If the connection breaks later, the
+    # request may have been received, so its outcome is unknown.
     if isinstance(error, (NewConnectionError, ConnectTimeoutError)):
         return Outcome.NOT_RUN
     return Outcome.UNKNOWN
 
 
-def _judge_status(response: urllib3.BaseHTTPResponse) -> Outcome:
-    if response.status in REFUSALS:
+def _classify_status(response: urllib3.BaseHTTPResponse) -> Outcome:
+    if response.status in NOT_RUN_STATUSES:
         return Outcome.NOT_RUN
     try:
         document = response.json()
     except ValueError:
         document = {}
-    said = document.get('outcome') if isinstance(document, dict) else None
-    if said == Outcome.NOT_RUN.value:
+    reported = document.get('outcome') if isinstance(document, dict) else None
+    if reported == Outcome.NOT_RUN.value:
         return Outcome.NOT_RUN
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
         return Outcome.NOT_RUN
--- a/libs/platform/fireflyhitch_platform/instance_list.py
+++ b/libs/platform/fireflyhitch_platform/instance_list.py
@@ -1,4 +1,4 @@
-"""The client of the instance list."""
+"""Client of the instance list."""
 
 import threading
 from http import HTTPStatus
@@ -20,9 +20,9 @@
 
 
 class HttpInstanceList:
-    """Implements ``InstanceList``; an unchanged list is not sent again.
+    """HTTP implementation of ``InstanceList``; an unchanged list is not resent.
 
-    :param url: the list's own URL.
+    :param url: URL of the list.
     """
 
     def __init__(self, url: str, policy: CallPolicy | None = None) -> None:
@@ -33,9 +33,9 @@
         self._listing = InstanceListing()
 
     def read(self) -> InstanceListing:
-        """Return the list as the platform knows it.
+        """Return the platform's current list.
 
-        :raises PlatformError: if it cannot be read now.
+        :raises PlatformError: if it cannot be read.
         """
         with self._lock:
             headers = {} if self._tag is None else {'If-None-Match': self._tag}
--- a/libs/platform/fireflyhitch_platform/keyvalue.py
+++ b/libs/platform/fireflyhitch_platform/keyvalue.py
@@ -1,4 +1,4 @@
-"""The key-value service as the other libraries see it."""
+"""Protocol and records of the key-value store."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -13,7 +13,7 @@
     """A stored value.
 
     :param revision: the store's revision at which it was last written.
-    :param created: the store's revision at which the key came to be.
+    :param created: the store's revision at which the key was created.
     """
 
     key: str
@@ -39,7 +39,7 @@
 
 @immutable
 class Conflict:
-    """A write that had no effect, since the key held another revision."""
+    """A write that had no effect because the key had another revision."""
 
     current: KeyValue | None
 
@@ -49,7 +49,7 @@
 
 @immutable
 class WatchEvent:
-    """A change below a watched prefix; no value means the key was deleted."""
+    """A change below a watched prefix; the value is ``None`` for a deletion."""
 
     key: str
     value: bytes | None
@@ -57,15 +57,15 @@
 
 
 class WatchCompacted(Exception):
-    """The store no longer holds the revision asked for: read anew, then watch."""
+    """The requested revision was compacted: re-list, then watch again."""
 
 
 class KeyValueStore(Protocol):
-    """Compare-and-swap, leases and watches.
+    """A store with compare-and-swap, leases and watches.
 
-    Each method raises ``PlatformError``; its ``outcome`` tells whether a write
+    Each method may raise ``PlatformError``, whose ``outcome`` tells whether a write
     certainly had no effect or may have had one. Each call counts against the
-    store's rates, a waiting watch as one.
+    store's rate limits; a waiting watch counts as one call.
     """
 
     def get(self, key: str) -> KeyValue | None:
@@ -87,16 +87,16 @@
         """Delete if the key was last written at a revision."""
 
     def grant_lease(self, duration: timedelta) -> LeaseId:
-        """Make a lease; keys bound to it go when it ends."""
+        """Create a lease; its keys are deleted when it expires."""
 
     def keep_lease(self, lease: LeaseId) -> bool:
         """Renew a lease.
 
-        :returns: whether the lease was still there to renew.
+        :returns: ``False`` if the lease has expired.
         """
 
     def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     def watch(
         self, prefix: str, after: Revision, timeout: timedelta
--- a/libs/platform/fireflyhitch_platform/rates.py
+++ b/libs/platform/fireflyhitch_platform/rates.py
@@ -1,4 +1,4 @@
-"""Calls to the store: counted by kind, and held within a daemon's own budget."""
+"""Counts and rate limits of a daemon's calls to the store, by kind."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -7,12 +7,12 @@
 
 from fireflyhitch_model.clock import Clock
 
-# A budget may be saved up for this long, for a burst at start or on return.
+# Unused budget accumulates for this long, for bursts at startup or reconnection.
 BURST_SECONDS = 2.0
 
 
 class CallKind(Enum):
-    """What a call costs the store; a waiting watch is one call."""
+    """The kind of a store call; a waiting watch counts as one call."""
 
     READ = 'read'
     WRITE = 'write'
@@ -20,8 +20,8 @@
     WATCH = 'watch'
 
 
-# Calls a second for one daemon. Nine of them stay within half of the store's
-# 2,000 reads and several hundred writes a second; a larger fleet gets less each.
+# Calls per second of one daemon. Nine daemons stay within half of the store's
+# 2,000 reads and several hundred writes per second; in a larger fleet each gets less.
 DEFAULT_BUDGET: Mapping[CallKind, float] = {
     CallKind.READ: 100,
     CallKind.WRITE: 20,
@@ -31,12 +31,12 @@
 
 
 class CallBudget:
-    """A token bucket for each kind of call; safe to use from any thread.
+    """A thread-safe token bucket for each kind of call.
 
-    A fault that makes a daemon call in a loop costs that daemon its budget, and
-    not all others the store.
+    A daemon that calls in a loop because of a fault exhausts its own budget
+    instead of overloading the store for all daemons.
 
-    :param budget: calls a second by kind.
+    :param budget: calls per second by kind.
     """
 
     def __init__(
@@ -45,41 +45,41 @@
         self._clock = clock
         self._budget = dict(budget)
         self._lock = Lock()
-        self._saved = {
+        self._tokens = {
             kind: rate * BURST_SECONDS for kind, rate in self._budget.items()
         }
-        self._filled = clock.monotonic()
+        self._refilled_at = clock.monotonic()
         self._counts: Counter[CallKind] = Counter()
         self._refused: Counter[CallKind] = Counter()
 
     def take(self, kind: CallKind) -> bool:
-        """Count a call.
+        """Consume one token for a call.
 
-        :returns: whether the budget has room for it.
+        :returns: ``False`` if the budget is exhausted.
         """
         with self._lock:
-            self._fill()
-            if self._saved[kind] < 1:
+            self._refill()
+            if self._tokens[kind] < 1:
                 self._refused[kind] += 1
                 return False
-            self._saved[kind] -= 1
+            self._tokens[kind] -= 1
             self._counts[kind] += 1
             return True
 
     def counts(self) -> dict[CallKind, int]:
-        """Return the calls made since the start."""
+        """Return the number of calls by kind since startup."""
         with self._lock:
             return {kind: self._counts[kind] for kind in CallKind}
 
     def refused(self) -> dict[CallKind, int]:
-        """Return the calls held back since the start."""
+        """Return the number of refused calls by kind since startup."""
         with self._lock:
             return {kind: self._refused[kind] for kind in CallKind}
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.monotonic()
-        passed = now - self._filled
-        self._filled = now
+        elapsed = now - self._refilled_at
+        self._refilled_at = now
         for kind, rate in self._budget.items():
-            saved = self._saved[kind] + rate * passed
-            self._saved[kind] = min(saved, rate * BURST_SECONDS)
+            tokens = self._tokens[kind] + rate * elapsed
+            self._tokens[kind] = min(tokens, rate * BURST_SECONDS)
--- a/libs/platform/fireflyhitch_platform/services.py
+++ b/libs/platform/fireflyhitch_platform/services.py
@@ -1,4 +1,4 @@
-"""The platform's other services as the other libraries see them."""
+"""Protocols of the platform's services other than the key-value store."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -18,15 +18,15 @@
 
 
 class InstanceList(Protocol):
-    """The list of live and leaving instances, which lags."""
+    """The list of live and leaving instances, which may be outdated."""
 
     def read(self) -> InstanceListing:
-        """Return the list as the platform knows it."""
+        """Return the platform's current list."""
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceOrder:
-    """A wish for one more instance.
+    """An order for one instance.
 
     :param order_id: repeated orders with the same id start one instance.
     """
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Price:
-    """What a class of instance costs an hour in a failure domain now."""
+    """Current hourly price of a machine class in a failure domain."""
 
     failure_domain: FailureDomainId
     machine_class: MachineClass
@@ -48,33 +48,33 @@
 
 
 class Cloud(Protocol):
-    """The cloud API: instances for money, and notices that they go."""
+    """The cloud API: instances, prices and reclaim notices."""
 
     def read_notices(self) -> tuple[ReclaimNotice, ...]:
-        """Return the reclaim notices in force."""
+        """Return the current reclaim notices."""
 
     def read_prices(self) -> tuple[Price, ...]:
-        """Return the prices of now."""
+        """Return the current prices."""
 
     def start(self, order: InstanceOrder) -> InstanceId | None:
         """Start an instance.
 
-        :returns: its id, or ``None`` if the cloud has none to give.
+        :returns: its id, or ``None`` if the cloud has none available.
         """
 
     def stop(self, instance: InstanceId) -> None:
-        """Give an instance back; repeating it does no harm."""
+        """Stop an instance and return it to the cloud; idempotent."""
 
 
 class WeightStore(Protocol):
-    """The store that engines load weights from, which is rate-limited."""
+    """The rate-limited store that engines load model weights from."""
 
     def reserve(self, deployment: DeploymentId, version: VersionId) -> timedelta:
         """Reserve one load and return how long to wait before it starts."""
 
 
 class EngineAction(Enum):
-    """What an engine can be ordered to do."""
+    """Action of an engine order."""
 
     LOAD_VERSION = 'load-version'
     LOAD_ADAPTER = 'load-adapter'
@@ -86,7 +86,7 @@
 class EngineOrder:
     """An order to an engine, with the fencing number of the duty's lease.
 
-    :param argument: the version, adapter or role.
+    :param argument: the version, adapter or role to set.
     """
 
     action: EngineAction
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine really holds."""
+    """The state that an engine reports."""
 
     version: VersionId
     adapters: tuple[str, ...]
@@ -106,14 +106,14 @@
 
 
 class Engines(Protocol):
-    """Orders to engines."""
+    """Access to engines' state and orders."""
 
     def read_state(self, server: BackendServerId) -> EngineState:
-        """Ask an engine what it holds."""
+        """Read an engine's state."""
 
     def give_order(self, server: BackendServerId, order: EngineOrder) -> bool:
-        """Give an order.
+        """Send an order.
 
-        :returns: whether the engine took it; ``False`` is its refusal of an
-            old fencing number.
+        :returns: whether the engine accepted it; ``False`` if its fencing number
+            is outdated.
         """
--- a/libs/platform/fireflyhitch_platform/weights.py
+++ b/libs/platform/fireflyhitch_platform/weights.py
@@ -1,4 +1,4 @@
-"""The client of the weight store."""
+"""Client of the weight store."""
 
 from datetime import timedelta
 
@@ -10,13 +10,13 @@
     CallPolicy,
     Operation,
     PlatformHttp,
-    Repeat,
+    RetryPolicy,
     parse_body,
 )
 
-# A reservation whose answer was lost holds its place in the rate; asking again
-# would take a second one, and a crowd doing so would starve the store.
-RESERVE = Operation('reserve', 'POST', Step.WEIGHTS, Repeat.IF_NOT_RUN)
+# A reservation whose response was lost still uses its slot. A retry would take a
+# second slot, and many clients doing so would starve the store.
+RESERVE = Operation('reserve', 'POST', Step.WEIGHTS, RetryPolicy.IF_NOT_RUN)
 
 
 class _Reserved(BaseModel):
@@ -29,7 +29,7 @@
 
 
 class HttpWeightStore:
-    """Implements ``WeightStore``.
+    """HTTP implementation of ``WeightStore``.
 
     :param url: base URL of the weight store.
     """
@@ -41,7 +41,7 @@
     def reserve(self, deployment: DeploymentId, version: VersionId) -> timedelta:
         """Reserve one load and return how long to wait before it starts.
 
-        :raises PlatformError: with ``unknown`` if a place may have been taken.
+        :raises PlatformError: with outcome ``unknown`` if a slot may have been taken.
         """
         document = {'deployment': deployment, 'version': version}
         response = self._http.call(RESERVE, f'{self._url}/reservations', document)
--- a/libs/platform/tests/test_clients.py
+++ b/libs/platform/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's clients against its stand-ins over HTTP."""
+"""Tests of the platform clients against the stand-ins over HTTP."""
 
 import socket
 from datetime import timedelta
@@ -54,13 +54,13 @@
 
 @pytest.fixture
 def policy(counts):
-    return CallPolicy(observer=counts.observe, pause=lambda _: None)
+    return CallPolicy(observer=counts.observe, sleep=lambda _: None)
 
 
 class TestCloud:
     """Orders, notices and prices."""
 
-    def test_instance_is_started_listed_reclaimed(self, url, policy):
+    def test_instance_is_started_listed_and_reclaimed(self, url, policy):
         cloud = HttpCloud(f'{url}/cloud', policy)
         listed = HttpInstanceList(f'{url}/instances', policy)
         instance = cloud.start(ORDER)
@@ -76,13 +76,13 @@
         assert not listed.read().instances
         assert cloud.read_prices() == ()
 
-    def test_lost_answer_to_an_order_starts_one_instance(
+    def test_lost_response_to_an_order_starts_one_instance(
         self, platform, url, policy, counts, set_fault
     ):
-        """The first answer is lost after the start, the client asks again.
+        """The response is lost after the instance has started, and the client retries.
 
-        The order's id is the same, so the cloud answers with the instance that
-        it started first; both calls count against the rates.
+        The retry has the same order id, so the cloud returns the instance that it
+        already started. Both calls count against the rate limits.
         """
         set_fault('cloud', 'start', Fault.LOST_ANSWER, 1)
         cloud = HttpCloud(f'{url}/cloud', policy)
@@ -100,9 +100,9 @@
 
 
 class TestInstanceList:
-    """The list, which changes seldom."""
+    """Reads of the instance list."""
 
-    def test_unchanged_list_is_not_sent_again(self, url, policy):
+    def test_unchanged_list_is_not_resent(self, url, policy):
         listed = HttpInstanceList(f'{url}/instances', policy)
         first = listed.read()
         assert listed.read() is first
@@ -118,18 +118,18 @@
 
 
 class TestWeightStore:
-    """Reservations, which must not be taken twice."""
+    """Reservations, which must not be made twice."""
 
-    def test_refused_reservation_is_asked_for_again(self, url, policy, set_fault):
+    def test_refused_reservation_is_retried(self, url, policy, set_fault):
         set_fault('weight_store', 'reserve', Fault.REFUSED, 2)
         store = HttpWeightStore(f'{url}/weights', policy)
         assert store.reserve('m', 'v1') >= timedelta()
 
-    def test_lost_answer_is_not_asked_for_again(self, url, policy, counts, set_fault):
-        """The answer is lost, and the place may be taken.
+    def test_lost_response_is_not_retried(self, url, policy, counts, set_fault):
+        """The response is lost, so a slot may have been taken.
 
-        A second reservation would take a second place, and daemons that all
-        did so would starve the store: the caller learns that it is unknown.
+        A retry would take a second slot, and many daemons doing so would starve
+        the store. The outcome is reported as unknown instead.
         """
         set_fault('weight_store', 'reserve', Fault.LOST_ANSWER, 1)
         store = HttpWeightStore(f'{url}/weights', policy)
@@ -139,15 +139,15 @@
 
 
 class TestConnections:
-    """What is known when there is no answer."""
+    """Outcomes of calls without a response."""
 
-    def test_absent_service_did_nothing(self, policy):
+    def test_refused_connection_is_not_run(self, policy):
         cloud = HttpCloud('http://127.0.0.1:1/cloud', policy)
         caught = pytest.raises(PlatformError, cloud.start, ORDER)
         assert caught.value.outcome is Outcome.NOT_RUN
         assert caught.value.peer == 'http://127.0.0.1:1/cloud/instances'
 
-    def test_silent_service_leaves_the_effect_unknown(self):
+    def test_unresponsive_service_has_unknown_outcome(self):
         with socket.create_server(('127.0.0.1', 0)) as silent:
             host, port = silent.getsockname()
             policy = CallPolicy(read_seconds=0.05, attempts=1)
--- a/libs/platform/tests/test_engines.py
+++ b/libs/platform/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""Tests of the engines' client against the stand-in."""
+"""Tests of the engine client against the stand-in."""
 
 import pytest
 import urllib3
@@ -45,50 +45,50 @@
 
 
 class TestOrders:
-    """Orders under a lease's fencing number."""
+    """Orders with the fencing number of a lease."""
 
-    def test_old_number_is_refused(self, engines):
-        """A holder pauses, its lease lapses, and it gives its order late.
+    def test_old_fencing_number_is_refused(self, engines):
+        """A paused lease holder sends its order after its lease has expired.
 
-        The engine has an order of the successor with a higher number, so that
-        the late one changes nothing and the first holder learns of it.
+        The engine has already accepted its successor's order with a higher fencing
+        number, so the delayed order is refused and changes nothing.
         """
         assert engines.give_order('a', order(EngineAction.LOAD_VERSION, 'v3', 7))
         assert not engines.give_order('a', order(EngineAction.LOAD_VERSION, 'v2', 6))
         state = engines.read_state('a')
         assert (state.version, state.fencing) == ('v3', 7)
 
-    def test_engine_without_fencing_takes_the_late_order(self, engines, servers):
+    def test_engine_without_fencing_accepts_a_delayed_order(self, engines, servers):
         servers['a'].settings = FAST.model_copy(update={'fencing': False})
         engines.give_order('a', order(EngineAction.SET_ROLE, 'prefill', 7))
         assert engines.give_order('a', order(EngineAction.SET_ROLE, 'decode', 6))
         assert engines.read_state('a').role == 'decode'
 
-    def test_loaded_version_brings_its_faults(self, engines, servers):
+    def test_loaded_version_applies_its_faults(self, engines, servers):
         engines.give_order('a', order(EngineAction.LOAD_ADAPTER, 'nl', 1))
         engines.give_order('a', order(EngineAction.LOAD_VERSION, 'v2', 1))
         assert engines.read_state('a').adapters == ('nl',)
         assert complete(servers['a'], 'x').status == 500
 
-    def test_drained_engine_takes_no_calls(self, engines, servers):
+    def test_drained_engine_refuses_calls(self, engines, servers):
         engines.give_order('a', order(EngineAction.DRAIN, '', 1))
         assert not engines.read_state('a').ready
         assert complete(servers['a'], 'x').status == 503
 
-    def test_unknown_server_gets_no_order(self, engines):
+    def test_order_to_an_unknown_server_is_not_run(self, engines):
         drain = order(EngineAction.DRAIN, '', 1)
         caught = pytest.raises(PlatformError, engines.give_order, 'z', drain)
         assert caught.value.outcome is Outcome.NOT_RUN
 
 
 class TestKvCache:
-    """Moving a stream to another engine without computing it again."""
+    """Moving a stream to another engine without recomputation."""
 
-    def test_imported_cache_saves_the_prompt(self, engines, servers):
+    def test_imported_cache_avoids_recomputation(self, engines, servers):
         """An engine's instance is reclaimed after four tokens.
 
-        Its KV cache goes to another engine, which continues the answer and
-        computes none of the tokens that the cache covers.
+        Its KV cache is imported into another engine, which continues the response
+        without recomputing the tokens that the cache covers.
         """
         prompt = 'one two three'
         complete(servers['a'], prompt, X_Request_Id='first')
@@ -101,19 +101,19 @@
         assert answer['usage']['prompt_tokens_details']['cached_tokens'] == 7
         assert servers['b'].recomputed_tokens == 0
 
-    def test_without_import_all_is_computed_again(self, servers):
+    def test_without_import_everything_is_recomputed(self, servers):
         begun = f'one two{write_answer("one two", 4)}'
         complete(servers['b'], begun)
         assert servers['b'].recomputed_tokens == 6
 
 
 class TestReports:
-    """What engines tell of themselves."""
+    """Load reports, cache events and cancellation."""
 
     def test_load_and_events_are_read(self, engines):
         load = engines.read_load('a')
         assert (load.server_id, load.running, load.waiting) == ('a', 0, 0)
         assert engines.read_cache_events('a', 0) == ()
 
-    def test_cancelling_an_ended_stream_is_no_error(self, engines):
+    def test_cancelling_an_unknown_stream_is_no_error(self, engines):
         engines.cancel('a', 'none')
--- a/libs/platform/tests/test_rates.py
+++ b/libs/platform/tests/test_rates.py
@@ -7,7 +7,7 @@
 
 
 class TestCallBudget:
-    """Calls counted by kind and held back beyond a rate."""
+    """Calls counted by kind and refused above a rate."""
 
     def test_burst_is_bounded_and_refills(self):
         clock = ManualClock()
--- a/libs/standins/fireflyhitch_standins/answers.py
+++ b/libs/standins/fireflyhitch_standins/answers.py
@@ -1,8 +1,8 @@
-"""The stand-in engine's answers: a pure function of the prompt.
+"""The stand-in engine's answers, a pure function of the prompt.
 
-Each token names its place and a hash of its prompt, so that a test can tell
-whether an answer is whole, in order and to its own prompt, and an engine can
-tell how much of an answer a continuation already holds.
+Each token contains its index and a hash of its prompt. A test can thus check that
+an answer is complete, in order and to the right prompt, and an engine can determine
+how many answer tokens a continuation already contains.
 """
 
 import re
@@ -16,7 +16,7 @@
 
 
 def write_token(prompt_hash: int, index: int) -> str:
-    """Return a token's text, with its leading space."""
+    """Return a token's text, including its leading space."""
     mixed = (prompt_hash + index * index) & HASH_MASK
     return f' t{index}-{mixed:06x}'
 
@@ -24,14 +24,14 @@
 def write_answer(prompt: str, count: int) -> str:
     """Return the first tokens of the answer to a prompt.
 
-    :param prompt: the text of a completion, or of ``join_messages``.
+    :param prompt: the prompt of a completion, or the result of ``join_messages``.
     """
     prompt_hash = hash_text(prompt)
     return ''.join(write_token(prompt_hash, index) for index in range(count))
 
 
 def join_messages(messages: Iterable[Mapping[str, Any]]) -> str:
-    """Return the prompt that a chat's messages make."""
+    """Convert a chat's messages to a prompt."""
     return '\n'.join(
         f'{message["role"]}: {_read_content(message.get("content"))}'
         for message in messages
@@ -39,14 +39,14 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return how many tokens a text has: its words."""
+    """Return the number of tokens of a text; each word is a token."""
     return len(text.split())
 
 
 def split_continuation(prompt: str) -> tuple[str, int]:
-    """Part a completion's prompt from the answer that it already holds.
+    """Split a completion's prompt from the partial answer that follows it.
 
-    :returns: the original prompt and how many tokens of its answer follow.
+    :returns: the original prompt and the number of answer tokens after it.
     """
     for match in re.finditer(r' t0-[0-9a-f]{6}', prompt):
         original, held = prompt[: match.start()], prompt[match.start() :]
--- a/libs/standins/fireflyhitch_standins/arrivals.py
+++ b/libs/standins/fireflyhitch_standins/arrivals.py
@@ -1,13 +1,14 @@
-"""How much a backend server got at once, by the times at which requests arrived."""
+"""Peak request rate of a backend server, computed from arrival times."""
 
 from collections import deque
 from collections.abc import Iterable
 
 
 def count_most(arrivals: Iterable[float], seconds: float) -> int:
-    """Return the most arrivals in any span of some seconds.
+    """Return the maximum number of arrivals in any window.
 
-    :param arrivals: monotonic seconds, in order.
+    :param arrivals: monotonic seconds, in ascending order.
+    :param seconds: length of the window.
     """
     span: deque[float] = deque()
     most = 0
--- a/libs/standins/fireflyhitch_standins/asyncio_http.py
+++ b/libs/standins/fireflyhitch_standins/asyncio_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server on one event loop, cheap enough for many streams."""
+"""A small HTTP/1.1 server on one event loop, efficient enough for many streams."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request as read; names of headers are in lower case."""
+    """A parsed request; header names are in lower case."""
 
     method: str = ''
     path: str = ''
@@ -26,9 +26,9 @@
 
 
 class Reply:
-    """The answer to one request, whole or in chunks.
+    """The response to one request, complete or in chunks.
 
-    :param on_close: called when the caller goes away before the end.
+    :param on_close: called when the caller disconnects before the end.
     """
 
     def __init__(self, transport: asyncio.Transport, keep_alive: bool) -> None:
@@ -38,20 +38,20 @@
         self._keep_alive = keep_alive
 
     def send_json(self, document: object, status: int = HTTPStatus.OK) -> None:
-        """Answer with a JSON document."""
+        """Send a JSON response."""
         body = json.dumps(document).encode()
         self.send(body, {'Content-Type': 'application/json'}, status)
 
     def send(
         self, body: bytes, headers: Mapping[str, str], status: int = HTTPStatus.OK
     ) -> None:
-        """Answer with a body of known length."""
+        """Send a response with a body of known length."""
         sized = {**headers, 'Content-Length': str(len(body))}
         self._transport.write(self._head(status, sized) + body)
         self._finish()
 
     def start_events(self) -> None:
-        """Begin an answer in server-sent events, one chunk each."""
+        """Start a response of server-sent events, one chunk each."""
         headers = {
             'Content-Type': 'text/event-stream',
             'Cache-Control': 'no-store',
@@ -60,7 +60,7 @@
         self._transport.write(self._head(HTTPStatus.OK, headers))
 
     def write_chunk(self, chunk: bytes) -> None:
-        """Send one chunk at once."""
+        """Send one chunk immediately."""
         if not self.ended:
             self._transport.write(b'%x\r\n%b\r\n' % (len(chunk), chunk))
 
@@ -71,12 +71,12 @@
             self._finish()
 
     def abort(self) -> None:
-        """Reset the connection, as a process that dies does."""
+        """Reset the connection, as a crashing process does."""
         self.ended = True
         self._transport.abort()
 
-    def close_early(self) -> None:
-        """Take note that the caller went away."""
+    def handle_disconnect(self) -> None:
+        """Mark the response as ended after the caller disconnected."""
         if self.ended:
             return
         self.ended = True
@@ -119,7 +119,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._transports.discard(self._transport)
         if self._reply is not None:
-            self._reply.close_early()
+            self._reply.handle_disconnect()
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -154,7 +154,7 @@
 
 
 class AsyncHttpServer:
-    """Serves a handler on an event loop in a thread of its own.
+    """Serves a handler on an event loop in its own thread.
 
     :param handler: called on the loop; it must not block.
     :param port: 0 lets the kernel choose.
@@ -173,7 +173,7 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Listen; returns when the address is known."""
+        """Start listening and return when the address is known."""
         self._thread.start()
         if not self._bound.wait(START_SECONDS):
             raise OSError(f'cannot listen at {self._host}:{self._port}')
@@ -185,7 +185,7 @@
             self._thread.join(START_SECONDS)
 
     def call(self, action: Callable[[], Any]) -> Any:
-        """Run an action on the loop and return what it returns."""
+        """Run an action on the loop and return its result."""
 
         async def run() -> Any:
             return action()
--- a/libs/standins/fireflyhitch_standins/cloud.py
+++ b/libs/standins/fireflyhitch_standins/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud API in memory: starts, refused starts, notices and reclaims."""
+"""In-memory cloud API: instance starts and refusals, notices and reclaims."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -20,32 +20,32 @@
 
 NO_TIME = timedelta()
 
-# Starts the backend server of an instance, and kills it.
+# Start and kill the backend server of an instance.
 Launch = Callable[[InstanceOrder, InstanceId], BackendServer]
 Halt = Callable[[InstanceId], None]
 
 
 @dataclass(slots=True)
 class _Machine:
-    """An instance, from its order to its end.
+    """An instance from its order until it is reclaimed or killed.
 
     :param ready_at: monotonic seconds from which it is listed.
-    :param gone_at: monotonic seconds at which it is reclaimed.
+    :param reclaimed_at: monotonic seconds at which it is reclaimed.
     """
 
     instance: Instance
     order_id: str | None
     ready_at: float
-    gone_at: float | None = None
+    reclaimed_at: float | None = None
     notice: ReclaimNotice | None = None
 
 
 class MemoryCloud:
-    """Implements ``Cloud`` in one process, on a passed clock.
+    """In-memory implementation of ``Cloud`` on a given clock.
 
     :param launch: starts the backend server of an ordered instance.
-    :param halt: kills whatever runs on an instance.
-    :param start_duration: from an order until the instance is listed.
+    :param halt: kills the server on an instance.
+    :param start_duration: time from an order until the instance is listed.
     """
 
     def __init__(
@@ -69,23 +69,23 @@
         self._started = 0
 
     def read_notices(self) -> tuple[ReclaimNotice, ...]:
-        """Return the reclaim notices in force."""
+        """Return the current reclaim notices."""
         return self.calls.run('read_notices', self._list_notices)
 
     def read_prices(self) -> tuple[Price, ...]:
-        """Return the prices of now."""
+        """Return the current prices."""
         return self.calls.run('read_prices', lambda: self.prices)
 
     def start(self, order: InstanceOrder) -> InstanceId | None:
-        """Start an instance, once for each order's id."""
+        """Start an instance, only once per order id."""
         return self.calls.run('start', lambda: self._start(order))
 
     def stop(self, instance: InstanceId) -> None:
-        """Give an instance back."""
+        """Stop an instance and return it to the cloud."""
         self.calls.run('stop', lambda: self.kill(instance))
 
     def add(self, instance: Instance) -> None:
-        """Put an instance that was not ordered here into the list."""
+        """Add an instance that was not ordered through this API."""
         with self._lock:
             machine = _Machine(instance, None, self._clock.monotonic())
             self._machines[instance.instance_id] = machine
@@ -94,23 +94,23 @@
     def refuse(
         self, domain: FailureDomainId, machine_class: MachineClass, refused: bool
     ) -> None:
-        """Refuse starts in a failure domain and class, or take them again."""
+        """Refuse or accept starts in a failure domain and machine class."""
         with self._lock:
-            place = (domain, machine_class)
+            key = (domain, machine_class)
             if refused:
-                self._refused.add(place)
+                self._refused.add(key)
             else:
-                self._refused.discard(place)
+                self._refused.discard(key)
 
     def reclaim(self, instances: Iterable[InstanceId], notice: timedelta) -> None:
-        """Announce that instances go, and take them when the notice has passed."""
+        """Send reclaim notices and reclaim the instances when they expire."""
         with self._lock:
             for instance_id in instances:
                 machine = self._machines.get(instance_id)
                 if machine is None or machine.notice is not None:
                     continue
                 machine.notice = ReclaimNotice(instance_id, self._clock.now() + notice)
-                machine.gone_at = self._clock.monotonic() + notice.total_seconds()
+                machine.reclaimed_at = self._clock.monotonic() + notice.total_seconds()
                 machine.instance = replace(
                     machine.instance, state=InstanceState.LEAVING
                 )
@@ -121,20 +121,20 @@
     ) -> tuple[InstanceId, ...]:
         """Reclaim all reclaimable instances of a failure domain at once.
 
-        :returns: the instances that go.
+        :returns: the instances that received a notice.
         """
         with self._lock:
-            wave = tuple(
+            reclaimed = tuple(
                 instance.instance_id
                 for instance in self.list_instances().instances
                 if instance.failure_domain == domain
                 and instance.machine_class is MachineClass.RECLAIMABLE
             )
-        self.reclaim(wave, notice)
-        return wave
+        self.reclaim(reclaimed, notice)
+        return reclaimed
 
     def kill(self, instance: InstanceId) -> None:
-        """Let an instance go without notice."""
+        """Remove an instance without notice."""
         with self._lock:
             known = self._machines.pop(instance, None)
         if known is not None:
@@ -142,7 +142,7 @@
         self.advance()
 
     def list_instances(self) -> InstanceListing:
-        """Return the instances as they are, without lag."""
+        """Return the current instances, without lag."""
         now = self._clock.monotonic()
         with self._lock:
             return InstanceListing(
@@ -154,13 +154,13 @@
             )
 
     def advance(self) -> None:
-        """Take the instances whose notice has passed, and report changes."""
+        """Reclaim instances whose notice has expired, and report changes."""
         now = self._clock.monotonic()
         with self._lock:
             gone = [
                 instance
                 for instance, machine in self._machines.items()
-                if machine.gone_at is not None and machine.gone_at <= now
+                if machine.reclaimed_at is not None and machine.reclaimed_at <= now
             ]
             for instance in gone:
                 self._machines.pop(instance)
--- a/libs/standins/fireflyhitch_standins/engine.py
+++ b/libs/standins/fireflyhitch_standins/engine.py
@@ -1,8 +1,8 @@
-"""A model engine in passed time: continuous batching with a service curve.
+"""A simulated model engine: continuous batching with a service curve.
 
-The engine moves only by :meth:`Engine.advance`; it reads no clock and opens no
-connection. It batches step by step: each step computes a chunk of waiting
-prompts and one token for each call whose prompt is done.
+Time advances only through :meth:`Engine.advance`; the engine reads no clock and opens
+no connection. Each batch step computes a chunk of the running calls' prompts, and
+one token for each call whose prompt is complete.
 """
 
 from collections import OrderedDict, deque
@@ -23,13 +23,13 @@
     TokenEvent,
 )
 
-KEPT_STREAMS = 1024
-KEPT_REPORTS = 120
-OPEN = frozenset((StreamStatus.WAITING, StreamStatus.RUNNING))
+MAX_KEPT_STREAMS = 1024
+MAX_KEPT_REPORTS = 120
+OPEN_STATUSES = frozenset((StreamStatus.WAITING, StreamStatus.RUNNING))
 
 
 class EngineRefusal(Exception):
-    """The engine did not take a call; it was not run."""
+    """The engine refused a call; it was not run."""
 
 
 @dataclass(slots=True)
@@ -44,13 +44,13 @@
 
     @property
     def reserved(self) -> int:
-        """Return the tokens of KV cache that it holds when complete."""
+        """Return the KV cache tokens that it needs when complete."""
         return self.call.prompt_tokens + self.call.max_tokens
 
 
 @dataclass(slots=True)
 class _Step:
-    """A step under way, or a row of equal steps without prompt work."""
+    """A step in progress, or a series of equal steps without prompt work."""
 
     started: float
     duration: float
@@ -59,16 +59,16 @@
     decoding: tuple[_Stream, ...]
 
     @property
-    def ends(self) -> float:
-        """Return when the first of the steps is done."""
+    def ends_at(self) -> float:
+        """Return the end time of the first step."""
         return self.started + self.duration
 
 
 class Engine:
-    """One engine; not thread-safe, a wrapper holds a lock around it.
+    """One engine; not thread-safe, so its user must serialize calls.
 
-    :param every_token: whether each token is an event, or only an answer's
-        first (which makes long runs cheap).
+    :param every_token: whether to emit an event for each token or only for an
+        answer's first, which makes long simulations cheap.
     """
 
     def __init__(
@@ -91,16 +91,16 @@
         self._cache = EngineCache(server_id, self.profile)
         self._submitted = 0
         self._pending: list[EngineEvent] = []
-        self._reports: deque[LoadReport] = deque(maxlen=KEPT_REPORTS)
+        self._reports: deque[LoadReport] = deque(maxlen=MAX_KEPT_REPORTS)
         self._next_report = 0.0
 
     def submit(self, call: EngineCall, at: float) -> None:
-        """Take a call at a time; a known attempt is not run twice.
+        """Submit a call; a known attempt is not run twice.
 
         :param at: seconds, not before the last time passed in.
-        :raises EngineRefusal: if its queue is full or it refuses calls.
+        :raises EngineRefusal: if the queue is full or calls are refused.
         """
-        # First the call: it replaces the list that is extended.
+        # Called before extending, because advance() replaces the list.
         due = self.advance(at)
         self._pending.extend(due)
         if call.attempt in self._streams:
@@ -112,55 +112,55 @@
         self._streams[call.attempt] = stream
         self._waiting.append(stream)
         self._waiting.sort(key=lambda one: (one.call.priority, one.order))
-        self._forget_old_streams()
-        self._interrupt_row()
+        self._drop_old_streams()
+        self._stop_repeating()
         self._begin_step()
 
     def advance(self, until: float) -> list[EngineEvent]:
-        """Work up to a time and return what happened, in order."""
+        """Advance to a time and return the events until then, in order."""
         events = self._pending
         self._pending = []
-        while self._step is not None and self._step.ends <= until:
+        while self._step is not None and self._step.ends_at <= until:
             self._complete_steps(self._step, until, events)
         self._record_reports(until)
         self._now = max(self._now, until)
         return events
 
     def next_event(self) -> float | None:
-        """Return when :meth:`advance` next has an event; ``None`` if idle."""
+        """Return the time of the next event; ``None`` if idle."""
         if self._pending:
             return self._now
         if self._step is None:
             return None
         if self._every_token:
-            return self._step.ends
+            return self._step.ends_at
         return self._step.started + self._step.duration * self._step.repeats
 
     def cancel(self, attempt: AttemptId, at: float) -> bool:
-        """Stop a call; its slot is free from the next step on.
+        """Cancel a call; its slot is free from the next step on.
 
         :returns: whether it was running or waiting.
         """
-        # First the call: it replaces the list that is extended.
+        # Called before extending, because advance() replaces the list.
         due = self.advance(at)
         self._pending.extend(due)
         stream = self._streams.get(attempt)
-        if stream is None or stream.status not in OPEN:
+        if stream is None or stream.status not in OPEN_STATUSES:
             return False
         stream.status = StreamStatus.CANCELLED
         self._remove(stream)
-        self._interrupt_row()
+        self._stop_repeating()
         return True
 
     def stream(self, attempt: AttemptId) -> StreamState | None:
-        """Return a running or recently ended call."""
+        """Return the state of a running or recently ended call."""
         stream = self._streams.get(attempt)
         if stream is None:
             return None
         return StreamState(stream.call, stream.status, stream.generated, stream.cached)
 
     def load_report(self, at: float) -> LoadReport | None:
-        """Return the newest load report that is visible at a time."""
+        """Return the newest load report visible at a time."""
         visible = None
         for report in self._reports:
             if report.measured <= at - self.profile.report_lag:
@@ -168,15 +168,15 @@
         return visible
 
     def cache_events(self, after: int, at: float) -> tuple[CacheEvent, ...]:
-        """Return the cache events after a sequence number, late and gapped."""
+        """Return the visible cache events after a sequence number."""
         return self._cache.events(after, at)
 
     def restart(self, at: float) -> tuple[AttemptId, ...]:
-        """Lose all calls and the cache, as a process that dies does.
+        """Drop all calls and the cache, as a crashing process does.
 
         :returns: the attempts that were lost.
         """
-        # Events that nobody has taken yet were in its connections' buffers.
+        # Undelivered events count as lost in the buffers of its connections.
         self.advance(at)
         lost = tuple(one.call.attempt for one in self._running + self._waiting)
         self._streams.clear()
@@ -188,12 +188,12 @@
 
     @property
     def running(self) -> int:
-        """Return the calls in the batch now."""
+        """Return the number of calls in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return the calls that wait now."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     def _begin_step(self) -> None:
@@ -229,7 +229,7 @@
         call = stream.call
         matched = self._cache.match(call.prefix_blocks) * self.profile.block_tokens
         stream.cached = min(max(matched, call.imported_tokens), call.prompt_tokens)
-        # The last prompt token is always computed: it yields the first token.
+        # The last prompt token is always computed, as it yields the first output token.
         stream.uncomputed = max(call.prompt_tokens - stream.cached, 1)
         stream.status = StreamStatus.RUNNING
         self._running.append(stream)
@@ -251,7 +251,7 @@
         done = max(1, min(step.repeats, possible))
         decoding = [one for one in step.decoding if one.status is StreamStatus.RUNNING]
         if self._every_token:
-            self._emit_row(step, decoding, done, events)
+            self._emit_repeated_steps(step, decoding, done, events)
         for stream in decoding:
             stream.generated += done
         step.started += step.duration * done
@@ -266,7 +266,7 @@
         self._end_complete(events)
         self._begin_step()
 
-    def _emit_row(
+    def _emit_repeated_steps(
         self,
         step: _Step,
         decoding: list[_Stream],
@@ -290,7 +290,9 @@
             stream.generated = 1
             stream.first_token_at = self._now
             events.append(TokenEvent(attempt, self._now, 0))
-            self._cache.store(stream.call.prefix_blocks, self._room(), self._now)
+            self._cache.store(
+                stream.call.prefix_blocks, self._count_free_blocks(), self._now
+            )
 
     def _end_complete(self, events: list[EngineEvent]) -> None:
         for stream in tuple(self._running):
@@ -331,11 +333,11 @@
         if stream in self._waiting:
             self._waiting.remove(stream)
 
-    def _interrupt_row(self) -> None:
+    def _stop_repeating(self) -> None:
         if self._step is not None:
             self._step.repeats = 1
 
-    def _room(self) -> int:
+    def _count_free_blocks(self) -> int:
         held = self._reserved()
         return (self.profile.cache_tokens - held) // self.profile.block_tokens
 
@@ -358,10 +360,10 @@
         self._next_report += every
         self._reports.append(report)
 
-    def _forget_old_streams(self) -> None:
-        while len(self._streams) > KEPT_STREAMS:
+    def _drop_old_streams(self) -> None:
+        while len(self._streams) > MAX_KEPT_STREAMS:
             oldest = next(iter(self._streams.values()))
-            if oldest.status in OPEN:
+            if oldest.status in OPEN_STATUSES:
                 return
             self._streams.popitem(last=False)
 
--- a/libs/standins/fireflyhitch_standins/engine_batch.py
+++ b/libs/standins/fireflyhitch_standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Drives the engine model in passed time by an event loop's clock."""
+"""Drives the engine model with an event loop's clock."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,17 +17,18 @@
 from fireflyhitch_standins.engine_pacing import Advance, Load
 from fireflyhitch_standins.engine_settings import EngineSettings
 
-# Prompts cost nothing; the model divides by this.
+# Prompts take no time; the model divides by this rate.
 FREE_PROMPT_TOKENS_PER_SECOND = 1e9
 
 
 class BatchPacing:
     """Continuous batching: implements ``Pacing`` with the engine model.
 
-    The batch's shape is fixed by the settings at the start; faults follow them.
+    The batch profile is taken from the settings at startup; faults follow later
+    changes of the settings.
 
-    :param settings: returns the settings in force now.
-    :param advance: gives a stream its next token.
+    :param settings: returns the current settings.
+    :param advance: generates a stream's next token.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self._engine = Engine(BackendServerId('self'), _make_profile(settings()))
         self._started = loop.time()
         self._streams: dict[AttemptId, Generation] = {}
-        self._planned: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
         self._serial = 0
         self._advanced_to = 0.0
 
@@ -52,30 +53,30 @@
         :raises EngineRefusal: if the queue is full.
         """
         self._serial += 1
-        # The model runs an attempt once; an attempt that is sent twice here
-        # runs twice, as an engine would do it.
-        key = AttemptId(f'{generation.ask.attempt}/{self._serial}')
+        # The model runs each attempt only once. The serial number makes an attempt
+        # that is sent twice run twice, as a real engine would.
+        key = AttemptId(f'{generation.completion.attempt}/{self._serial}')
         self._run()
         self._engine.submit(self._make_call(key, generation), self._advanced_to)
         generation.key = key
         self._streams[key] = generation
-        self._plan()
+        self._schedule()
 
     def end(self, generation: Generation) -> None:
-        """Free a stream's place in the batch."""
+        """Remove a stream from the batch."""
         key = AttemptId(generation.key)
         if self._streams.pop(key, None) is not None:
-            # At the time of the events in hand: the engine must not move on
-            # between them, or later tokens would overtake earlier ones.
+            # Cancelled at the time of the events being processed: if the engine
+            # advanced between them, later tokens would overtake earlier ones.
             self._engine.cancel(key, self._advanced_to)
-            self._plan()
+            self._schedule()
 
     def count(self) -> int:
-        """Return how many streams run or wait now."""
+        """Return the number of running and waiting streams."""
         return len(self._streams)
 
     def load(self) -> Load:
-        """Return the newest report that is visible, with its age."""
+        """Return the newest visible load report with its age."""
         self._run()
         report = self._engine.load_report(self._advanced_to)
         if report is None:
@@ -89,15 +90,15 @@
         return self._engine.cache_events(after, self._advanced_to)
 
     def _make_call(self, key: AttemptId, generation: Generation) -> EngineCall:
-        ask = generation.ask
-        left = self._settings().answer_tokens - ask.held
+        completion = generation.completion
+        left = self._settings().answer_tokens - completion.held
         return EngineCall(
             key,
-            ask.prompt_tokens,
-            max(1, min(ask.limit, left)),
-            ask.prefix_blocks,
-            Priority(min(max(ask.priority, Priority.URGENT), Priority.BATCH)),
-            ask.route,
+            completion.prompt_tokens,
+            max(1, min(completion.limit, left)),
+            completion.prefix_blocks,
+            Priority(min(max(completion.priority, Priority.URGENT), Priority.BATCH)),
+            completion.route,
             generation.imported_tokens,
         )
 
@@ -108,7 +109,7 @@
             generation = self._streams.get(event.attempt)
             if generation is not None and isinstance(event, TokenEvent):
                 self._emit(event, generation)
-        self._plan()
+        self._schedule()
 
     def _emit(self, event: TokenEvent, generation: Generation) -> None:
         if event.index == 0:
@@ -116,13 +117,13 @@
             generation.cached_tokens = state.cached_tokens if state else 0
         self._advance(generation)
 
-    def _plan(self) -> None:
-        if self._planned is not None:
-            self._planned.cancel()
-            self._planned = None
+    def _schedule(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         due = self._engine.next_event()
         if due is not None:
-            self._planned = self._loop.call_at(self._started + due, self._run)
+            self._timer = self._loop.call_at(self._started + due, self._run)
 
     def _set_faults(self) -> None:
         settings = self._settings()
--- a/libs/standins/fireflyhitch_standins/engine_cache.py
+++ b/libs/standins/fireflyhitch_standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's prefix cache and its late, gapped events."""
+"""Prefix cache of the engine model, with delayed and lossy events."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -8,23 +8,23 @@
 from fireflyhitch_model.ids import BackendServerId
 from fireflyhitch_standins.engine_messages import EngineProfile
 
-KEPT_EVENTS = 4096
+MAX_KEPT_EVENTS = 4096
 HASH_BITS = 64
 HASH_RANGE = float(2**HASH_BITS)
 
 
 class EngineCache:
-    """Prompt blocks in limited memory, the least recently used dropped first."""
+    """Prompt blocks in limited memory with LRU eviction."""
 
     def __init__(self, server_id: BackendServerId, profile: EngineProfile) -> None:
         self._server_id = server_id
         self._profile = profile
         self._blocks: OrderedDict[int, None] = OrderedDict()
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_KEPT_EVENTS)
         self._sequence = 0
 
     def match(self, blocks: Iterable[int]) -> int:
-        """Return how many first blocks are cached, and touch them."""
+        """Return the length of the cached prefix and mark its blocks as used."""
         matched = 0
         for block in blocks:
             if block not in self._blocks:
@@ -33,10 +33,10 @@
             matched += 1
         return matched
 
-    def store(self, blocks: Iterable[int], room: int, at: float) -> None:
-        """Add blocks and drop old ones beyond the room.
+    def store(self, blocks: Iterable[int], max_blocks: int, at: float) -> None:
+        """Add blocks and evict the oldest above the limit.
 
-        :param room: how many blocks running calls leave to the cache.
+        :param max_blocks: number of blocks that running calls leave to the cache.
         :param at: seconds, for the event's delay.
         """
         stored = []
@@ -45,12 +45,12 @@
                 stored.append(block)
             self._blocks[block] = None
             self._blocks.move_to_end(block)
-        removed = self._shrink(room)
+        removed = self._shrink(max_blocks)
         if stored or removed:
             self._record(at, tuple(stored), tuple(removed))
 
     def clear(self, at: float) -> None:
-        """Forget everything, as an engine that starts again does."""
+        """Remove all blocks, as on an engine restart."""
         self._blocks.clear()
         self._record(at, (), (), cleared=True)
 
@@ -63,9 +63,9 @@
             if event.sequence > after and recorded <= visible_before
         )
 
-    def _shrink(self, room: int) -> list[int]:
+    def _shrink(self, max_blocks: int) -> list[int]:
         removed = []
-        while len(self._blocks) > max(room, 0):
+        while len(self._blocks) > max(max_blocks, 0):
             block, _ = self._blocks.popitem(last=False)
             removed.append(block)
         return removed
--- a/libs/standins/fireflyhitch_standins/engine_generation.py
+++ b/libs/standins/fireflyhitch_standins/engine_generation.py
@@ -1,4 +1,4 @@
-"""Streams of the stand-in engine: their tokens, listeners and end."""
+"""Token streams of the stand-in engine and their listeners."""
 
 import json
 from collections.abc import Callable
@@ -10,19 +10,19 @@
 from fireflyhitch_standins.asyncio_http import Reply
 
 END_OF_STREAM = b'data: [DONE]\n\n'
-CONTENT_MARK = '@content@'
+CONTENT_PLACEHOLDER = '@content@'
 FAILURE = {'error': {'message': 'engine failure', 'type': 'server_error'}}
 
-# Turns a token's text into an event.
+# Renders a token's text as an event.
 Renderer = Callable[[str], bytes]
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """What an attempt asks of the engine.
+class CompletionRequest:
+    """The completion that an attempt requests.
 
-    :param held: how many tokens of the answer the prompt already holds.
-    :param limit: how many tokens this attempt may generate.
+    :param held: number of answer tokens that the prompt already contains.
+    :param limit: maximum number of tokens to generate in this attempt.
     """
 
     attempt: str
@@ -50,15 +50,15 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One attempt's stream, which outlives its connections for a while.
+    """One attempt's stream, which may outlive its connections.
 
-    :param key: names it within the pacing.
+    :param key: identifies it within the pacing.
     :param imported_tokens: prompt tokens whose KV cache was imported.
-    :param cached_tokens: prompt tokens that need not be computed, imports included.
-    :param finish_reason: set when the last token is out.
+    :param cached_tokens: prompt tokens that need no computation, including imports.
+    :param finish_reason: set after the last token.
     """
 
-    ask: Ask
+    completion: CompletionRequest
     created: int
     key: str = ''
     imported_tokens: int = 0
@@ -70,21 +70,21 @@
     render: Renderer = field(init=False)
 
     def __post_init__(self) -> None:
-        """Prepare the parts of an event that do not change."""
+        """Pre-render the constant parts of an event."""
         self.render = _make_renderer(self)
 
     @property
     def computed_tokens(self) -> int:
-        """Return how many prompt tokens have to be computed."""
-        return self.ask.prompt_tokens - self.cached_tokens
+        """Return the number of prompt tokens to compute."""
+        return self.completion.prompt_tokens - self.cached_tokens
 
     @property
     def has_ended(self) -> bool:
-        """Whether no more tokens come."""
+        """Return whether the stream has finished or was cancelled."""
         return self.cancelled or self.finish_reason is not None
 
     def attach(self, listener: Listener, after: int = 0) -> None:
-        """Send what there is from a token on, and the rest as it comes."""
+        """Add a listener and send it the tokens produced from ``after`` on."""
         self.listeners.append(listener)
         if listener.stream:
             listener.reply.start_events()
@@ -94,8 +94,8 @@
             self._finish_listener(listener)
 
     def token(self, index: int) -> str:
-        """Return the text of this attempt's token."""
-        return write_token(self.ask.prompt_hash, self.ask.held + index)
+        """Return the text of this attempt's token at an index."""
+        return write_token(self.completion.prompt_hash, self.completion.held + index)
 
     def advance(self) -> None:
         """Generate one token and send it."""
@@ -107,7 +107,7 @@
                 listener.reply.write_chunk(event)
 
     def finish(self, reason: str) -> None:
-        """End the stream for all that listen."""
+        """End the stream for all listeners."""
         self.finish_reason = reason
         for listener in tuple(self.listeners):
             self._finish_listener(listener)
@@ -125,7 +125,7 @@
         self.listeners.clear()
 
     def abort(self) -> None:
-        """End the stream without a word, as a process that dies does."""
+        """Reset all connections, as a crashing process does."""
         self.cancelled = True
         for listener in self.listeners:
             listener.reply.abort()
@@ -134,54 +134,54 @@
     def usage(self) -> dict[str, Any]:
         """Return the usage in OpenAI's form."""
         return {
-            'prompt_tokens': self.ask.prompt_tokens,
+            'prompt_tokens': self.completion.prompt_tokens,
             'completion_tokens': self.produced,
-            'total_tokens': self.ask.prompt_tokens + self.produced,
+            'total_tokens': self.completion.prompt_tokens + self.produced,
             'prompt_tokens_details': {'cached_tokens': self.cached_tokens},
         }
 
     def _finish_listener(self, listener: Listener) -> None:
         if not listener.stream:
-            listener.reply.send_json(self._whole_answer())
+            listener.reply.send_json(self._full_response())
             return
         reply = listener.reply
         reply.write_chunk(_write_event(self._document(self._last_choice(), '.chunk')))
-        if self.ask.include_usage:
+        if self.completion.include_usage:
             last = {**self._document(None, '.chunk'), 'usage': self.usage()}
             reply.write_chunk(_write_event(last))
         reply.write_chunk(END_OF_STREAM)
         reply.end_events()
 
     def _last_choice(self) -> dict[str, Any]:
-        empty: dict[str, Any] = {'delta': {}} if self.ask.chat else {'text': ''}
+        empty: dict[str, Any] = {'delta': {}} if self.completion.chat else {'text': ''}
         return {'index': 0, **empty, 'finish_reason': self.finish_reason}
 
-    def _whole_answer(self) -> dict[str, Any]:
+    def _full_response(self) -> dict[str, Any]:
         text = ''.join(self.token(index) for index in range(self.produced))
         body: dict[str, Any] = {'text': text}
-        if self.ask.chat:
+        if self.completion.chat:
             body = {'message': {'role': 'assistant', 'content': text}}
         choice = {'index': 0, **body, 'finish_reason': self.finish_reason}
         return {**self._document(choice, ''), 'usage': self.usage()}
 
     def _document(self, choice: dict[str, Any] | None, suffix: str) -> dict[str, Any]:
-        kind = f'chat.completion{suffix}' if self.ask.chat else 'text_completion'
+        kind = f'chat.completion{suffix}' if self.completion.chat else 'text_completion'
         return {
-            'id': f'chatcmpl-{self.ask.attempt}',
+            'id': f'chatcmpl-{self.completion.attempt}',
             'object': kind,
             'created': self.created,
-            'model': self.ask.model,
+            'model': self.completion.model,
             'choices': [] if choice is None else [choice],
         }
 
 
 def _make_renderer(generation: Generation) -> Renderer:
-    mark: dict[str, Any] = {'text': CONTENT_MARK}
-    if generation.ask.chat:
-        mark = {'delta': {'content': CONTENT_MARK}}
-    choice = {'index': 0, **mark, 'finish_reason': None}
+    placeholder: dict[str, Any] = {'text': CONTENT_PLACEHOLDER}
+    if generation.completion.chat:
+        placeholder = {'delta': {'content': CONTENT_PLACEHOLDER}}
+    choice = {'index': 0, **placeholder, 'finish_reason': None}
     event = _write_event(generation._document(choice, '.chunk'))  # noqa: SLF001
-    head, _, tail = event.partition(CONTENT_MARK.encode())
+    head, _, tail = event.partition(CONTENT_PLACEHOLDER.encode())
 
     def render(text: str) -> bytes:
         return b'%b%b%b' % (head, text.encode(), tail)
--- a/libs/standins/fireflyhitch_standins/engine_kv.py
+++ b/libs/standins/fireflyhitch_standins/engine_kv.py
@@ -1,10 +1,10 @@
-"""KV caches that a stand-in engine exports and imports."""
+"""Export and import of a stand-in engine's KV caches."""
 
 import cbor2
 from cachetools import LRUCache
 from pydantic import BaseModel, ConfigDict
 
-from fireflyhitch_standins.engine_generation import Ask, Generation
+from fireflyhitch_standins.engine_generation import CompletionRequest, Generation
 
 MAX_IMPORTS = 1024
 
@@ -18,13 +18,13 @@
 
 
 def export_cache(generation: Generation, bytes_per_token: int) -> tuple[int, bytes]:
-    """Return how many tokens are covered, and the bytes."""
-    tokens = generation.ask.prompt_tokens + generation.produced
+    """Return the number of covered tokens and the serialized cache."""
+    tokens = generation.completion.prompt_tokens + generation.produced
     if not generation.produced:
-        # Until the first token is out the prompt is not computed.
+        # The prompt is fully computed only when the first token is generated.
         tokens = generation.cached_tokens
     cache = _Cache(
-        prompt_hash=generation.ask.prompt_hash,
+        prompt_hash=generation.completion.prompt_hash,
         tokens=tokens,
         padding=bytes(tokens * bytes_per_token),
     )
@@ -32,21 +32,21 @@
 
 
 class KvImports:
-    """Imported caches, the least recently used dropped first."""
+    """Imported caches with LRU eviction."""
 
     def __init__(self) -> None:
         self._caches: LRUCache[str, _Cache] = LRUCache(MAX_IMPORTS)
 
     def put(self, attempt: str, body: bytes) -> None:
-        """Keep a cache that another engine exported.
+        """Store a cache exported by another engine.
 
-        :raises ValueError: if the bytes are no cache.
+        :raises ValueError: if the bytes are not a valid cache.
         """
         self._caches[attempt] = _Cache.model_validate(cbor2.loads(body))
 
-    def count_tokens(self, ask: Ask) -> int:
-        """Return how many of a prompt's tokens need not be computed again."""
-        cache = self._caches.get(ask.kv_import) if ask.kv_import else None
-        if cache is None or cache.prompt_hash != ask.prompt_hash:
+    def count_tokens(self, completion: CompletionRequest) -> int:
+        """Return how many of a prompt's tokens are covered by an imported cache."""
+        cache = self._caches.get(completion.kv_import) if completion.kv_import else None
+        if cache is None or cache.prompt_hash != completion.prompt_hash:
             return 0
-        return min(cache.tokens, ask.prompt_tokens)
+        return min(cache.tokens, completion.prompt_tokens)
--- a/libs/standins/fireflyhitch_standins/engine_messages.py
+++ b/libs/standins/fireflyhitch_standins/engine_messages.py
@@ -1,4 +1,4 @@
-"""What goes into the engine stand-in and what comes out of it."""
+"""Inputs, settings and events of the engine model."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,18 +9,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """An engine's service curve and how late it reports; times in seconds.
+    """An engine's service curve and report delays; times in seconds.
 
-    One step of the batch takes ``step_seconds``, plus ``step_seconds_per_call``
+    One batch step takes ``step_seconds``, plus ``step_seconds_per_call``
     for each call in it, plus its prompt tokens over ``prompt_tokens_per_second``.
-    The defaults have the order of published figures of an 8-billion-parameter
+    The defaults have the magnitude of published figures for an 8-billion-parameter
     model on a 24 GB accelerator.
 
-    :param max_running: calls in the batch; the others wait.
-    :param max_waiting: calls that may wait; above it a call is refused.
-    :param chunk_tokens: prompt tokens computed in one step at the most.
-    :param cache_tokens: tokens that the KV cache holds, running calls included.
-    :param event_loss: share of cache events that are never seen.
+    :param max_running: maximum number of calls in the batch; others wait.
+    :param max_waiting: maximum number of waiting calls; more are refused.
+    :param chunk_tokens: maximum number of prompt tokens computed in one step.
+    :param cache_tokens: capacity of the KV cache, including running calls.
+    :param event_loss: share of cache events that are never published.
     """
 
     max_running: int = 16
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFaults:
-    """What is wrong with an engine now.
+    """Current faults of an engine.
 
     :param slowness: factor on the time of each step.
-    :param slow_above: the factor holds only with more running calls than this.
+    :param slow_above: the factor applies only with more running calls than this.
     :param fail_share: share of calls that fail after their first token.
     :param fail_above: calls fail only with more running calls than this.
     :param fail_route: calls fail only on this route.
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """A call as an engine sees it.
+    """A call to an engine.
 
     :param prefix_blocks: chained hashes of the prompt's blocks.
     :param imported_tokens: prompt tokens whose KV cache was imported.
@@ -75,7 +75,7 @@
 
 
 class StreamStatus(Enum):
-    """What has become of a call in an engine."""
+    """Status of a call in an engine."""
 
     WAITING = 'waiting'
     RUNNING = 'running'
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenEvent:
-    """One token of an answer; the index counts from 0."""
+    """One token of an answer; indexes are 0-based."""
 
     attempt: AttemptId
     at: float
@@ -99,7 +99,7 @@
 
     :param cached_tokens: prompt tokens found in the prefix cache.
     :param computed_tokens: prompt tokens that were computed.
-    :param first_token_at: ``None`` if it ended without a token.
+    :param first_token_at: ``None`` if no token was generated.
     """
 
     attempt: AttemptId
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamState:
-    """A running or recently ended call, for resume and export."""
+    """State of a running or recently ended call, for resume and export."""
 
     call: EngineCall
     status: StreamStatus
--- a/libs/standins/fireflyhitch_standins/engine_orders.py
+++ b/libs/standins/fireflyhitch_standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds, and the orders that change it."""
+"""State of a stand-in engine and the orders that change it."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 _STATE = TypeAdapter(EngineState)
 
 
-class EngineHoldings:
-    """Version, adapters and role; orders take effect after their load time.
+class EngineOrderHandler:
+    """Applies orders to version, adapters and role after their load time.
 
-    :param settings: returns the settings in force now.
-    :param set_version: told when another version is loaded.
+    :param settings: returns the current settings.
+    :param set_version: called when another version has been loaded.
     """
 
     def __init__(
@@ -39,8 +39,8 @@
         self._loading = 0
 
     @property
-    def takes_calls(self) -> bool:
-        """Whether new calls are taken now."""
+    def accepts_calls(self) -> bool:
+        """Return whether new calls are accepted."""
         return not (self.draining or self._loading or self._settings().refuse)
 
     def describe(self) -> Any:
@@ -51,10 +51,10 @@
         )
         return _STATE.dump_python(state, mode='json')
 
-    def take(self, body: bytes) -> bool:
-        """Take an order.
+    def accept(self, body: bytes) -> bool:
+        """Accept an order.
 
-        :returns: ``False`` if its fencing number is old and that matters here.
+        :returns: ``False`` if fencing is enabled and its fencing number is outdated.
         """
         order = _ORDER.validate_json(body)
         if self._settings().fencing and order.fencing < self._fencing:
--- a/libs/standins/fireflyhitch_standins/engine_pacing.py
+++ b/libs/standins/fireflyhitch_standins/engine_pacing.py
@@ -1,4 +1,4 @@
-"""When a stand-in engine's tokens come, and what it reports of its load."""
+"""Token timing and load reports of a stand-in engine."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,15 +9,15 @@
 from fireflyhitch_standins.engine_generation import Generation
 from fireflyhitch_standins.engine_settings import EngineSettings
 
-# Tells the server of a token, and of the end of a stream that ran.
+# Called for each token that is due; may end the stream.
 Advance = Callable[[Generation], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """An engine's load as it reports it.
+    """An engine's load report.
 
-    :param age: seconds since it was true.
+    :param age: seconds since it was measured.
     """
 
     running: int
@@ -27,32 +27,32 @@
 
 
 class Pacing(Protocol):
-    """Decides on the loop when each stream gets its tokens."""
+    """Schedules the tokens of streams on the event loop."""
 
     def begin(self, generation: Generation) -> None:
-        """Take a new stream.
+        """Add a new stream.
 
-        :raises EngineRefusal: if there is no room for it.
+        :raises EngineRefusal: if the queue is full.
         """
 
     def end(self, generation: Generation) -> None:
-        """Forget a stream that finished, failed or was cancelled."""
+        """Remove a stream that finished, failed or was cancelled."""
 
     def count(self) -> int:
-        """Return how many streams run or wait now."""
+        """Return the number of running and waiting streams."""
 
     def load(self) -> Load:
-        """Return the load as far as it is visible."""
+        """Return the newest visible load report."""
 
     def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
         """Return visible changes of the prefix cache after a sequence number."""
 
 
 class FixedPacing:
-    """Gives each stream its own times; there is no prefix cache.
+    """Fixed token times per stream, without a prefix cache.
 
-    :param settings: returns the settings in force now.
-    :param advance: gives a stream its next token.
+    :param settings: returns the current settings.
+    :param advance: generates a stream's next token.
     """
 
     def __init__(
@@ -67,32 +67,32 @@
         self._running = 0
 
     def begin(self, generation: Generation) -> None:
-        """Plan the first token."""
+        """Schedule the first token."""
         settings = self._settings()
         generation.cached_tokens = generation.imported_tokens
         self._running += 1
         delay = settings.first_token_seconds
         delay += settings.prefill_seconds * generation.computed_tokens
         due = self._loop.time() + delay * self._slowness()
-        self._loop.call_at(due, self._turn, generation, due)
+        self._loop.call_at(due, self._emit_token, generation, due)
 
     def end(self, generation: Generation) -> None:
-        """Count a stream out; its planned token does nothing."""
+        """Remove a stream; its scheduled token is ignored."""
         self._running -= 1
 
     def count(self) -> int:
-        """Return how many streams run now."""
+        """Return the number of running streams."""
         return self._running
 
     def load(self) -> Load:
-        """Return the load of now."""
+        """Return the current load."""
         return Load(self._running, 0)
 
     def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Return nothing, as there is no cache."""
+        """Return no events, as there is no cache."""
         return ()
 
-    def _turn(self, generation: Generation, due: float) -> None:
+    def _emit_token(self, generation: Generation, due: float) -> None:
         if generation.has_ended:
             return
         self._advance(generation)
@@ -101,9 +101,9 @@
         settings = self._settings()
         step = settings.token_seconds
         step += settings.token_seconds_per_call * (self._running - 1)
-        # The next token is due by the plan, so that lateness does not add up.
+        # Scheduled relative to the previous due time, so that delays do not accumulate.
         due = max(due + step * self._slowness(), self._loop.time())
-        self._loop.call_at(due, self._turn, generation, due)
+        self._loop.call_at(due, self._emit_token, generation, due)
 
     def _slowness(self) -> float:
         settings = self._settings()
--- a/libs/standins/fireflyhitch_standins/engine_requests.py
+++ b/libs/standins/fireflyhitch_standins/engine_requests.py
@@ -1,4 +1,4 @@
-"""Reads what a request asks of the stand-in engine."""
+"""Parses completion requests to the stand-in engine."""
 
 import json
 import secrets
@@ -13,16 +13,16 @@
     split_continuation,
 )
 from fireflyhitch_standins.asyncio_http import Request
-from fireflyhitch_standins.engine_generation import Ask
+from fireflyhitch_standins.engine_generation import CompletionRequest
 
 DEFAULT_MAX_TOKENS = 16
 ATTEMPT_BYTES = 8
 
 
-def read_ask(request: Request, chat: bool) -> Ask:
-    """Return what a completion request asks for.
+def read_completion(request: Request, chat: bool) -> CompletionRequest:
+    """Parse a completion request.
 
-    :raises ValueError: if it is not JSON.
+    :raises ValueError: if the body is not JSON.
     :raises KeyError: if it lacks a prompt or messages.
     """
     document = json.loads(request.body)
@@ -30,7 +30,7 @@
     limit = document.get('max_completion_tokens') or document.get('max_tokens')
     options = document.get('stream_options') or {}
     attempt = request.headers.get('x-request-id') or secrets.token_hex(ATTEMPT_BYTES)
-    return Ask(
+    return CompletionRequest(
         attempt=attempt,
         model=str(document.get('model', '')),
         chat=chat,
@@ -60,7 +60,7 @@
 
 
 def _read_prefix(document: Mapping[str, Any]) -> str:
-    # As the daemon does it: its hashes and the cache events' have to agree.
+    # Same text as in the daemon, because its hashes must match the cache events.
     messages: Iterable[Mapping[str, Any]] = document.get('messages', ())
     if not messages:
         return str(document.get('prompt', ''))
--- a/libs/standins/fireflyhitch_standins/engine_server.py
+++ b/libs/standins/fireflyhitch_standins/engine_server.py
@@ -18,12 +18,12 @@
     Request,
 )
 from fireflyhitch_standins.engine import EngineRefusal
-from fireflyhitch_standins.engine_asks import read_ask
 from fireflyhitch_standins.engine_batch import BatchPacing
 from fireflyhitch_standins.engine_generation import FAILURE, Generation, Listener
 from fireflyhitch_standins.engine_kv import KvImports, export_cache
-from fireflyhitch_standins.engine_orders import EngineHoldings
+from fireflyhitch_standins.engine_orders import EngineOrderHandler
 from fireflyhitch_standins.engine_pacing import FixedPacing, Pacing
+from fireflyhitch_standins.engine_requests import read_completion
 from fireflyhitch_standins.engine_settings import EngineSettings, PacingKind
 from fireflyhitch_standins.processes import serve_until_stopped
 
@@ -37,10 +37,10 @@
 
 
 class EngineServer:
-    """Answers chat and text completions with tokens in time.
+    """Serves chat and text completions with timed tokens.
 
-    :param versions: settings that take the place of the present ones when a
-        version is loaded; a version that is missing keeps them.
+    :param versions: settings that replace the current ones when a version is
+        loaded; missing versions keep the current settings.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._server = AsyncHttpServer(self._handle, host, port)
         self._loop = self._server.loop
         self._imports = KvImports()
-        self.holdings = EngineHoldings(
+        self.order_handler = EngineOrderHandler(
             self._loop, lambda: self.settings, self._set_version
         )
         self._pacing = self._make_pacing()
@@ -68,7 +68,7 @@
             COMPLETIONS: self._complete,
             STREAMS: self._handle_stream,
             KV: self._handle_kv,
-            '/engine/orders': self._take_order,
+            '/engine/orders': self._accept_order,
             '/engine/state': self._send_state,
             '/engine/load': self._send_load,
             '/engine/cache-events': self._send_cache_events,
@@ -83,7 +83,7 @@
 
     @property
     def running(self) -> int:
-        """Return how many streams run or wait."""
+        """Return the number of running and waiting streams."""
         return self._pacing.count()
 
     def start(self) -> None:
@@ -91,7 +91,7 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Reset all connections, as an instance that goes does."""
+        """Reset all connections, as a reclaimed instance does."""
         self._server.stop()
 
     def _make_pacing(self) -> Pacing:
@@ -113,22 +113,22 @@
             _refuse(reply, HTTPStatus.BAD_REQUEST, repr(error))
 
     def _complete(self, request: Request, reply: Reply) -> None:
-        if not self.holdings.takes_calls:
+        if not self.order_handler.accepts_calls:
             _refuse_call(reply, 'not_ready')
             return
-        ask = read_ask(request, request.path == CHAT)
-        if _is_chosen(f'{ask.attempt}/error', self.settings.error_share):
+        completion = read_completion(request, request.path == CHAT)
+        if _is_selected(f'{completion.attempt}/error', self.settings.error_share):
             reply.send_json(FAILURE, HTTPStatus.INTERNAL_SERVER_ERROR)
             return
-        generation = Generation(ask, int(time.time()))
-        generation.imported_tokens = self._imports.count_tokens(ask)
+        generation = Generation(completion, int(time.time()))
+        generation.imported_tokens = self._imports.count_tokens(completion)
         try:
             self._pacing.begin(generation)
         except EngineRefusal:
             _refuse_call(reply, 'queue_full')
             return
-        self.generations[ask.attempt] = generation
-        self._attach(generation, Listener(reply, ask.stream))
+        self.generations[completion.attempt] = generation
+        self._attach(generation, Listener(reply, completion.stream))
 
     def _advance(self, generation: Generation) -> None:
         if not generation.produced:
@@ -146,24 +146,24 @@
 
     def _count_prompt(self, generation: Generation) -> None:
         self.computed_tokens += generation.computed_tokens
-        if generation.ask.held:
+        if generation.completion.held:
             self.recomputed_tokens += generation.computed_tokens
 
     def _find_end(self, generation: Generation) -> str | None:
-        ask = generation.ask
-        if ask.held + generation.produced >= self.settings.answer_tokens:
+        completion = generation.completion
+        if completion.held + generation.produced >= self.settings.answer_tokens:
             return 'stop'
-        return 'length' if generation.produced >= ask.limit else None
+        return 'length' if generation.produced >= completion.limit else None
 
     def _fails(self, generation: Generation) -> bool:
         settings = self.settings
         if not settings.fail_share:
             return False
-        if settings.fail_route not in {None, generation.ask.route}:
+        if settings.fail_route not in {None, generation.completion.route}:
             return False
         if self.running <= settings.fail_above:
             return False
-        return _is_chosen(generation.ask.attempt, settings.fail_share)
+        return _is_selected(generation.completion.attempt, settings.fail_share)
 
     def _attach(
         self, generation: Generation, listener: Listener, after: int = 0
@@ -176,9 +176,9 @@
             generation.listeners.remove(listener)
         if not generation.listeners:
             linger = self.settings.linger_seconds
-            self._loop.call_later(linger, self._cancel_unheard, generation)
+            self._loop.call_later(linger, self._cancel_if_abandoned, generation)
 
-    def _cancel_unheard(self, generation: Generation) -> None:
+    def _cancel_if_abandoned(self, generation: Generation) -> None:
         if not generation.listeners:
             self._cancel(generation)
 
@@ -188,16 +188,16 @@
         self.cancelled += 1
         self._end(generation, generation.abort)
 
-    def _end(self, generation: Generation, tell: Callable[[], None]) -> None:
-        """End a generation, its place first.
+    def _end(self, generation: Generation, end_listeners: Callable[[], None]) -> None:
+        """End a generation after freeing its slot.
 
-        A caller that has its answer may look at the engine at once, from another
-        thread, and must not see its own call as running.
+        A caller that has its response may read the engine's load immediately, from
+        another thread, and must not see its own call as running.
         """
         self._pacing.end(generation)
-        tell()
+        end_listeners()
         retain = self.settings.retain_seconds
-        attempt = generation.ask.attempt
+        attempt = generation.completion.attempt
         self._loop.call_later(retain, self.generations.pop, attempt, None)
 
     def _handle_stream(self, request: Request, reply: Reply) -> None:
@@ -227,8 +227,8 @@
     def _find(self, request: Request) -> Generation | None:
         return self.generations.get(request.path.rpartition('/')[-1])
 
-    def _take_order(self, request: Request, reply: Reply) -> None:
-        if self.holdings.take(request.body):
+    def _accept_order(self, request: Request, reply: Reply) -> None:
+        if self.order_handler.accept(request.body):
             reply.send_json({})
         else:
             _refuse(reply, HTTPStatus.CONFLICT, 'old fencing number')
@@ -237,7 +237,7 @@
         self.settings = self._versions.get(version, self.settings)
 
     def _send_state(self, _: Request, reply: Reply) -> None:
-        reply.send_json(self.holdings.describe())
+        reply.send_json(self.order_handler.describe())
 
     def _send_load(self, _: Request, reply: Reply) -> None:
         load = asdict(self._pacing.load())
@@ -266,7 +266,7 @@
         reply.send_json(counters)
 
 
-def _is_chosen(key: str, share: float) -> bool:
+def _is_selected(key: str, share: float) -> bool:
     return share > 0 and hash_text(key) / HASH_RANGE < share
 
 
@@ -285,8 +285,8 @@
     """Serve until SIGTERM; print the address as a line of JSON."""
     options = _read_options()
     fields = EngineSettings.model_fields
-    chosen = {field: getattr(options, field) for field in fields}
-    settings = EngineSettings.model_validate(chosen)
+    selected = {field: getattr(options, field) for field in fields}
+    settings = EngineSettings.model_validate(selected)
     serve_until_stopped(EngineServer(settings, options.host, options.port))
 
 
--- a/libs/standins/fireflyhitch_standins/engine_settings.py
+++ b/libs/standins/fireflyhitch_standins/engine_settings.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine behaves; a test may change it while it runs."""
+"""Settings of a stand-in engine, which a test may change while it runs."""
 
 from enum import Enum
 
@@ -7,16 +7,16 @@
 from fireflyhitch_model.ids import VersionId
 
 DEFAULT_ANSWER_TOKENS = 64
-# Small, so that tests move quickly; a real cache has some 100 kB a token.
+# Small to keep tests fast; a real cache needs about 100 kB per token.
 KV_BYTES_PER_TOKEN = 64
 
 
 class PacingKind(Enum):
     """How tokens are timed.
 
-    ``FIXED`` gives each stream its own fixed times, whatever else runs; it is
-    the cheapest. ``BATCH`` is continuous batching with a queue by priority, a
-    prefix cache in limited memory, and reports that lag.
+    ``FIXED`` gives each stream fixed times independent of other streams and is the
+    cheapest. ``BATCH`` simulates continuous batching with a priority queue, a
+    prefix cache in limited memory, and delayed reports.
     """
 
     FIXED = 'fixed'
@@ -24,32 +24,32 @@
 
 
 class EngineSettings(BaseModel):
-    """Times in seconds; faults are off by default.
+    """Settings of a stand-in engine; times in seconds, faults off by default.
 
-    :param first_token_seconds: until the first token, with fixed times only; a
-        batch gives it with the step that ends the prompt.
-    :param token_seconds_per_call: added to the time of a token for each other
-        stream that runs.
-    :param prefill_seconds: for each prompt token that is computed.
-    :param answer_tokens: the length at which an answer stops by itself.
-    :param linger_seconds: how long a stream that nobody listens to goes on.
+    :param first_token_seconds: time to the first token, for fixed pacing only; a
+        batch emits it with the step that completes the prompt.
+    :param token_seconds_per_call: added to a token's time for each other running
+        stream.
+    :param prefill_seconds: time per computed prompt token.
+    :param answer_tokens: length at which an answer stops by itself.
+    :param linger_seconds: how long a stream without listeners continues.
     :param retain_seconds: how long a finished stream can still be read.
-    :param load_seconds: how long it takes to load a version or an adapter.
+    :param load_seconds: time to load a version or an adapter.
     :param fencing: whether orders with an old fencing number are refused.
     :param kv_bytes_per_token: size of an exported KV cache.
-    :param max_running: calls in a batch; the others wait.
-    :param max_waiting: calls that may wait; more are refused.
-    :param cache_tokens: tokens that the KV cache holds, running calls included.
-    :param report_lag_seconds: how late the load is reported.
-    :param event_lag_seconds: how late cache events are published.
+    :param max_running: maximum number of calls in a batch; others wait.
+    :param max_waiting: maximum number of waiting calls; more are refused.
+    :param cache_tokens: capacity of the KV cache, including running calls.
+    :param report_lag_seconds: delay of load reports.
+    :param event_lag_seconds: delay of cache events.
     :param event_loss: share of cache events that are never published.
     :param slowness: factor on the time of each token.
-    :param slow_above: the factor holds only with more running streams than this.
-    :param error_share: share of calls answered with an error at once.
+    :param slow_above: the factor applies only with more running streams than this.
+    :param error_share: share of calls that immediately return an error.
     :param fail_share: share of calls that fail after their first token.
     :param fail_above: calls fail only with more running streams than this.
     :param fail_route: calls fail only on this route, ``chat`` or ``completions``.
-    :param break_after_tokens: streams lose their connection after so many tokens.
+    :param break_after_tokens: number of tokens after which connections are reset.
     :param refuse: new calls are refused before they run.
     """
 
--- a/libs/standins/fireflyhitch_standins/etcd_server.py
+++ b/libs/standins/fireflyhitch_standins/etcd_server.py
@@ -1,4 +1,4 @@
-"""The key-value stand-in over HTTP, in the form of etcd's JSON gateway."""
+"""The key-value stand-in over HTTP, compatible with etcd's JSON gateway."""
 
 import json
 import threading
@@ -12,11 +12,11 @@
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import LeaseId, Revision
 from fireflyhitch_model.states import Outcome
-from fireflyhitch_platform.etcd_forms import (
+from fireflyhitch_platform.etcd_messages import (
     Json,
     decode_key,
     encode_key,
-    end_of,
+    find_range_end,
 )
 from fireflyhitch_platform.keyvalue import (
     KeyValue,
@@ -27,10 +27,10 @@
 from fireflyhitch_standins.faults import Fault
 from fireflyhitch_standins.keyvalue import MemoryKeyValueStore
 
-# A waiting watch holds a thread.
+# Each waiting watch occupies a thread.
 THREADS = 48
 QUEUED_CONNECTIONS = 64
-# A watch ends by the client's closing, which shows at the next notice.
+# A closed client connection is detected when the next progress message is sent.
 PROGRESS_INTERVAL = timedelta(seconds=1)
 OUTAGE_BODY = {'code': 14, 'message': 'etcdserver: no leader'}
 LOST_BODY = {'code': 14, 'message': 'etcdserver: request timed out'}
@@ -41,9 +41,9 @@
 class EtcdServer:
     """Serves a ``MemoryKeyValueStore``; ``PUT /standin/faults`` sets its faults.
 
-    The faults' body: ``outage`` (bool), ``slow_seconds`` (added to each call but
-    watches), ``lost_answers`` and ``lost_requests`` (for so many writes to come).
-    ``GET /standin/calls`` gives the calls by kind.
+    Fields of the faults' body: ``outage`` (bool), ``slow_seconds`` (delay of each
+    call except watches), ``lost_answers`` and ``lost_requests`` (number of upcoming
+    writes affected). ``GET /standin/calls`` returns the call counts by kind.
     """
 
     def __init__(self, clock: Clock, port: int = 0, host: str = '127.0.0.1') -> None:
@@ -83,12 +83,12 @@
         return f'http://{self.address}'
 
     def start(self) -> None:
-        """Serve in a thread."""
+        """Start serving in a thread."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """End all watches and the thread."""
+        """Stop all watches and the server thread."""
         self._stopping.set()
         self._server.stop()
         self._thread.join(timeout=2)
@@ -118,8 +118,8 @@
             item = self.store.get(key)
             found = [_write_item(item)] if item else []
             return {**self._header(), 'kvs': found, 'count': str(len(found))}
-        # Only ranges of a prefix are asked for.
-        if decode_key(body['range_end']) != end_of(key):
+        # The client requests only prefix ranges.
+        if decode_key(body['range_end']) != find_range_end(key):
             raise ValueError('only ranges of a prefix are served')
         listing = self.store.get_prefix(key)
         items = [_write_item(item) for item in listing.items]
@@ -151,7 +151,7 @@
 
     def _keep(self, body: Json) -> Json:
         held = self.store.keep_lease(LeaseId(int(body['ID'])))
-        # The published form leaves out a time to live of zero.
+        # The published format omits a time to live of zero.
         return {'result': {'ID': body['ID'], **({'TTL': '1'} if held else {})}}
 
     def _revoke(self, body: Json) -> Json:
--- a/libs/standins/fireflyhitch_standins/faults.py
+++ b/libs/standins/fireflyhitch_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test turns on at a step of a stand-in."""
+"""Faults that a test injects into a stand-in's calls."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one call."""
+    """The fault of one call."""
 
     NONE = 'none'
     REFUSED = 'refused'
@@ -16,10 +16,10 @@
 
 
 class FaultPlan:
-    """Decides for each call of a stand-in whether and how it fails.
+    """Selects the fault of each call of a stand-in.
 
-    A standing fault holds until it is lifted; queued ones come first, each for
-    one call. A hook runs before each call, so that a test can act at a step.
+    A persistent fault applies until it is cleared. Queued faults take precedence,
+    each for one call. A hook runs before each call, so that a test can act then.
     """
 
     def __init__(self) -> None:
@@ -29,27 +29,27 @@
         self._hook: Callable[[str], None] | None = None
 
     def queue(self, operation: str, *faults: Fault) -> None:
-        """Let the next calls of an operation fail, one fault each."""
+        """Queue faults for the next calls of an operation."""
         with self._lock:
             self._queued.setdefault(operation, deque()).extend(faults)
 
     def stand(self, operation: str, fault: Fault) -> None:
-        """Let all calls of an operation fail (``*``: of all operations)."""
+        """Apply a fault to all calls of an operation (``*``: all operations)."""
         with self._lock:
             self._standing[operation] = fault
 
     def lift(self) -> None:
-        """End all faults."""
+        """Remove all queued and persistent faults."""
         with self._lock:
             self._queued.clear()
             self._standing.clear()
 
     def before(self, hook: Callable[[str], None] | None) -> None:
-        """Call a hook with the operation's name before each call."""
+        """Set a hook that gets the operation's name before each call."""
         self._hook = hook
 
     def take(self, operation: str) -> Fault:
-        """Return the fault for a call that begins now."""
+        """Return the fault of the next call, removing it if it was queued."""
         if self._hook is not None:
             self._hook(operation)
         with self._lock:
--- a/libs/standins/fireflyhitch_standins/faulty_calls.py
+++ b/libs/standins/fireflyhitch_standins/faulty_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a platform stand-in, counted and failing as a plan says."""
+"""Call counting and fault injection for platform stand-ins."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 class FaultyCalls:
-    """Counts a stand-in's calls and lets some of them fail.
+    """Counts a stand-in's calls and injects faults.
 
     :param peer: the stand-in's name, for errors.
-    :param step: the step at which its errors arise.
+    :param step: the step reported in its errors.
     """
 
     def __init__(self, peer: str, step: Step) -> None:
@@ -25,10 +25,10 @@
         self._step = step
 
     def run(self, operation: str, action: Callable[[], Returned]) -> Returned:
-        """Do a call, unless its fault comes before the effect.
+        """Run an action with the fault planned for this call.
 
-        :raises PlatformError: as the fault says; a lost answer comes after the
-            effect, and the caller cannot tell it from a lost request.
+        :raises PlatformError: according to the fault. A response is lost after the
+            effect, and the caller cannot distinguish it from a lost request.
         """
         fault = self.faults.take(operation)
         self.counts[operation] += 1
--- a/libs/standins/fireflyhitch_standins/instance_list.py
+++ b/libs/standins/fireflyhitch_standins/instance_list.py
@@ -1,4 +1,4 @@
-"""The instance list in memory, which shows what was true a while ago."""
+"""In-memory instance list that lags behind the cloud."""
 
 import threading
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class MemoryInstanceList:
-    """Implements ``InstanceList``; a cloud's ``on_change`` feeds ``record``."""
+    """In-memory ``InstanceList``; a cloud's ``on_change`` calls ``record``."""
 
     def __init__(self, clock: Clock, lag: timedelta = NO_TIME) -> None:
         self.calls = FaultyCalls('instance list stand-in', Step.LIST_INSTANCES)
@@ -24,23 +24,23 @@
         self._history.append((clock.monotonic(), InstanceListing()))
 
     def read(self) -> InstanceListing:
-        """Return the list as it was one lag ago."""
-        return self.calls.run('read', self._find)
+        """Return the list as of one lag ago."""
+        return self.calls.run('read', self._find_visible)
 
     def record(self, listing: InstanceListing) -> None:
-        """Take note of a change that readers see one lag later."""
+        """Record a change, which becomes visible one lag later."""
         with self._lock:
             if listing != self._history[-1][1]:
                 self._history.append((self._clock.monotonic(), listing))
 
-    def settle(self) -> None:
-        """Show what is true now without waiting for the lag, as after a calm."""
+    def skip_lag(self) -> None:
+        """Make the newest list visible immediately."""
         with self._lock:
             newest = self._history[-1][1]
             self._history.clear()
             self._history.append((self._clock.monotonic(), newest))
 
-    def _find(self) -> InstanceListing:
+    def _find_visible(self) -> InstanceListing:
         visible = self._clock.monotonic() - self.lag.total_seconds()
         with self._lock:
             while len(self._history) > 1 and self._history[1][0] <= visible:
--- a/libs/standins/fireflyhitch_standins/keyvalue.py
+++ b/libs/standins/fireflyhitch_standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with faults, on a passed clock."""
+"""In-memory key-value store with fault injection and a given clock."""
 
 import threading
 from collections import Counter
@@ -24,7 +24,7 @@
 from fireflyhitch_standins.faults import Fault, FaultPlan
 
 MAX_VALUE_BYTES = 1024 * 1024
-# How late a lapsed lease or a fault shows in a waiting watch.
+# Delay until a waiting watch sees an expired lease or a fault.
 POLL_SECONDS = 0.05
 POLL_INTERVAL = timedelta(seconds=POLL_SECONDS)
 PEER = 'key-value stand-in'
@@ -40,14 +40,14 @@
 
 
 class MemoryKeyValueStore:
-    """Implements ``KeyValueStore`` in one process; calls are counted by kind."""
+    """In-memory ``KeyValueStore`` that counts calls by operation."""
 
     def __init__(self, clock: Clock) -> None:
         self.faults = FaultPlan()
         self.calls: Counter[str] = Counter()
         self._clock = clock
-        self._changed = threading.Lock()
-        self._news = threading.Event()
+        self._lock = threading.Lock()
+        self._new_events = threading.Event()
         self._revision = 1
         self._compacted = 0
         self._values: dict[str, KeyValue] = {}
@@ -117,7 +117,7 @@
         return self._call('delete_if', Step.STORE_WRITE, delete)
 
     def grant_lease(self, duration: timedelta) -> LeaseId:
-        """Make a lease."""
+        """Create a lease."""
 
         def grant() -> LeaseId:
             self._revision += 1
@@ -129,7 +129,7 @@
         return self._call('grant_lease', Step.STORE_LEASE, grant)
 
     def keep_lease(self, lease: LeaseId) -> bool:
-        """Renew a lease; ``False`` if it has ended."""
+        """Renew a lease; return ``False`` if it has expired."""
 
         def renew() -> bool:
             held = self._leases.get(lease)
@@ -141,8 +141,8 @@
         return self._call('keep_lease', Step.STORE_LEASE, renew)
 
     def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease and delete its keys."""
-        self._call('revoke_lease', Step.STORE_LEASE, lambda: self._end_lease(lease))
+        """Revoke a lease and delete its keys."""
+        self._call('revoke_lease', Step.STORE_LEASE, lambda: self._delete_lease(lease))
 
     def watch(
         self, prefix: str, after: Revision, timeout: timedelta
@@ -159,38 +159,41 @@
                 return
 
     def poll_watch(
-        self, prefix: str, after: Revision, patience: timedelta
+        self, prefix: str, after: Revision, max_wait: timedelta
     ) -> list[WatchEvent]:
-        """Return the changes of a counted watch, waiting a while for the first."""
-        news = self._news
+        """Return changes for a watch that is already counted.
+
+        :param max_wait: how long to wait if there are none yet.
+        """
+        new_events = self._new_events
         read = partial(self._read_events, prefix, after)
         events = self._run('watch', Step.STORE_WATCH, read)
         if not events:
-            self._clock.wait(news, patience)
+            self._clock.wait(new_events, max_wait)
             events = self._run('watch', Step.STORE_WATCH, read)
         return events
 
     def count(self, operation: str) -> None:
         """Count a call."""
-        with self._changed:
+        with self._lock:
             self.calls[operation] += 1
 
     def compact(self) -> None:
-        """Forget the history, as the real service does from time to time."""
-        with self._changed:
+        """Discard the event history, as the real store does periodically."""
+        with self._lock:
             self._history.clear()
             self._compacted = self._revision
 
     def restore(self, values: dict[str, KeyValue], revision: int) -> None:
-        """Put an older state back, as a restored backup does."""
-        with self._changed:
+        """Restore an older state, as from a backup."""
+        with self._lock:
             self._values = dict(values)
             self._revision = revision
             self._history.clear()
 
     def dump(self) -> tuple[dict[str, KeyValue], int]:
-        """Return what ``restore`` takes."""
-        with self._changed:
+        """Return the state in the form that ``restore`` accepts."""
+        with self._lock:
             return dict(self._values), self._revision
 
     def _call(
@@ -203,7 +206,7 @@
         self, operation: str, step: Step, action: Callable[[], Returned]
     ) -> Returned:
         fault = self.faults.take(operation)
-        with self._changed:
+        with self._lock:
             if fault is Fault.REFUSED:
                 raise PlatformError(
                     f'{operation} refused',
@@ -213,7 +216,7 @@
                 )
             if fault is Fault.LOST_REQUEST:
                 raise PlatformError(f'no answer to {operation}', step=step, peer=PEER)
-            self._end_old_leases()
+            self._expire_leases()
             answer = action()
         if fault is Fault.LOST_ANSWER:
             raise PlatformError(f'no answer to {operation}', step=step, peer=PEER)
@@ -242,8 +245,8 @@
 
     def _record(self, event: WatchEvent) -> None:
         self._history.append(event)
-        self._news.set()
-        self._news = threading.Event()
+        self._new_events.set()
+        self._new_events = threading.Event()
 
     def _read_events(self, prefix: str, after: Revision) -> list[WatchEvent]:
         if after < self._compacted:
@@ -254,13 +257,13 @@
             if event.revision > after and event.key.startswith(prefix)
         ]
 
-    def _end_old_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._clock.monotonic()
         ended = [lease for lease, held in self._leases.items() if held.ends <= now]
         for lease in ended:
-            self._end_lease(lease)
+            self._delete_lease(lease)
 
-    def _end_lease(self, lease: LeaseId) -> None:
+    def _delete_lease(self, lease: LeaseId) -> None:
         held = self._leases.pop(lease, None)
         if held is None:
             return
--- a/libs/standins/fireflyhitch_standins/peers.py
+++ b/libs/standins/fireflyhitch_standins/peers.py
@@ -1,4 +1,4 @@
-"""Daemons of one process that hand each other messages directly."""
+"""In-process peer messengers that deliver messages directly."""
 
 from datetime import timedelta
 
@@ -15,7 +15,7 @@
 
 
 class MemoryPeerNetwork:
-    """The links between in-process messengers, and which of them are cut."""
+    """Links between in-process messengers, some of which may be cut."""
 
     def __init__(self) -> None:
         self.messengers: dict[DaemonId, MemoryPeerMessenger] = {}
@@ -29,19 +29,19 @@
         return messenger
 
     def separate(self, one: DaemonId, other: DaemonId) -> None:
-        """Cut the link between two daemons, both ways."""
+        """Cut the link between two daemons in both directions."""
         self.cut.add((one, other))
         self.cut.add((other, one))
 
     def reaches(self, sender: DaemonId, target: DaemonId) -> bool:
-        """Tell whether a message would arrive."""
+        """Return whether a message would be delivered."""
         if target in self.dead or target not in self.messengers:
             return False
         return (sender, target) not in self.cut
 
 
 class MemoryPeerMessenger:
-    """Implements ``PeerMessenger`` for one daemon."""
+    """In-memory ``PeerMessenger`` of one daemon."""
 
     def __init__(self, daemon: Daemon, network: MemoryPeerNetwork) -> None:
         self.daemon = daemon
@@ -49,7 +49,7 @@
         self._handlers: dict[str, Handler[PeerMessage]] = {}
 
     def live(self) -> tuple[Daemon, ...]:
-        """Return the daemons that are not dead, as the network knows them."""
+        """Return the live daemons of the network."""
         return tuple(
             messenger.daemon
             for daemon_id, messenger in self._network.messengers.items()
@@ -57,15 +57,15 @@
         )
 
     def tell(self, peer: DaemonId, message: PeerMessage) -> None:
-        """Send without an answer."""
+        """Send a message without waiting for a reply."""
         if self._network.reaches(self.daemon.daemon_id, peer):
             self._network.messengers[peer].receive(self.daemon.daemon_id, message)
 
     def spread(self, message: PeerMessage, scope: Scope) -> None:
-        """Send to all other daemons within the scope."""
+        """Broadcast a message to all other daemons within the scope."""
         for daemon in self.live():
-            near = daemon.failure_domain == self.daemon.failure_domain
-            if scope is Scope.FAILURE_DOMAIN and not near:
+            is_local = daemon.failure_domain == self.daemon.failure_domain
+            if scope is Scope.FAILURE_DOMAIN and not is_local:
                 continue
             if daemon.daemon_id != self.daemon.daemon_id:
                 self.tell(daemon.daemon_id, message)
@@ -73,22 +73,22 @@
     def ask(
         self, peer: DaemonId, message: PeerMessage, timeout: timedelta
     ) -> PeerMessage:
-        """Send and return the answer."""
+        """Send a message and return the reply."""
         here = self.daemon.daemon_id
-        there_and_back = self._network.reaches(here, peer)
+        is_reachable = self._network.reaches(here, peer)
         answer = None
-        if there_and_back:
+        if is_reachable:
             answer = self._network.messengers[peer].receive(here, message)
-            there_and_back = self._network.reaches(peer, here)
-        if answer is None or not there_and_back:
+            is_reachable = self._network.reaches(peer, here)
+        if answer is None or not is_reachable:
             raise PeerError('no answer in time', step=Step.PEER, peer=peer)
         return answer
 
     def handle(self, kind: type[SomeMessage], handler: Handler[SomeMessage]) -> None:
-        """Have a handler called for each message of a kind."""
+        """Register a handler for messages of a kind."""
         self._handlers[kind.kind] = handler  # type: ignore[assignment]
 
     def receive(self, sender: DaemonId, message: PeerMessage) -> PeerMessage | None:
-        """Hand a message to its handler, if there is one."""
+        """Pass a message to its handler, if there is one."""
         handler = self._handlers.get(message.kind)
         return handler(sender, message) if handler else None
--- a/libs/standins/fireflyhitch_standins/platform_server.py
+++ b/libs/standins/fireflyhitch_standins/platform_server.py
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reclaim:
-    """Which instances are to go: a list, or a failure domain's reclaimable ones."""
+class ReclaimRequest:
+    """Instances to reclaim: a list, or a failure domain's reclaimable ones."""
 
     notice_seconds: float
     instances: tuple[InstanceId, ...] = ()
@@ -51,8 +51,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """Whether starts in a failure domain and class are refused."""
+class RefusalRequest:
+    """Whether starts in a failure domain and machine class are refused."""
 
     failure_domain: FailureDomainId
     machine_class: MachineClass
@@ -60,8 +60,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultWish:
-    """A fault of a service's operation; for ``count`` calls or, at 0, for all."""
+class FaultRequest:
+    """A fault of a service's operation for ``count`` calls; 0 means all calls."""
 
     service: str
     operation: str
@@ -70,7 +70,7 @@
 
 
 class PlatformServer:
-    """Serves a world on one event loop."""
+    """Serves a simulated platform on one event loop."""
 
     def __init__(
         self, settings: WorldSettings, host: str = '127.0.0.1', port: int = 0
@@ -90,13 +90,13 @@
             ('POST', CLOUD_INSTANCES): self._start_instance,
             ('DELETE', CLOUD_INSTANCES): self._stop_instance,
             ('POST', '/weights/reservations'): self._reserve,
-            ('GET', '/standin/instances'): self._read_truth,
+            ('GET', '/standin/instances'): self._read_current_instances,
             ('PUT', '/standin/instances'): self._add_instance,
             ('DELETE', '/standin/instances'): self._kill_instance,
             ('POST', '/standin/reclaims'): self._reclaim,
             ('PUT', '/standin/refusals'): self._refuse,
             ('PUT', '/standin/faults'): self._set_fault,
-            ('DELETE', '/standin/faults'): self._lift_faults,
+            ('DELETE', '/standin/faults'): self._clear_faults,
             ('PUT', '/standin/prices'): self._set_prices,
             ('GET', '/standin/runs'): self._count_runs,
             ('GET', '/standin/calls'): self._count_calls,
@@ -108,7 +108,7 @@
         return self._server.address
 
     def start(self) -> None:
-        """Start the servers, then listen."""
+        """Start the servers, then start listening."""
         self.world.start()
         self._server.start()
         self._server.loop.call_soon_threadsafe(self._tick)
@@ -166,7 +166,7 @@
         wait = self.world.weights.reserve(wanted['deployment'], wanted['version'])
         return {'wait_seconds': wait.total_seconds()}
 
-    def _read_truth(self, _: Request) -> object:
+    def _read_current_instances(self, _: Request) -> object:
         listing = self.world.cloud.list_instances()
         return _LISTING.dump_python(listing, mode='json')
 
@@ -179,23 +179,23 @@
         return {}
 
     def _reclaim(self, request: Request) -> object:
-        wanted = TypeAdapter(Reclaim).validate_json(request.body)
+        wanted = TypeAdapter(ReclaimRequest).validate_json(request.body)
         notice = timedelta(seconds=wanted.notice_seconds)
         self.world.cloud.reclaim(wanted.instances, notice)
-        going = wanted.instances
+        reclaimed = wanted.instances
         if wanted.failure_domain is not None:
-            going += self.world.cloud.reclaim_domain(wanted.failure_domain, notice)
-        return {'instances': going}
+            reclaimed += self.world.cloud.reclaim_domain(wanted.failure_domain, notice)
+        return {'instances': reclaimed}
 
     def _refuse(self, request: Request) -> object:
-        wanted = TypeAdapter(Refusal).validate_json(request.body)
+        wanted = TypeAdapter(RefusalRequest).validate_json(request.body)
         self.world.cloud.refuse(
             wanted.failure_domain, wanted.machine_class, wanted.refused
         )
         return {}
 
     def _set_fault(self, request: Request) -> object:
-        wanted = TypeAdapter(FaultWish).validate_json(request.body)
+        wanted = TypeAdapter(FaultRequest).validate_json(request.body)
         faults = self._calls[wanted.service].faults
         if wanted.count:
             faults.queue(wanted.operation, *repeat(wanted.fault, wanted.count))
@@ -203,7 +203,7 @@
             faults.stand(wanted.operation, wanted.fault)
         return {}
 
-    def _lift_faults(self, _: Request) -> object:
+    def _clear_faults(self, _: Request) -> object:
         for calls in self._calls.values():
             calls.faults.lift()
         return {}
--- a/libs/standins/fireflyhitch_standins/processes.py
+++ b/libs/standins/fireflyhitch_standins/processes.py
@@ -1,4 +1,4 @@
-"""How a stand-in runs as a process of its own."""
+"""Runs a stand-in as a separate process."""
 
 import json
 import signal
@@ -7,7 +7,7 @@
 
 
 class Startable(Protocol):
-    """A stand-in that serves in threads of its own."""
+    """A stand-in that serves in its own threads."""
 
     @property
     def address(self) -> str:
--- a/libs/standins/fireflyhitch_standins/scripted_server.py
+++ b/libs/standins/fireflyhitch_standins/scripted_server.py
@@ -1,4 +1,4 @@
-"""A backend server on the caller's event loop that does what a script says."""
+"""A backend server on the caller's event loop that runs a test's script."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,18 +7,18 @@
 from fireflyhitch_serving.connections import Address
 
 HOST = '127.0.0.1'
-# A script that waits for its caller to leave sees it this soon.
-LOOK_SECONDS = 0.01
+# Interval at which a closed caller connection is checked for.
+POLL_SECONDS = 0.01
 
 
 def find_address(server: asyncio.Server) -> Address:
-    """Return where a server on loopback listens."""
+    """Return the address of a server listening on loopback."""
     return Address(HOST, server.sockets[0].getsockname()[1])
 
 
 @dataclass(slots=True)
 class SeenRequest:
-    """A request as a scripted server read it."""
+    """A request received by a scripted server."""
 
     head: str
     body: bytes
@@ -26,11 +26,11 @@
 
     @property
     def request_id(self) -> str:
-        """Return its id."""
+        """Return the request id."""
         return self.find('x-id')
 
     def find(self, name: str) -> str:
-        """Return a header, or nothing."""
+        """Return a header's value, or an empty string."""
         for line in self.head.split('\r\n')[1:]:
             known, _, value = line.partition(':')
             if known.lower() == name:
@@ -38,15 +38,15 @@
         return ''
 
 
-# Answers a request on the connection's writer.
+# Responds to a request on the connection's writer.
 Script = Callable[[SeenRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 class ScriptedServer:
-    """A backend server that does what its script says with each request."""
+    """A backend server that runs a script for each request."""
 
     def __init__(self, name: str, script: Script) -> None:
-        """Make a server; ``start`` has it listen."""
+        """Create a server; ``start`` makes it listen."""
         self.name = name
         self.script = script
         self.seen: list[SeenRequest] = []
@@ -59,7 +59,7 @@
         return find_address(self._server)
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
@@ -81,12 +81,12 @@
                     return
                 watch.cancel()
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            # The daemon has closed the connection, or the scene ends with its loop.
+            # The daemon closed the connection, or the test's event loop is stopping.
             writer.close()
 
 
 async def _watch_end(reader: asyncio.StreamReader, request: SeenRequest) -> None:
-    # A connection that is reset ends with an error instead of its last byte.
+    # A reset connection ends with an exception instead of EOF.
     while not reader.at_eof() and reader.exception() is None:
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
     request.closed.set()
--- a/libs/standins/fireflyhitch_standins/service_server.py
+++ b/libs/standins/fireflyhitch_standins/service_server.py
@@ -18,14 +18,14 @@
 
 
 class ServiceSettings(BaseModel):
-    """How the service behaves; a test may replace it while it runs.
+    """Settings of the service, which a test may replace while it runs.
 
-    :param response_seconds: how long a call takes.
+    :param response_seconds: duration of a call.
     :param slow_seconds_per_call: added for each other call in progress.
     :param refuse: calls are refused before they run.
     :param fail_share: share of calls that run and then fail.
-    :param drop_share: share of calls that run and whose answer is lost.
-    :param limit: calls a second that it names as its limit, if it has one.
+    :param drop_share: share of calls that run but whose response is lost.
+    :param limit: calls per second that it reports as its limit, if any.
     """
 
     model_config = ConfigDict(extra='forbid')
@@ -39,10 +39,10 @@
 
 
 class ServiceServer:
-    """The service on one event loop.
+    """Serves the service on one event loop.
 
-    :param name: goes into each answer.
-    :param version: goes into each answer.
+    :param name: included in each response.
+    :param version: included in each response.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._server.start()
 
     def stop(self) -> None:
-        """Reset all connections, as an instance that goes does."""
+        """Reset all connections, as a reclaimed instance does."""
         self._server.stop()
 
     def _handle(self, request: Request, reply: Reply) -> None:
@@ -100,9 +100,9 @@
         self.running -= 1
         if reply.ended:
             return
-        if _is_chosen(run, self.settings.drop_share):
+        if _is_selected(run, self.settings.drop_share):
             reply.abort()
-        elif _is_chosen(run, self.settings.fail_share):
+        elif _is_selected(run, self.settings.fail_share):
             error = {'error': 'failed after running'}
             reply.send_json(error, HTTPStatus.INTERNAL_SERVER_ERROR)
         else:
@@ -133,8 +133,8 @@
         reply.send_json(self.settings.model_dump())
 
 
-def _is_chosen(run: int, share: float) -> bool:
-    # Spread evenly, so that a test knows how many of n calls are chosen.
+def _is_selected(run: int, share: float) -> bool:
+    # Spread evenly, so that a test knows how many of n calls are selected.
     return int(run * share) > int((run - 1) * share)
 
 
--- a/libs/standins/fireflyhitch_standins/users_formats.py
+++ b/libs/standins/fireflyhitch_standins/users_formats.py
@@ -1,4 +1,4 @@
-"""What the users' platform writes: a daemon's settings file, and a configuration."""
+"""Renders the users' platform's formats: node files, configurations and requests."""
 
 import random
 import socket
@@ -55,16 +55,16 @@
 SERVICES = ({'name': 'planning', 'health_path': '/health', 'max_connections': 100},)
 
 
-# Below the range that the system picks local ports of outgoing connections from: one of
-# those on a daemon's port keeps it from listening for as long as the connection lasts.
+# Below the ephemeral port range: an outgoing connection whose local port is a daemon's
+# port would keep the daemon from listening for as long as the connection lasts.
 FIRST_PORT = 10_000
 LAST_PORT = 29_999
 
 
 def find_port() -> int:
-    """Return a port that is free now, and that no outgoing connection is given.
+    """Return a currently free port outside the ephemeral range.
 
-    :raises OSError: if all those that were tried are taken.
+    :raises OSError: if all ports are in use.
     """
     ports = range(FIRST_PORT, LAST_PORT + 1)
     for port in random.sample(ports, len(ports)):  # noqa: S311
@@ -82,11 +82,11 @@
     """An instance that runs a daemon.
 
     :param front: port for callers.
-    :param ready: port for the balancer's questions.
-    :param peer_port: for datagrams of other daemons.
-    :param store: address of the store as seen from here.
-    :param duties: address for the calls of one daemon at a time.
-    :param grace: seconds from the order to stop to the kill.
+    :param ready: port for the load balancer's readiness checks.
+    :param peer_port: port for other daemons' datagrams.
+    :param store: address of the store as seen from this node.
+    :param duties: address of the receiver of duty calls, made by one daemon at a time.
+    :param grace: seconds from the stop order to the kill.
     """
 
     name: str
@@ -100,14 +100,14 @@
 
 
 def render_node_file(node: Node) -> str:
-    """Return a daemon's settings file."""
+    """Render a daemon's settings file."""
     return NODE_FILE.format(node=node, host=HOST)
 
 
 def render_route(
     name: str, kind: str = 'idempotent', attempts: int = 2, prefix: str = ''
 ) -> dict[str, Any]:
-    """Return a route to the one service, below a prefix of its own."""
+    """Return a route to the only service, under its own prefix."""
     return {
         'name': name,
         'host': 'shop.example',
@@ -127,7 +127,7 @@
 def render_configuration(
     version: int, key: str, routes: Sequence[Mapping[str, Any]]
 ) -> dict[str, Any]:
-    """Return a configuration with one customer, whose key is given."""
+    """Return a configuration with one customer and its API key."""
     return {
         'version': version,
         'routes': list(routes),
@@ -138,7 +138,7 @@
 
 
 def render_server(address: Address, **changes: Any) -> dict[str, Any]:
-    """Return a server's entry."""
+    """Return a server's store entry."""
     return {
         'service': 'planning',
         'address': str(address),
@@ -162,9 +162,9 @@
     more: Headers | None = None,
     body: bytes = b'',
 ) -> bytes:
-    """Return a caller's request.
+    """Render a caller's request.
 
-    :param more: headers besides those that each request has.
+    :param more: additional headers.
     """
     headers = [
         (b'Host', b'shop.example:80'),
@@ -183,9 +183,9 @@
     status: int = 200,
     limit: float | None = None,
 ) -> bytes:
-    """Return a server's whole answer with its signature and load.
+    """Render a server's response with its signature and load.
 
-    :param limit: requests a second that the server takes, if it names any.
+    :param limit: requests per second that the server reports as its limit, if any.
     """
     headers = [
         (b'Request-Id', request_id.encode()),
--- a/libs/standins/fireflyhitch_standins/users_store.py
+++ b/libs/standins/fireflyhitch_standins/users_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' platform's key-value store, by its published protocol.
+"""A stand-in for the users' platform's key-value store, by its published protocol.
 
-Runs over HTTP on a loop of its own. Faults are set by tests: ``down`` refuses all calls
-with 503, ``lose_answers`` does what is asked and closes the connection.
+Serves HTTP on its own event loop. Tests set its faults: ``down`` refuses all calls with
+503, ``drop_responses`` executes each POST and closes the connection without a response.
 """
 
 import base64
@@ -23,7 +23,7 @@
     lease: int
 
     def render(self, key: str) -> dict[str, Any]:
-        """Return the item as calls show it."""
+        """Return the item in the protocol's form."""
         return {
             'key': key,
             'value': base64.b64encode(self.value).decode(),
@@ -41,12 +41,12 @@
 
 
 class UsersStore:
-    """The store's state; all of it lives on the server's loop."""
+    """The store; its state is accessed only on the server's event loop."""
 
     def __init__(self) -> None:
-        """Make an empty store; ``start`` has it listen."""
+        """Create an empty store; ``start`` makes it listen."""
         self.down = False
-        self.lose_answers = False
+        self.drop_responses = False
         self.writes: list[list[str]] = []
         self._server = AsyncHttpServer(self._serve)
         self._revision = FIRST_REVISION
@@ -70,21 +70,21 @@
         self._server.stop()
 
     def put(self, key: str, value: object) -> None:
-        """Write as an operator or a backend server does."""
+        """Write a key as an operator or a backend server would."""
         data = json.dumps(value).encode()
         self._server.call(lambda: self._write({key: (data, 0)}))
 
     def delete(self, key: str) -> None:
-        """Delete as an operator or a backend server does."""
+        """Delete a key as an operator or a backend server would."""
         self._server.call(lambda: self._delete([key]))
 
     def read(self, key: str) -> Any:
-        """Return a key's value, or nothing."""
+        """Return a key's value, or ``None``."""
         item = self._server.call(lambda: self._items.get(key))
         return json.loads(item.value) if item else None
 
     def forget_history(self) -> None:
-        """Drop the history and cut the watches that wait."""
+        """Discard the event history and abort waiting watches."""
         self._server.call(self._compact)
 
     def _serve(self, request: Request, reply: Reply) -> None:
@@ -94,7 +94,7 @@
         answer = self._answer(request, reply)
         if answer is None:
             return
-        if self.lose_answers and request.method == 'POST':
+        if self.drop_responses and request.method == 'POST':
             reply.abort()
             return
         status, body = answer
@@ -115,7 +115,7 @@
             return HTTPStatus.OK, self._grant(body['ttl_ms'])
         if name == 'kv-keep':
             return self._keep(int(request.path.rsplit('/', 1)[1]))
-        self._end_lease(int(request.path.rsplit('/', 1)[1]))
+        self._delete_lease(int(request.path.rsplit('/', 1)[1]))
         return HTTPStatus.OK, {}
 
     def _list(self, prefix: str) -> dict[str, Any]:
@@ -183,7 +183,7 @@
             item = _Item(value, self._revision, created, lease)
             self._items[key] = item
             self._events.append(item.render(key))
-        self._tell()
+        self._notify_watches()
 
     def _delete(self, keys: list[str]) -> None:
         gone = [key for key in keys if self._items.pop(key, None) is not None]
@@ -193,9 +193,9 @@
         for key in gone:
             event = {'key': key, 'revision': self._revision, 'removed': True}
             self._events.append(event)
-        self._tell()
+        self._notify_watches()
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         for watch in tuple(self._watches):
             if self._find_events(watch):
                 self._end_watch(watch)
@@ -218,7 +218,7 @@
         timer = self._leases[lease]
         if timer is not None:
             timer[0].cancel()
-        handle = self._server.loop.call_later(seconds, self._end_lease, lease)
+        handle = self._server.loop.call_later(seconds, self._delete_lease, lease)
         self._leases[lease] = (handle, seconds)
 
     def _keep(self, lease: int) -> tuple[HTTPStatus, dict[str, Any]]:
@@ -228,7 +228,7 @@
         self._extend(lease, seconds)
         return HTTPStatus.OK, {'ttl_ms': int(seconds * 1000)}
 
-    def _end_lease(self, lease: int) -> None:
+    def _delete_lease(self, lease: int) -> None:
         held = self._leases.pop(lease, None)
         if held is not None:
             held[0].cancel()
@@ -236,10 +236,13 @@
 
 
 class UsersDuties:
-    """A stand-in of the calls that one daemon at a time makes; keeps what came."""
+    """A stand-in for the receiver of duty calls; records all calls.
+
+    Only one daemon at a time makes these calls.
+    """
 
     def __init__(self) -> None:
-        """Make one that accepts all; ``start`` has it listen."""
+        """Create a stand-in that accepts all calls; ``start`` makes it listen."""
         self.calls: list[tuple[str, str, int, dict[str, Any]]] = []
         self.status = HTTPStatus.OK
         self._server = AsyncHttpServer(self._serve)
@@ -258,7 +261,7 @@
         self._server.stop()
 
     def find(self, path: str) -> list[dict[str, Any]]:
-        """Return the bodies that came to a path."""
+        """Return the bodies of the calls to a path."""
         return [body for known, _, _, body in self.calls if known == path]
 
     def _serve(self, request: Request, reply: Reply) -> None:
--- a/libs/standins/fireflyhitch_standins/weights.py
+++ b/libs/standins/fireflyhitch_standins/weights.py
@@ -1,4 +1,4 @@
-"""The weight store in memory: one load after another at a bounded rate."""
+"""In-memory weight store that spaces out loads."""
 
 import threading
 from datetime import timedelta
@@ -12,7 +12,7 @@
 
 
 class MemoryWeightStore:
-    """Implements ``WeightStore``.
+    """In-memory implementation of ``WeightStore``.
 
     :param interval: time between the starts of two loads.
     """
--- a/libs/standins/fireflyhitch_standins/world.py
+++ b/libs/standins/fireflyhitch_standins/world.py
@@ -1,4 +1,4 @@
-"""A platform with its backend servers, all in one process."""
+"""A simulated platform and its backend servers in one process."""
 
 import threading
 from collections import Counter
@@ -31,11 +31,12 @@
 
 
 class DeploymentWorld(_Settings):
-    """The servers that a deployment's instances run, by version.
+    """Server settings of a deployment, by version.
 
-    :param engines: for a model; versions that are missing start as the first.
-    :param services: for a plain service.
-    :param capacity: calls that a server works on at once.
+    :param engines: engine settings of a model deployment; missing versions use the
+        first entry.
+    :param services: settings of a plain service.
+    :param capacity: concurrent calls per server.
     """
 
     engines: dict[VersionId, EngineSettings] = {}
@@ -45,7 +46,7 @@
 
 
 class InitialServers(_Settings):
-    """Servers that run from the start."""
+    """Servers that are started with the platform."""
 
     deployment: DeploymentId
     version: VersionId
@@ -55,7 +56,7 @@
 
 
 class WorldSettings(_Settings):
-    """What there is and how late the platform tells of it; times in seconds."""
+    """Contents and delays of the simulated platform; times in seconds."""
 
     deployments: dict[DeploymentId, DeploymentWorld] = {}
     initial: tuple[InitialServers, ...] = ()
@@ -70,7 +71,7 @@
 
 
 class World:
-    """Cloud, instance list, weight store and the servers on the instances."""
+    """Cloud, instance list, weight store and the instances' servers."""
 
     def __init__(self, settings: WorldSettings, clock: Clock) -> None:
         self.settings = settings
@@ -87,13 +88,13 @@
         self._services: list[ServiceServer] = []
 
     def start(self) -> None:
-        """Start the initial servers; they are listed without waiting."""
+        """Start the initial servers and list them immediately."""
         for entry in self.settings.entries:
             self.cloud.add(entry)
         for initial in self.settings.initial:
             for serial in range(initial.count):
                 self.cloud.start(_make_order(initial, serial))
-        self.instance_list.settle()
+        self.instance_list.skip_lag()
         self.cloud.start_duration = timedelta(seconds=self.settings.start_seconds)
 
     def stop(self) -> None:
@@ -102,7 +103,7 @@
             self._halt(instance)
 
     def count_runs(self) -> Counter[str]:
-        """Return how often each idempotency key ran, also on servers gone."""
+        """Return run counts by idempotency key, including stopped servers."""
         counted: Counter[str] = Counter()
         with self._lock:
             for service in self._services:
@@ -134,7 +135,7 @@
         with self._lock:
             server = self.servers.pop(instance, None)
         if server is not None:
-            # Stopping waits for threads, which the cloud's caller must not do.
+            # Stopping joins threads and must not block the cloud's caller.
             threading.Thread(target=server.stop, daemon=True).start()
 
     def _find_price(self, order: InstanceOrder) -> float:
--- a/libs/standins/tests/test_cloud.py
+++ b/libs/standins/tests/test_cloud.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's stand-ins in memory, on a clock moved by hand."""
+"""Tests of the in-memory platform stand-ins with a manual clock."""
 
 from datetime import timedelta
 
@@ -54,9 +54,9 @@
     """Orders for instances."""
 
     def test_repeated_order_starts_one_instance(self, cloud):
-        """The answer to a start is lost and the order is sent again.
+        """The response to a start is lost, and the order is resent.
 
-        The cloud knows the order's id, so the second call returns the instance
+        The cloud recognises the order id, so the second call returns the instance
         that the first one started, and nothing is paid for twice.
         """
         cloud.calls.faults.queue('start', Fault.LOST_ANSWER)
@@ -66,14 +66,14 @@
         listed = cloud.list_instances().instances
         assert [entry.instance_id for entry in listed] == [instance]
 
-    def test_refused_place_gives_nothing_until_lifted(self, cloud):
+    def test_starts_are_refused_until_accepted_again(self, cloud):
         cloud.refuse('gent', MachineClass.RECLAIMABLE, refused=True)
         assert cloud.start(make_order('a')) is None
         assert cloud.start(make_order('b', machine_class=MachineClass.ON_DEMAND))
         cloud.refuse('gent', MachineClass.RECLAIMABLE, refused=False)
         assert cloud.start(make_order('a'))
 
-    def test_instance_is_listed_after_its_start(self, cloud, clock):
+    def test_instance_is_listed_after_its_start_duration(self, cloud, clock):
         cloud.start_duration = timedelta(seconds=3)
         cloud.start(make_order('a'))
         assert not cloud.list_instances().instances
@@ -82,13 +82,13 @@
 
 
 class TestReclaims:
-    """Notices, and what they lead to."""
+    """Reclaim notices and their effects."""
 
-    def test_wave_takes_reclaimable_instances_of_one_domain(self, cloud, clock, halted):
-        """A failure domain's reclaimable instances get notice at once.
+    def test_domain_reclaim_takes_its_reclaimable_instances(self, cloud, clock, halted):
+        """All reclaimable instances of a failure domain get a notice at once.
 
-        They are listed as leaving until the notice has passed, and are killed
-        then; on-demand instances and other failure domains stay.
+        They are listed as leaving until the notice expires and are then killed.
+        On-demand instances and other failure domains stay.
         """
         first, second = (cloud.start(make_order(order)) for order in 'ab')
         cloud.start(make_order('c', machine_class=MachineClass.ON_DEMAND))
@@ -104,7 +104,9 @@
         assert len(cloud.list_instances().instances) == 2
         assert not cloud.read_notices()
 
-    def test_process_can_die_before_its_notice_has_passed(self, cloud, clock, halted):
+    def test_instance_can_be_killed_before_its_notice_expires(
+        self, cloud, clock, halted
+    ):
         instance = cloud.start(make_order('a'))
         cloud.reclaim((instance,), NOTICE)
         cloud.kill(instance)
@@ -116,11 +118,11 @@
 class TestInstanceList:
     """The list that lags behind the cloud."""
 
-    def test_change_shows_one_lag_later(self, cloud, clock):
+    def test_change_is_visible_one_lag_later(self, cloud, clock):
         listed = MemoryInstanceList(clock, timedelta(seconds=2))
         cloud.on_change = listed.record
         instance = cloud.start(make_order('a'))
-        listed.settle()
+        listed.skip_lag()
         cloud.kill(instance)
         assert len(listed.read().instances) == 1
         clock.advance(timedelta(seconds=2))
--- a/libs/standins/tests/test_engine.py
+++ b/libs/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine stand-in, whose service curve the benchmarks rest on."""
+"""Tests of the engine model, whose service curve the benchmarks rely on."""
 
 import pytest
 
@@ -38,9 +38,9 @@
 
 
 class TestBatching:
-    """Steps that calls share."""
+    """Batch steps shared by calls."""
 
-    def test_tokens_come_in_order_at_the_curve_of_the_batch(self):
+    def test_tokens_follow_the_service_curve_in_order(self):
         engine = make_engine()
         engine.submit(make_call('a'), 1)
         events = engine.advance(10)
@@ -51,7 +51,7 @@
         assert tokens[-1].at == pytest.approx(1.2)
         assert engine.busy_seconds == pytest.approx(0.2)
 
-    def test_without_token_events_the_end_is_the_same(self):
+    def test_end_event_is_the_same_without_token_events(self):
         both = [make_engine(), make_engine(every_token=False)]
         finished = []
         for engine in both:
@@ -60,7 +60,7 @@
             finished.append(ends(engine.advance(0.15) + engine.advance(5)))
         assert finished[0] == finished[1]
 
-    def test_urgent_call_passes_those_that_wait(self):
+    def test_urgent_call_overtakes_waiting_calls(self):
         engine = make_engine()
         for name in ('a', 'b', 'c'):
             engine.submit(make_call(name), 0)
@@ -92,9 +92,9 @@
 
 
 class TestPrefixCache:
-    """Blocks in limited memory and their events."""
+    """Cached blocks and cache events."""
 
-    def test_cached_blocks_are_not_computed_again(self):
+    def test_cached_blocks_are_not_recomputed(self):
         engine = make_engine()
         blocks = (1, 2, 3)
         engine.submit(make_call('a', prefix_blocks=blocks), 0)
@@ -103,7 +103,7 @@
         end = ends(engine.advance(10))[0]
         assert (end.cached_tokens, end.computed_tokens) == (48, 2)
 
-    def test_events_tell_of_dropped_blocks_late(self):
+    def test_events_report_evicted_blocks_with_a_delay(self):
         engine = make_engine()
         for number in range(30):
             blocks = tuple(range(number * 3, number * 3 + 3))
@@ -112,7 +112,7 @@
         removed = [event.removed for event in engine.cache_events(0, 40)]
         assert any(removed)
 
-    def test_imported_cache_is_not_computed_again(self):
+    def test_imported_cache_is_not_recomputed(self):
         engine = make_engine()
         engine.submit(make_call('a', imported_tokens=40), 0)
         assert ends(engine.advance(5))[0].computed_tokens == 10
@@ -121,7 +121,7 @@
 class TestFaults:
     """An engine that is slow or fails."""
 
-    def test_slow_only_under_load(self):
+    def test_engine_is_slow_only_under_load(self):
         engine = make_engine()
         engine.faults = EngineFaults(slowness=3, slow_above=1)
         engine.submit(make_call('a'), 0)
@@ -130,7 +130,7 @@
         engine.submit(make_call('c'), 5)
         assert ends(engine.advance(10))[-1].at > 5.5
 
-    def test_fails_on_one_route(self):
+    def test_engine_fails_on_one_route(self):
         engine = make_engine()
         engine.faults = EngineFaults(fail_share=1, fail_route='chat')
         engine.submit(make_call('a'), 0)
@@ -139,7 +139,7 @@
         assert statuses['a'] is StreamStatus.FAILED
         assert statuses['b'] is StreamStatus.FINISHED
 
-    def test_restart_loses_calls_and_cache(self):
+    def test_restart_drops_calls_and_cache(self):
         engine = make_engine()
         engine.submit(make_call('a'), 0)
         assert engine.restart(0.1) == ('a',)
@@ -148,7 +148,7 @@
 
 
 class TestReports:
-    """Load as the engine tells of it."""
+    """Load reports."""
 
     def test_report_lags(self):
         engine = make_engine()
--- a/libs/standins/tests/test_engine_batch.py
+++ b/libs/standins/tests/test_engine_batch.py
@@ -46,9 +46,9 @@
 
 
 class TestBatch:
-    """Calls that share an engine."""
+    """Concurrent calls to one engine."""
 
-    def test_calls_at_once_each_get_their_own_answer(self, start):
+    def test_concurrent_calls_get_their_own_answers(self, start):
         server = start()
         answers = {}
 
@@ -65,32 +65,31 @@
         assert answers == {one: write_answer(one, 12) for one in prompts}
         assert server.running == 0
 
-    def test_a_place_is_free_before_the_answer_is_out(self, start, monkeypatch):
-        # A caller that has its whole answer looks at the engine at once. The answer
-        # went out first and the place was freed after it, so that a caller on
-        # another thread could still see its own call as running.
+    def test_slot_is_freed_before_the_response_is_sent(self, start, monkeypatch):
+        # If the response were sent before the slot is freed, a caller on another
+        # thread that reads the load immediately could see its own call as running.
         server = start()
         seen = []
         send = Reply.send
 
-        def note_and_send(reply, *answer, **more):
+        def record_and_send(reply, *answer, **more):
             seen.append(server.running)
             send(reply, *answer, **more)
 
-        monkeypatch.setattr(Reply, 'send', note_and_send)
+        monkeypatch.setattr(Reply, 'send', record_and_send)
         complete(server, 'a', 3)
         assert seen == [0]
 
-    def test_full_queue_refuses_without_running(self, start):
+    def test_full_queue_refuses_calls_as_not_run(self, start):
         answer = complete(start(max_running=0, max_waiting=0), 'a')
         assert answer.status == 503
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
 
     def test_repeated_prompt_is_found_in_the_cache(self, start):
-        """The second call of a customer has the same long beginning.
+        """The same long prompt is sent twice.
 
-        The engine computes its blocks once, tells of them by a cache event,
-        and counts them as cached for the second call.
+        The engine computes its blocks once, reports them in a cache event, and
+        counts them as cached for the second call.
         """
         server = start()
         engines = HttpEngines({'a': server.address}.get)
@@ -104,14 +103,14 @@
 
 
 class TestModel:
-    """The engine model that the batch is driven by."""
+    """The engine model behind the batch."""
 
-    def test_call_that_comes_at_a_tokens_time_loses_no_token(self):
-        """A call is submitted when the first token of another is due.
+    def test_submit_does_not_lose_tokens_that_are_due(self):
+        """A call is submitted when the first token of another one is due.
 
-        Submitting works the engine up to its time. The token that falls due in
-        doing so has to come out of the next advance, or its caller waits for
-        ever: the stream counts it as generated.
+        Submitting advances the engine. The token that becomes due must be returned
+        by the next ``advance``; it already counts as generated, so its caller would
+        otherwise wait forever.
         """
         engine = Engine('a', EngineProfile(step_seconds=1))
         engine.submit(EngineCall('first', 1, 4), 0)
--- a/libs/standins/tests/test_engine_server.py
+++ b/libs/standins/tests/test_engine_server.py
@@ -49,7 +49,7 @@
 
 
 class TestAnswers:
-    """Answers, whole and in events."""
+    """Complete and streamed answers."""
 
     def test_stream_has_an_event_for_each_token(self, engine):
         document = {
@@ -65,7 +65,7 @@
         assert events[-2]['choices'][0]['finish_reason'] == 'length'
         assert events[-1]['usage']['completion_tokens'] == 5
 
-    def test_completion_is_whole_without_stream(self, engine):
+    def test_completion_without_stream_is_complete(self, engine):
         document = {'prompt': 'a b c', 'max_tokens': 4}
         answer = post(engine, '/v1/completions', document).json()
         assert answer['choices'][0]['text'] == write_answer('a b c', 4)
@@ -73,9 +73,9 @@
 
 
 class TestContinuation:
-    """An answer that another engine began."""
+    """Continuing an answer that another engine started."""
 
-    def test_chat_goes_on_where_the_partial_answer_ends(self, engine):
+    def test_chat_continues_after_the_partial_answer(self, engine):
         prompt = join_messages(MESSAGES)
         partial = {'role': 'assistant', 'content': write_answer(prompt, 3)}
         document = {
@@ -88,14 +88,14 @@
         content = answer['choices'][0]['message']['content']
         assert partial['content'] + content == write_answer(prompt, 5)
 
-    def test_completion_goes_on_after_its_prompt(self, engine):
+    def test_completion_continues_after_its_prompt(self, engine):
         begun = f'a b{write_answer("a b", 3)}'
         assert split_continuation(begun) == ('a b', 3)
         document = {'prompt': begun, 'max_tokens': 2}
         answer = post(engine, '/v1/completions', document).json()
         assert begun + answer['choices'][0]['text'] == f'a b{write_answer("a b", 5)}'
 
-    def test_finished_stream_can_be_read_from_a_token_on(self, engine):
+    def test_finished_stream_can_be_read_from_an_index(self, engine):
         document = {'messages': MESSAGES, 'max_tokens': 6, 'stream': True}
         post(engine, '/v1/chat/completions', document, X_Request_Id='one')
         url = f'http://{engine.address}/engine/streams/one?after=4'
@@ -106,13 +106,13 @@
 
 
 class TestConnections:
-    """Callers who leave, and streams that outlive them."""
+    """Callers that disconnect and streams that outlive them."""
 
-    def test_running_stream_is_resumed_from_a_token_on(self, engine):
-        """A daemon loses its instance while a stream runs.
+    def test_running_stream_can_be_resumed_from_an_index(self, engine):
+        """A daemon's instance is reclaimed while a stream runs.
 
-        The peer that takes over reads the same stream at the same engine from
-        the first token that it lacks; the engine computes nothing again.
+        The peer that takes over reads the same stream from the first token that it
+        lacks, and the engine recomputes nothing.
         """
         engine.settings.token_seconds = 0.01
         document = {'messages': MESSAGES, 'max_tokens': 20, 'stream': True}
@@ -126,7 +126,7 @@
         assert engine.computed_tokens == len(MESSAGES[0]['content'].split()) + 1
         first.close()
 
-    def test_caller_who_goes_away_cancels(self, engine):
+    def test_disconnect_of_the_caller_cancels_the_stream(self, engine):
         engine.settings.token_seconds = 0.01
         document = {'messages': MESSAGES, 'max_tokens': 64, 'stream': True}
         stream = open_stream(engine, document, 'one')
@@ -135,7 +135,7 @@
         wait_until(lambda: engine.cancelled == 1)
         assert engine.running == 0
 
-    def test_order_to_cancel_ends_the_stream(self, engine):
+    def test_cancel_request_ends_the_stream(self, engine):
         engine.settings.token_seconds = 0.01
         document = {'messages': MESSAGES, 'max_tokens': 64, 'stream': True}
         stream = open_stream(engine, document, 'one')
@@ -148,13 +148,13 @@
 
 
 class TestFaults:
-    """Faults that a test turns on."""
+    """Faults set by a test."""
 
     def set_faults(self, engine, **faults):
         url = f'http://{engine.address}/standin/settings'
         assert urllib3.request('PUT', url, json=faults).status == 200
 
-    def test_refusal_says_that_nothing_ran(self, engine):
+    def test_refusal_is_marked_as_not_run(self, engine):
         self.set_faults(engine, refuse=True)
         answer = post(engine, '/v1/completions', {'prompt': 'a'})
         assert answer.status == 503
@@ -166,13 +166,13 @@
         events = post(engine, '/v1/completions', document).data.split(b'\n\n')
         assert events[-2].startswith(b'data: {"error"')
 
-    def test_fault_of_one_route_spares_the_other(self, engine):
+    def test_fault_of_one_route_does_not_affect_the_other(self, engine):
         self.set_faults(engine, fail_share=1, fail_route='chat')
         assert post(engine, '/v1/completions', {'prompt': 'a'}).status == 200
         answer = post(engine, '/v1/chat/completions', {'messages': MESSAGES})
         assert answer.status == 500
 
-    def test_connection_breaks_after_some_tokens(self, engine):
+    def test_connection_is_reset_after_some_tokens(self, engine):
         self.set_faults(engine, break_after_tokens=2)
         document = {'messages': MESSAGES, 'max_tokens': 8, 'stream': True}
         stream = open_stream(engine, document, 'one')
--- a/libs/standins/tests/test_etcd_server.py
+++ b/libs/standins/tests/test_etcd_server.py
@@ -1,4 +1,4 @@
-"""Tests of the etcd client against the stand-in's HTTP form."""
+"""Tests of the etcd client against the stand-in over HTTP."""
 
 import threading
 from datetime import timedelta
@@ -50,13 +50,13 @@
         assert store.get('a/') is None
         assert [one.key for one in store.get_prefix('a/').items] == ['a/ž']
 
-    def test_conflict_shows_what_is_there(self, store):
+    def test_conflict_returns_the_current_value(self, store):
         first = store.put_if('a', b'1', ABSENT)
         assert store.put_if('a', b'2', ABSENT) == Conflict(store.get('a'))
         assert isinstance(store.delete_if('a', first.revision), Written)
         assert store.delete_if('a', first.revision) == Conflict(None)
 
-    def test_budget_spent_is_not_run(self, server):
+    def test_exhausted_budget_is_not_run(self, server):
         clock = SystemClock()
         budget = CallBudget(clock, dict.fromkeys(CallKind, 0.0))
         with pytest.raises(PlatformError) as caught:
@@ -65,9 +65,9 @@
 
 
 class TestLeases:
-    """Grant, renewal and end."""
+    """Grant, renewal and revocation."""
 
-    def test_key_goes_with_its_lease(self, store):
+    def test_key_is_deleted_with_its_lease(self, store):
         lease = store.grant_lease(timedelta(seconds=30))
         store.put_if('a', b'1', ABSENT, lease)
         assert store.keep_lease(lease)
@@ -76,21 +76,20 @@
         assert store.get('a') is None
         assert not store.keep_lease(lease)
 
-    def test_write_under_an_ended_lease_is_not_run(self, store):
+    def test_write_with_an_unknown_lease_is_not_run(self, store):
         with pytest.raises(PlatformError) as caught:
             store.put_if('a', b'1', ABSENT, LeaseId(7))
         assert caught.value.outcome is Outcome.NOT_RUN
 
 
 class TestFailures:
-    """What the caller is told of a call that failed."""
+    """Outcomes of failed calls."""
 
-    def test_lost_answer_is_unknown_and_not_sent_twice(self, server, store):
-        """The caller sees an error whose outcome is unknown.
+    def test_lost_response_is_unknown_and_not_retried(self, server, store):
+        """The write takes effect, but its response is lost.
 
-        The store writes and its answer is lost. The client must not write
-        again by itself: the key has moved on and it would report a conflict
-        with its own write.
+        The outcome is unknown. The client must not retry by itself: the key's
+        revision has changed, so it would report a conflict with its own write.
         """
         set_faults(server, {'lost_answers': 1})
         with pytest.raises(PlatformError) as caught:
@@ -106,14 +105,14 @@
         set_faults(server, {})
         assert store.get('a') is None
 
-    def test_no_listener_is_not_run(self):
+    def test_refused_connection_is_not_run(self):
         clock = SystemClock()
         nobody = EtcdKeyValueStore('http://127.0.0.1:9', clock, CallBudget(clock))
         with pytest.raises(PlatformError) as caught:
             nobody.put_if('a', b'1', ABSENT)
         assert caught.value.outcome is Outcome.NOT_RUN
 
-    def test_read_is_tried_again(self, server, store):
+    def test_read_is_retried(self, server, store):
         store.put_if('a', b'1', ABSENT)
         server.store.faults.queue('get', Fault.LOST_ANSWER)
         assert store.get('a').value == b'1'
@@ -122,7 +121,7 @@
 class TestWatch:
     """The stream of changes."""
 
-    def test_changes_before_and_during_come_in_order(self, server, store):
+    def test_changes_during_a_watch_are_in_order(self, server, store):
         first = store.put_if('w/1', b'1', ABSENT)
         events = store.watch('w/', first.revision, timedelta(seconds=20))
         before = server.store.calls['watch']
@@ -137,11 +136,11 @@
         timer.join()
         assert server.store.calls['watch'] == before + 1
 
-    def test_compacted_revision_is_told(self, server, store):
+    def test_compacted_revision_is_reported(self, server, store):
         store.put_if('w/1', b'1', ABSENT)
         server.store.compact()
         with pytest.raises(WatchCompacted):
             list(store.watch('w/', Revision(0), timedelta(seconds=5)))
 
-    def test_watch_ends_by_its_timeout(self, store):
+    def test_watch_ends_at_its_timeout(self, store):
         assert not list(store.watch('w/', Revision(10**6), timedelta()))
--- a/libs/standins/tests/test_keyvalue.py
+++ b/libs/standins/tests/test_keyvalue.py
@@ -1,4 +1,4 @@
-"""Tests of the key-value stand-in, whose promises other tests rest on."""
+"""Tests of the key-value stand-in, whose guarantees other tests rely on."""
 
 from datetime import timedelta
 
@@ -24,16 +24,16 @@
 
 
 class TestCompareAndSwap:
-    """Writes under a condition."""
+    """Conditional writes."""
 
-    def test_write_at_another_revision_has_no_effect(self, store):
+    def test_write_with_another_revision_has_no_effect(self, store):
         written = store.put_if('a', b'1', ABSENT)
         assert isinstance(written, Written)
         conflict = store.put_if('a', b'2', ABSENT)
         assert conflict == Conflict(store.get('a'))
         assert store.get('a').value == b'1'
 
-    def test_lost_answer_leaves_the_effect(self, store):
+    def test_write_with_lost_response_takes_effect(self, store):
         store.faults.queue('put_if', Fault.LOST_ANSWER)
         with pytest.raises(PlatformError) as caught:
             store.put_if('a', b'1', ABSENT)
@@ -44,7 +44,7 @@
 class TestLeases:
     """Keys bound to a lease."""
 
-    def test_key_goes_when_its_lease_lapses(self, store, clock):
+    def test_key_is_deleted_when_its_lease_expires(self, store, clock):
         lease = store.grant_lease(timedelta(seconds=5))
         store.put_if('a', b'1', ABSENT, lease)
         clock.advance(timedelta(seconds=4))
@@ -59,7 +59,7 @@
 class TestWatch:
     """Changes after a revision."""
 
-    def test_changes_come_in_order(self, store):
+    def test_changes_are_in_order(self, store):
         store.put_if('a/1', b'1', ABSENT)
         store.put_if('b/1', b'1', ABSENT)
         store.put_if('a/2', b'2', ABSENT)
--- a/libs/standins/tests/test_service_server.py
+++ b/libs/standins/tests/test_service_server.py
@@ -21,7 +21,7 @@
 
 
 class TestRuns:
-    """What is counted."""
+    """Run counts by idempotency key."""
 
     def test_repeated_key_counts_twice(self, service):
         assert book(service, 'a').json()['run'] == 1
@@ -37,8 +37,8 @@
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
         assert not service.runs
 
-    def test_lost_answer_is_counted(self, service):
-        """The call runs and the connection breaks before its answer.
+    def test_call_with_lost_response_is_counted(self, service):
+        """The call runs, but the connection is reset before its response.
 
         The caller cannot know whether it ran; the count shows that it did.
         """
--- a/libs/standins/tests/test_users_formats.py
+++ b/libs/standins/tests/test_users_formats.py
@@ -1,4 +1,4 @@
-"""Tests of what stand-ins of the users' platform write, and of daemons' ports."""
+"""Tests of the choice of daemons' ports."""
 
 import socket
 from pathlib import Path
@@ -11,14 +11,14 @@
 
 
 class TestPorts:
-    def test_no_outgoing_connection_takes_the_port_of_a_daemon_that_is_down(
+    def test_ports_are_below_the_ephemeral_range(
         self,
     ) -> None:
-        """A daemon whose port became a connection's local port never serves again."""
+        """A stopped daemon cannot listen again if a connection uses its port."""
         lowest = int(RANGE_OF_OUTGOING.read_text().split()[0])
         assert all(find_port() < lowest for _ in range(PORTS))
 
-    def test_a_port_that_somebody_listens_on_is_not_given(self) -> None:
+    def test_port_in_use_is_not_returned(self) -> None:
         with socket.socket() as listener:
             listener.bind((HOST, find_port()))
             listener.listen()
