--- a/libs/standins/fireflyhitch_standins/instance_list.py
+++ b/libs/standins/fireflyhitch_standins/instance_list.py
@@ -34,7 +34,7 @@
                 self._history.append((self._clock.monotonic(), listing))
 
     def skip_lag(self) -> None:
-        """Make the newest list visible immediately."""
+        """Make the newest list visible immediately, as after a quiet period."""
         with self._lock:
             newest = self._history[-1][1]
             self._history.clear()
