--- a/libs/ledger/fireflyhitch_ledger/attempts.py
+++ b/libs/ledger/fireflyhitch_ledger/attempts.py
@@ -15,7 +15,7 @@
     SENT = 'sent'
 
 
-class Attempts:
+class AttemptRegistry:
     """Gives each attempt one permission to send.
 
     The store never gives a claim to a second attempt while the first might be
--- a/libs/ledger/fireflyhitch_ledger/committer.py
+++ b/libs/ledger/fireflyhitch_ledger/committer.py
@@ -13,7 +13,6 @@
 )
 
 from fireflyhitch_ledger.operations import Operation, OperationResult
-from fireflyhitch_ledger.pace import WritePace
 from fireflyhitch_ledger.records import (
     EMPTY_RECORD,
     ShardRecord,
@@ -21,16 +20,17 @@
     encode_record,
 )
 from fireflyhitch_ledger.settings import LedgerSettings
-from fireflyhitch_ledger.transitions import Applied, apply_operations
+from fireflyhitch_ledger.transitions import ApplyResult, apply_operations
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_platform.keyvalue import Conflict, KeyValue, KeyValueStore
 
-STORE_TRIES = 3
-FIRST_WAIT_SECONDS = 0.02
-LONGEST_WAIT_SECONDS = 0.2
+MAX_STORE_ATTEMPTS = 3
+MIN_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.2
 # Each lost race means that another daemon's write took effect; so many in a
 # row only happen if membership disagrees widely.
 MAX_CONFLICTS = 32
@@ -74,17 +74,17 @@
         key: str,
         store: KeyValueStore,
         clock: Clock,
-        pace: WritePace,
+        write_limiter: WriteRateLimiter,
         settings: LedgerSettings,
     ) -> None:
         self._key = key
         self._store = store
         self._clock = clock
-        self._pace = pace
+        self._write_limiter = write_limiter
         self._settings = settings
         self._lock = threading.Lock()
         self._queue: deque[Ticket] = deque()
-        self._led = False
+        self._has_leader = False
         self._record: ShardRecord | None = None
         self._revision = ABSENT
 
@@ -98,7 +98,7 @@
         ticket = Ticket(operation, signal.set, lambda _: signal.set())
         self.enqueue(ticket)
         while not ticket.finished:
-            if not self._clock.wait(signal, self._settings.claim_patience):
+            if not self._clock.wait(signal, self._settings.claim_timeout):
                 return self._give_up(ticket)
             signal.clear()
             if ticket.leading and not ticket.finished:
@@ -111,14 +111,14 @@
         """Add an operation to the next batch; its callbacks do the rest."""
         with self._lock:
             self._queue.append(ticket)
-            ticket.leading = not self._led
-            self._led = True
+            ticket.leading = not self._has_leader
+            self._has_leader = True
         if ticket.leading:
             ticket.lead()
 
     def commit(self) -> None:
         """Commit the waiting batch; only for whom ``lead`` was called."""
-        self._wait_for_pace()
+        self._wait_for_write_slot()
         with self._lock:
             batch = tuple(self._queue)
             self._queue.clear()
@@ -131,7 +131,7 @@
     def _pass_lead(self) -> None:
         with self._lock:
             successor = self._queue[0] if self._queue else None
-            self._led = successor is not None
+            self._has_leader = successor is not None
             if successor is not None:
                 successor.leading = True
         if successor is not None:
@@ -154,8 +154,8 @@
             'the store is too slow', step=Step.STORE_WRITE, outcome=outcome
         )
 
-    def _wait_for_pace(self) -> None:
-        delay = self._pace.reserve()
+    def _wait_for_write_slot(self) -> None:
+        delay = self._write_limiter.reserve()
         if delay > 0:
             self._sleep(delay)
 
@@ -166,7 +166,7 @@
         except Exception as error:
             # Also what no store should raise: a leader that died of it would
             # leave the shard's queue without one, and its callers hanging.
-            failure = _describe_failure(error)
+            failure = _to_platform_error(error)
             for ticket in batch:
                 ticket.error = failure
             return
@@ -176,10 +176,10 @@
     def _commit_operations(
         self, operations: tuple[Operation, ...]
     ) -> tuple[OperationResult, ...]:
-        attempt = _Commit(operations)
+        attempt = _BatchState(operations)
         retrying = Retrying(
-            stop=stop_after_attempt(STORE_TRIES),
-            wait=wait_random_exponential(FIRST_WAIT_SECONDS, LONGEST_WAIT_SECONDS),
+            stop=stop_after_attempt(MAX_STORE_ATTEMPTS),
+            wait=wait_random_exponential(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS),
             retry=retry_if_exception_type(PlatformError),
             sleep=self._sleep,
             reraise=True,
@@ -188,17 +188,19 @@
             return retrying(self._try_commit, attempt)
         except PlatformError as error:
             self._record = None
-            error.outcome = Outcome.UNKNOWN if attempt.uncertain else Outcome.NOT_RUN
+            error.outcome = (
+                Outcome.UNKNOWN if attempt.may_be_written else Outcome.NOT_RUN
+            )
             raise
 
-    def _try_commit(self, attempt: '_Commit') -> tuple[OperationResult, ...]:
+    def _try_commit(self, attempt: '_BatchState') -> tuple[OperationResult, ...]:
         for _ in range(MAX_CONFLICTS):
             record = self._record or self._read(attempt)
             applied = self._apply(attempt.operations, record)
             if applied.changed:
                 if self._write(applied, attempt):
                     return applied.results
-            elif attempt.fresh or applied.certain:
+            elif attempt.fresh or applied.is_final:
                 return applied.results
             else:
                 # The cache may be behind what another daemon has written.
@@ -207,16 +209,18 @@
             'lost too many races', step=Step.STORE_WRITE, outcome=Outcome.NOT_RUN
         )
 
-    def _apply(self, operations: tuple[Operation, ...], record: ShardRecord) -> Applied:
+    def _apply(
+        self, operations: tuple[Operation, ...], record: ShardRecord
+    ) -> ApplyResult:
         now = self._clock.now().timestamp()
         return apply_operations(operations, record, now, self._settings)
 
-    def _read(self, attempt: '_Commit') -> ShardRecord:
-        record = self._remember(self._store.get(self._key))
+    def _read(self, attempt: '_BatchState') -> ShardRecord:
+        record = self._cache(self._store.get(self._key))
         attempt.fresh = True
         return record
 
-    def _write(self, applied: Applied, attempt: '_Commit') -> bool:
+    def _write(self, applied: ApplyResult, attempt: '_BatchState') -> bool:
         encoded = encode_record(applied.record)
         try:
             written = self._store.put_if(self._key, encoded, self._revision)
@@ -224,17 +228,17 @@
             # The write may have taken effect. The next try reads the record
             # back, where the attempts' ids tell whether it did.
             self._record = None
-            attempt.uncertain |= error.outcome is not Outcome.NOT_RUN
+            attempt.may_be_written |= error.outcome is not Outcome.NOT_RUN
             raise
         if isinstance(written, Conflict):
-            self._remember(written.current)
+            self._cache(written.current)
             attempt.fresh = True
             return False
         self._record = applied.record
         self._revision = written.revision
         return True
 
-    def _remember(self, stored: KeyValue | None) -> ShardRecord:
+    def _cache(self, stored: KeyValue | None) -> ShardRecord:
         if stored is None:
             self._record = EMPTY_RECORD
             self._revision = ABSENT
@@ -247,13 +251,13 @@
         self._clock.wait(threading.Event(), timedelta(seconds=seconds))
 
 
-def _describe_failure(error: Exception) -> PlatformError:
+def _to_platform_error(error: Exception) -> PlatformError:
     if isinstance(error, PlatformError):
         return error
     return PlatformError(repr(error), step=Step.STORE_WRITE)
 
 
-class _Commit:
+class _BatchState:
     """One batch on its way to the store.
 
     :ivar uncertain: whether a write was tried whose answer was lost.
@@ -262,5 +266,5 @@
 
     def __init__(self, operations: tuple[Operation, ...]) -> None:
         self.operations = operations
-        self.uncertain = False
+        self.may_be_written = False
         self.fresh = False
--- a/libs/ledger/fireflyhitch_ledger/keys.py
+++ b/libs/ledger/fireflyhitch_ledger/keys.py
@@ -14,8 +14,8 @@
 
 DIGEST_BYTES = 16
 MAX_KEY_CHARACTERS = 255
-UUID_WITH_TIME = 7
-UUID_TIME_SHIFT = 80
+UUID_V7 = 7
+UUID_V7_TIME_SHIFT = 80
 MILLISECONDS = 1000
 
 
@@ -61,9 +61,9 @@
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != UUID_WITH_TIME:
+    if parsed.version != UUID_V7:
         return None
-    seconds = (parsed.int >> UUID_TIME_SHIFT) / MILLISECONDS
+    seconds = (parsed.int >> UUID_V7_TIME_SHIFT) / MILLISECONDS
     try:
         return datetime.fromtimestamp(seconds, UTC)
     except (OverflowError, ValueError, OSError):
--- a/libs/ledger/fireflyhitch_ledger/ledger.py
+++ b/libs/ledger/fireflyhitch_ledger/ledger.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from fireflyhitch_ledger.attempts import Attempts
+from fireflyhitch_ledger.attempts import AttemptRegistry
 from fireflyhitch_ledger.committer import ShardCommitter, Ticket
 from fireflyhitch_ledger.keys import (
     BodyDigest,
@@ -26,8 +26,7 @@
     OperationResult,
     ResultKind,
 )
-from fireflyhitch_ledger.owners import ShardOwners
-from fireflyhitch_ledger.pace import WritePace
+from fireflyhitch_ledger.pending_records import PendingRecords
 from fireflyhitch_ledger.results import (
     Attempt,
     Claimed,
@@ -40,8 +39,9 @@
     build_unavailable,
 )
 from fireflyhitch_ledger.settings import DEFAULT_SETTINGS, LedgerSettings
-from fireflyhitch_ledger.unsettled import Unsettled
+from fireflyhitch_ledger.shard_owners import ShardOwners
 from fireflyhitch_ledger.workers import Workers
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError, RequestError
@@ -83,19 +83,21 @@
         self._clock = clock
         self._settings = settings
         self._new_attempt = new_attempt
-        pace = WritePace(clock, settings.writes_per_second, settings.write_burst)
+        write_limiter = WriteRateLimiter(
+            clock, settings.writes_per_second, settings.write_burst
+        )
         self._committers = tuple(
-            ShardCommitter(f'{PREFIX}{shard}', store, clock, pace, settings)
+            ShardCommitter(f'{PREFIX}{shard}', store, clock, write_limiter, settings)
             for shard in range(settings.shards)
         )
-        self._owners = ShardOwners(daemon_id, messenger, clock, pace, settings)
-        self._attempts = Attempts(clock)
-        self._unsettled = Unsettled(settings.max_unsettled)
+        self._owners = ShardOwners(daemon_id, messenger, clock, write_limiter, settings)
+        self._attempts = AttemptRegistry(clock)
+        self._pending = PendingRecords(settings.max_pending)
         self._workers = Workers(settings.workers, clock)
-        self._numbers = count(1)
-        self._waiting: dict[int, _Reply] = {}
-        messenger.handle(CommitRequest, self._take_request)
-        messenger.handle(CommitReply, self._take_reply)
+        self._request_numbers = count(1)
+        self._pending_replies: dict[int, _PendingReply] = {}
+        messenger.handle(CommitRequest, self._handle_request)
+        messenger.handle(CommitReply, self._handle_reply)
 
     def start(self) -> None:
         """Start the threads that commit for peers and settle what is left.
@@ -118,7 +120,7 @@
         :raises RequestError: ``not-run`` if the store cannot be reached in
             time, or has no room for the key.
         """
-        if self._is_too_old(key):
+        if self._is_expired(key):
             return Expired(Outcome.UNKNOWN)
         attempt = self._build_attempt(key, body_digest, call)
         operation = Operation(
@@ -131,7 +133,7 @@
         try:
             result = self._execute(operation)
         except PlatformError as error:
-            self._abandon(attempt, error)
+            self._withdraw_claim(attempt, error)
             raise build_unavailable('the call could not be claimed', error.peer)
         if result.kind is ResultKind.CLAIMED:
             self._attempts.add(attempt)
@@ -147,7 +149,7 @@
         try:
             self._attempts.send(attempt)
         except RequestError:
-            self._unsettled.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
+            self._pending.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
             raise
 
     def record_ran(self, attempt: Attempt, answer: Answer) -> bool:
@@ -169,7 +171,7 @@
         """
         sent = self._attempts.close(attempt)
         if sent and not refused:
-            self._unsettled.add(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
+            self._pending.add(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
         invariant(
             refused or not sent,
             Invariant.NOT_RUN_IS_CERTAIN,
@@ -188,7 +190,7 @@
 
     def settle(self) -> None:
         """Try once more to record what the store has not taken."""
-        for operation in self._unsettled.list():
+        for operation in self._pending.list():
             try:
                 result = self._execute(operation)
             except PlatformError as error:
@@ -196,18 +198,18 @@
                     'ledger records wait for the store'
                 )
                 return
-            self._unsettled.remove(operation)
+            self._pending.remove(operation)
             self._check_record(operation, result)
 
-    def count_unsettled(self) -> int:
+    def count_pending(self) -> int:
         """Return how many records the store has not taken yet."""
-        return len(self._unsettled.list())
+        return len(self._pending.list())
 
-    def _is_too_old(self, key: CallKey) -> bool:
-        made = read_key_time(key.key)
-        if made is None:
+    def _is_expired(self, key: CallKey) -> bool:
+        created_at = read_key_time(key.key)
+        if created_at is None:
             return False
-        return self._clock.now() - made > self._settings.retention
+        return self._clock.now() - created_at > self._settings.retention
 
     def _build_attempt(
         self, key: CallKey, body_digest: BodyDigest, call: Call
@@ -226,18 +228,18 @@
             lapses_at=wall + max(0, call.deadline - now) + margin,
         )
 
-    def _abandon(self, attempt: Attempt, error: PlatformError) -> None:
+    def _withdraw_claim(self, attempt: Attempt, error: PlatformError) -> None:
         if error.outcome is Outcome.NOT_RUN:
             return
         # The claim may be in the store without an owner; until it is taken
         # back, the caller's next try would be told that the call is running.
-        self._unsettled.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
+        self._pending.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
 
     def _record(self, operation: Operation) -> bool:
         try:
             result = self._execute(operation)
         except PlatformError:
-            self._unsettled.add(operation)
+            self._pending.add(operation)
             return False
         self._check_record(operation, result)
         return True
@@ -268,22 +270,22 @@
     def _ask_owner(
         self, owner: DaemonId, shard: int, operation: Operation
     ) -> OperationResult | None:
-        number = next(self._numbers)
-        reply = _Reply()
-        self._waiting[number] = reply
+        number = next(self._request_numbers)
+        reply = _PendingReply()
+        self._pending_replies[number] = reply
         request = CommitRequest(number=number, shard=shard, operation=operation)
         self._messenger.tell(owner, request)
-        answered = self._clock.wait(reply.arrived, self._settings.owner_patience)
-        self._waiting.pop(number, None)
+        answered = self._clock.wait(reply.received, self._settings.owner_timeout)
+        self._pending_replies.pop(number, None)
         if not answered or reply.result is None:
-            self._owners.distrust(owner)
+            self._owners.mark_unresponsive(owner)
         return reply.result
 
-    def _take_request(self, sender: DaemonId, request: CommitRequest) -> None:
+    def _handle_request(self, sender: DaemonId, request: CommitRequest) -> None:
         committer = self._committers[request.shard]
         ticket = Ticket(
             request.operation,
-            lead=lambda: self._workers.defer(committer.commit),
+            lead=lambda: self._workers.submit(committer.commit),
             finish=partial(self._reply, sender, request.number),
         )
         committer.enqueue(ticket)
@@ -291,18 +293,18 @@
     def _reply(self, sender: DaemonId, number: int, ticket: Ticket) -> None:
         self._messenger.tell(sender, CommitReply(number=number, result=ticket.result))
 
-    def _take_reply(self, sender: DaemonId, message: CommitReply) -> None:
-        reply = self._waiting.get(message.number)
+    def _handle_reply(self, sender: DaemonId, message: CommitReply) -> None:
+        reply = self._pending_replies.get(message.number)
         if reply is not None:
             reply.result = message.result
-            reply.arrived.set()
+            reply.received.set()
 
 
-class _Reply:
+class _PendingReply:
     """A reply that is waited for."""
 
     def __init__(self) -> None:
-        self.arrived = threading.Event()
+        self.received = threading.Event()
         self.result: OperationResult | None = None
 
 
--- a/libs/ledger/fireflyhitch_ledger/unsettled.py
+++ b/libs/ledger/fireflyhitch_ledger/pending_records.py
@@ -10,7 +10,7 @@
 from fireflyhitch_model.states import Step
 
 
-class Unsettled:
+class PendingRecords:
     """Keeps records until the store takes them, the newest of them if many.
 
     A record that is lost leaves its call claimed, which counts as unknown once
--- a/libs/ledger/fireflyhitch_ledger/records.py
+++ b/libs/ledger/fireflyhitch_ledger/records.py
@@ -15,7 +15,7 @@
 from fireflyhitch_model.states import Outcome, Step
 
 FORMAT = 1
-MARK_BYTES = 8
+SHORT_DIGEST_BYTES = 8
 NEVER = float('inf')
 
 
@@ -69,11 +69,11 @@
 
     def find_expired(self, digest: KeyDigest) -> Outcome | None:
         """Return what is known of a call whose entry has gone."""
-        mark = digest[:MARK_BYTES]
+        short_digest = digest[:SHORT_DIGEST_BYTES]
         for day in self.expired:
-            if mark in day.ran:
+            if short_digest in day.ran:
                 return Outcome.RAN
-            if mark in day.unknown:
+            if short_digest in day.unknown:
                 return Outcome.UNKNOWN
         return None
 
@@ -133,7 +133,7 @@
             outcome=Outcome.NOT_RUN,
         )
     days = tuple(
-        ExpiredDay(day, _split_marks(ran), _split_marks(unknown))
+        ExpiredDay(day, _split_short_digests(ran), _split_short_digests(unknown))
         for day, ran, unknown in expired
     )
     return ShardRecord(
@@ -162,13 +162,13 @@
         if entry.since > cutoff:
             kept[digest] = encoded
         elif entry.state is EntryState.RAN:
-            ran.add(digest[:MARK_BYTES])
+            ran.add(digest[:SHORT_DIGEST_BYTES])
         elif entry.state is not EntryState.NOT_RUN:
-            unknown.add(digest[:MARK_BYTES])
+            unknown.add(digest[:SHORT_DIGEST_BYTES])
     today = ExpiredDay(_read_day(now), frozenset(ran), frozenset(unknown))
     pruned = ShardRecord(
         kept,
-        _add_day(record.expired, today)[-settings.expired_days :],
+        _add_day(record.expired, today)[-settings.max_expired_days :],
         _find_prune_time(kept, settings),
     )
     return replace(pruned, size=len(encode_record(pruned)))
@@ -211,6 +211,6 @@
     )
 
 
-def _split_marks(joined: bytes) -> frozenset[bytes]:
-    starts = range(0, len(joined), MARK_BYTES)
-    return frozenset(joined[start : start + MARK_BYTES] for start in starts)
+def _split_short_digests(joined: bytes) -> frozenset[bytes]:
+    starts = range(0, len(joined), SHORT_DIGEST_BYTES)
+    return frozenset(joined[start : start + SHORT_DIGEST_BYTES] for start in starts)
--- a/libs/ledger/fireflyhitch_ledger/results.py
+++ b/libs/ledger/fireflyhitch_ledger/results.py
@@ -13,7 +13,7 @@
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 BAD_REQUEST = 400
-REPEAT_AFTER = timedelta(seconds=1)
+RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,39 +84,41 @@
     said of the others, as the call itself may have run under this key.
     """
     if isinstance(refusal, InProgress):
-        return _refuse('the call is in progress', CONFLICT, 'request_in_progress')
+        return _build_conflict(
+            'the call is in progress', CONFLICT, 'request_in_progress'
+        )
     if isinstance(refusal, UnknownOutcome):
-        return _refuse(
+        return _build_conflict(
             'an earlier attempt was cut off; the call may have run',
             CONFLICT,
             'outcome_unknown',
-            repeat=False,
+            retryable=False,
         )
     if isinstance(refusal, Mismatch):
-        return _refuse(
+        return _build_conflict(
             'the idempotency key was used for another request',
             UNPROCESSABLE,
             'idempotency_key_reused',
             outcome=Outcome.NOT_RUN,
-            repeat=False,
+            retryable=False,
         )
-    return _refuse(
+    return _build_conflict(
         'the idempotency key has expired',
         CONFLICT,
         'idempotency_key_expired',
         outcome=refusal.outcome,
-        repeat=False,
+        retryable=False,
     )
 
 
 def build_too_large() -> RequestError:
     """Return the error for a call that ran but whose answer was not kept."""
-    return _refuse(
+    return _build_conflict(
         'the call ran; its answer was too large to keep',
         CONFLICT,
         'answer_not_kept',
         outcome=Outcome.RAN,
-        repeat=False,
+        retryable=False,
     )
 
 
@@ -125,12 +127,12 @@
 
     It is refused, as nothing could tell its repeat from a second booking.
     """
-    return _refuse(
+    return _build_conflict(
         'this method needs an Idempotency-Key header of 1 to 255 characters',
         BAD_REQUEST,
         'idempotency_key_required',
         outcome=Outcome.NOT_RUN,
-        repeat=False,
+        retryable=False,
     )
 
 
@@ -143,17 +145,17 @@
         code='ledger_unavailable',
         outcome=Outcome.NOT_RUN,
         peer=peer,
-        retry_after=REPEAT_AFTER,
+        retry_after=RETRY_AFTER,
     )
 
 
-def _refuse(
+def _build_conflict(
     message: str,
     status: int,
     code: str,
     *,
     outcome: Outcome = Outcome.UNKNOWN,
-    repeat: bool = True,
+    retryable: bool = True,
 ) -> RequestError:
     return RequestError(
         message,
@@ -161,5 +163,5 @@
         status=status,
         code=code,
         outcome=outcome,
-        retry_after=REPEAT_AFTER if repeat else None,
+        retry_after=RETRY_AFTER if retryable else None,
     )
--- a/libs/ledger/fireflyhitch_ledger/settings.py
+++ b/libs/ledger/fireflyhitch_ledger/settings.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-CLAIM_BYTES = 524288
-RECORD_BYTES = 983040
-ANSWER_BYTES = 8192
+MAX_CLAIM_BYTES = 524288
+MAX_RECORD_BYTES = 983040
+MAX_ANSWER_BYTES = 8192
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,33 +17,33 @@
     :param writes_per_second: the share of the store's rate that all daemons'
         ledgers use together.
     :param retention: how long a repeat gets the stored answer.
-    :param expired_days: on how many days' expired keys are still refused.
-    :param claim_bytes: a shard of this size takes no new claim; the rest of
+    :param max_expired_days: on how many days' expired keys are still refused.
+    :param max_claim_bytes: a shard of this size takes no new claim; the rest of
         the store's 1 MB is room for the records of claims already given.
-    :param answer_bytes: larger answers are not kept.
+    :param max_answer_bytes: larger answers are not kept.
     :param send_within: how long after it was asked for a claim may be sent.
     :param record_margin: time after the call's deadline in which the daemon
         may still record it before it counts as unknown.
-    :param owner_patience: how long the shard's owner may take to answer.
-    :param claim_patience: how long the store may take in all.
+    :param owner_timeout: how long the shard's owner may take to answer.
+    :param claim_timeout: how long the store may take in all.
     """
 
     shards: int = 16
     writes_per_second: float = 300
     write_burst: int = 16
     retention: timedelta = timedelta(hours=24)
-    expired_days: int = 30
-    claim_bytes: int = CLAIM_BYTES
-    record_bytes: int = RECORD_BYTES
-    answer_bytes: int = ANSWER_BYTES
+    max_expired_days: int = 30
+    max_claim_bytes: int = MAX_CLAIM_BYTES
+    max_record_bytes: int = MAX_RECORD_BYTES
+    max_answer_bytes: int = MAX_ANSWER_BYTES
     send_within: timedelta = timedelta(seconds=5)
     record_margin: timedelta = timedelta(seconds=10)
-    owner_patience: timedelta = timedelta(seconds=1)
-    owner_distrust: timedelta = timedelta(seconds=5)
-    claim_patience: timedelta = timedelta(seconds=2)
+    owner_timeout: timedelta = timedelta(seconds=1)
+    unresponsive_time: timedelta = timedelta(seconds=5)
+    claim_timeout: timedelta = timedelta(seconds=2)
     settle_interval: timedelta = timedelta(seconds=1)
     workers: int = 4
-    max_unsettled: int = 10000
+    max_pending: int = 10000
 
 
 DEFAULT_SETTINGS = LedgerSettings()
--- a/libs/ledger/fireflyhitch_ledger/owners.py
+++ b/libs/ledger/fireflyhitch_ledger/shard_owners.py
@@ -5,14 +5,14 @@
 from cachetools import TTLCache
 
 from fireflyhitch_ledger.keys import Shard
-from fireflyhitch_ledger.pace import WritePace
 from fireflyhitch_ledger.settings import LedgerSettings
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.hashing import rank_by_hash
 from fireflyhitch_model.ids import DaemonId
 from fireflyhitch_model.peers import PeerMessenger
 
-MAX_DISTRUSTED = 1024
+MAX_UNRESPONSIVE = 1024
 
 
 class ShardOwners:
@@ -27,19 +27,19 @@
         daemon_id: DaemonId,
         messenger: PeerMessenger,
         clock: Clock,
-        pace: WritePace,
+        write_limiter: WriteRateLimiter,
         settings: LedgerSettings,
     ) -> None:
         self._daemon_id = daemon_id
         self._messenger = messenger
-        self._pace = pace
+        self._write_limiter = write_limiter
         self._settings = settings
         self._lock = Lock()
         self._live: frozenset[DaemonId] = frozenset()
         self._owners: tuple[DaemonId, ...] = ()
-        self._distrusted: TTLCache[DaemonId, bool] = TTLCache(
-            MAX_DISTRUSTED,
-            settings.owner_distrust.total_seconds(),
+        self._unresponsive: TTLCache[DaemonId, bool] = TTLCache(
+            MAX_UNRESPONSIVE,
+            settings.unresponsive_time.total_seconds(),
             clock.monotonic,
         )
 
@@ -54,17 +54,17 @@
             if live != self._live or not self._owners:
                 self._assign(live)
             owner = self._owners[shard]
-            if owner == self._daemon_id or owner in self._distrusted:
+            if owner == self._daemon_id or owner in self._unresponsive:
                 return None
             return owner
 
-    def distrust(self, owner: DaemonId) -> None:
+    def mark_unresponsive(self, owner: DaemonId) -> None:
         """Pass over an owner for a while.
 
         Else each call would wait for a dead owner until membership finds out.
         """
         with self._lock:
-            self._distrusted[owner] = True
+            self._unresponsive[owner] = True
 
     def _assign(self, live: frozenset[DaemonId]) -> None:
         members = sorted(live | {self._daemon_id})
@@ -74,6 +74,6 @@
         )
         self._live = live
         owned = max(1, self._owners.count(self._daemon_id))
-        self._pace.set_rate(
+        self._write_limiter.set_rate(
             self._settings.writes_per_second * owned / self._settings.shards
         )
--- a/libs/ledger/fireflyhitch_ledger/transitions.py
+++ b/libs/ledger/fireflyhitch_ledger/transitions.py
@@ -39,17 +39,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class ApplyResult:
     """A record after some operations.
 
     :param changed: whether it has to be written for the results to be true.
-    :param certain: whether the results hold even if the record read was old.
+    :param is_final: whether the results hold even if the record read was old.
     """
 
     record: ShardRecord
     results: tuple[OperationResult, ...]
     changed: bool
-    certain: bool
+    is_final: bool
 
 
 def apply_operations(
@@ -57,20 +57,20 @@
     record: ShardRecord,
     now: float,
     settings: LedgerSettings,
-) -> Applied:
+) -> ApplyResult:
     """Apply operations in order.
 
     :param now: wall time in seconds since 1970. It tells a running call from a
         cut-off one, and prunes; whether a call may be sent never rests on it.
     """
     pruned = prune_record(record, now, settings)
-    draft = _Draft(pruned, settings, now)
-    results = tuple(draft.apply(operation) for operation in operations)
-    certain = all(result.kind in FINAL_RESULTS for result in results)
-    return Applied(draft.finish(), results, draft.changed, certain)
+    update = _RecordUpdate(pruned, settings, now)
+    results = tuple(update.apply(operation) for operation in operations)
+    is_final = all(result.kind in FINAL_RESULTS for result in results)
+    return ApplyResult(update.finish(), results, update.changed, is_final)
 
 
-class _Draft:
+class _RecordUpdate:
     """A record that is being changed."""
 
     def __init__(
@@ -106,7 +106,7 @@
         self, digest: KeyDigest, entry: Entry | None, operation: Operation
     ) -> OperationResult:
         if entry is None:
-            return self._claim_new(digest, operation)
+            return self._create_claim(digest, operation)
         if entry.body_digest != operation.body_digest:
             return MISMATCH
         if entry.attempt == operation.attempt:
@@ -114,7 +114,7 @@
             held = entry.state is EntryState.CLAIMED
             return CLAIMED if held else SUPERSEDED
         if entry.state is EntryState.NOT_RUN:
-            return self._give(digest, operation)
+            return self._grant(digest, operation)
         if entry.state is EntryState.RAN:
             return OperationResult(kind=ResultKind.STORED, answer=entry.answer)
         cut_off = self._now >= entry.lapses_at
@@ -122,27 +122,27 @@
             return UNKNOWN
         return IN_PROGRESS
 
-    def _claim_new(self, digest: KeyDigest, operation: Operation) -> OperationResult:
+    def _create_claim(self, digest: KeyDigest, operation: Operation) -> OperationResult:
         outcome = self._record.find_expired(digest)
         if outcome is not None:
             return OperationResult(kind=ResultKind.EXPIRED, outcome=outcome)
-        if self._size >= self._settings.claim_bytes:
+        if self._size >= self._settings.max_claim_bytes:
             return FULL
-        return self._give(digest, operation)
+        return self._grant(digest, operation)
 
-    def _give(self, digest: KeyDigest, operation: Operation) -> OperationResult:
+    def _grant(self, digest: KeyDigest, operation: Operation) -> OperationResult:
         if self._now >= operation.lapses_at:
             # A claim that was held up on its way: whoever asked has given up,
             # and would leave it behind as a call of unknown outcome.
             return SUPERSEDED
-        self._put(digest, operation, EntryState.CLAIMED)
+        self._put_entry(digest, operation, EntryState.CLAIMED)
         return CLAIMED
 
     def _settle(
         self, digest: KeyDigest, entry: Entry | None, operation: Operation
     ) -> OperationResult:
         if entry is None:
-            return self._close_unseen(digest, operation)
+            return self._record_unclaimed(digest, operation)
         if entry.attempt != operation.attempt:
             return SUPERSEDED
         state = RECORDED_STATES[operation.kind]
@@ -151,26 +151,30 @@
             return CONTRADICTED
         if entry.state in SETTLED_STATES or entry.state is state:
             return RECORDED
-        answer = self._trim(operation.answer)
-        self._write(digest, replace(entry, state=state, answer=answer))
+        answer = self._select_stored_answer(operation.answer)
+        self._write_entry(digest, replace(entry, state=state, answer=answer))
         return RECORDED
 
-    def _close_unseen(self, digest: KeyDigest, operation: Operation) -> OperationResult:
+    def _record_unclaimed(
+        self, digest: KeyDigest, operation: Operation
+    ) -> OperationResult:
         gone = self._record.find_expired(digest) is not None
         if gone or operation.kind is not OperationKind.RECORD_NOT_RUN:
             return SUPERSEDED
         # The attempt gave up before its claim came through. Were it not noted,
         # a claim still on its way would stay behind as of unknown outcome.
-        self._put(digest, operation, EntryState.NOT_RUN)
+        self._put_entry(digest, operation, EntryState.NOT_RUN)
         return RECORDED
 
-    def _trim(self, answer: Answer | None) -> Answer | None:
-        if answer is None or len(answer.body) > self._settings.answer_bytes:
+    def _select_stored_answer(self, answer: Answer | None) -> Answer | None:
+        if answer is None or len(answer.body) > self._settings.max_answer_bytes:
             return None
-        fits = self._size + len(answer.body) < self._settings.record_bytes
+        fits = self._size + len(answer.body) < self._settings.max_record_bytes
         return answer if fits else None
 
-    def _put(self, digest: KeyDigest, operation: Operation, state: EntryState) -> None:
+    def _put_entry(
+        self, digest: KeyDigest, operation: Operation, state: EntryState
+    ) -> None:
         entry = Entry(
             operation.attempt,
             operation.body_digest,
@@ -178,11 +182,11 @@
             self._now,
             operation.lapses_at,
         )
-        self._write(digest, entry)
+        self._write_entry(digest, entry)
         lifetime = self._settings.retention.total_seconds()
         self._prune_at = min(self._prune_at, self._now + lifetime)
 
-    def _write(self, digest: KeyDigest, entry: Entry) -> None:
+    def _write_entry(self, digest: KeyDigest, entry: Entry) -> None:
         encoded = encode_entry(entry)
         before = self._entries.get(digest, b'')
         self._size += len(encoded) - len(before) + len(digest)
--- a/libs/ledger/fireflyhitch_ledger/workers.py
+++ b/libs/ledger/fireflyhitch_ledger/workers.py
@@ -29,8 +29,8 @@
         :param settle: is called each interval.
         """
         for _ in range(self._count):
-            self._spawn(self._serve)
-        self._spawn(lambda: self._repeat(settle, interval))
+            self._spawn(self._run_queue)
+        self._spawn(lambda: self._run_periodically(settle, interval))
 
     def stop(self) -> None:
         """Finish the work at hand and end the threads."""
@@ -41,7 +41,7 @@
             thread.join(STOP_SECONDS)
         self._threads.clear()
 
-    def defer(self, work: Callable[[], None]) -> None:
+    def submit(self, work: Callable[[], None]) -> None:
         """Do work on one of the threads, or at once if none was started."""
         if self._threads:
             self._work.put(work)
@@ -53,14 +53,16 @@
         self._threads.append(thread)
         thread.start()
 
-    def _serve(self) -> None:
+    def _run_queue(self) -> None:
         while True:
             work = self._work.get()
             if work is None:
                 return
             _run_guarded(work)
 
-    def _repeat(self, settle: Callable[[], None], interval: timedelta) -> None:
+    def _run_periodically(
+        self, settle: Callable[[], None], interval: timedelta
+    ) -> None:
         while not self._clock.wait(self._stopping, interval):
             _run_guarded(settle)
 
--- a/libs/ledger/fireflyhitch_ledger/pace.py
+++ b/libs/ledger/fireflyhitch_ledger/write_limiter.py
@@ -5,7 +5,7 @@
 from fireflyhitch_model.clock import Clock
 
 
-class WritePace:
+class WriteRateLimiter:
     """Spreads writes so that all ledgers together stay within the store's rate.
 
     Without it many shards at once would take the store's whole rate from the
--- a/libs/ledger/tests/conftest.py
+++ b/libs/ledger/tests/conftest.py
@@ -17,7 +17,7 @@
 from fireflyhitch_standins.peers import MemoryPeerNetwork
 
 
-class World:
+class LedgerCluster:
     """Three daemons, their store and their clock."""
 
     body = digest_body('POST', '/services/bookings/visits', b'{"van": 1}')
@@ -60,10 +60,10 @@
 
 
 @pytest.fixture
-def world():
-    return World()
+def cluster():
+    return LedgerCluster()
 
 
 @pytest.fixture
-def make_world():
-    return World
+def make_cluster():
+    return LedgerCluster
--- a/libs/ledger/tests/test_claims.py
+++ b/libs/ledger/tests/test_claims.py
@@ -38,207 +38,209 @@
 class TestClaim:
     """What a first claim and its repeats get."""
 
-    def test_repeat_is_in_progress_then_gets_the_stored_answer(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        assert world.claim('brugge', key) == InProgress()
-        world.ledgers['gent'].mark_sent(attempt)
-        assert world.ledgers['gent'].record_ran(attempt, ANSWER)
-        for name in world.names:
-            assert world.claim(name, key) == Stored(ANSWER)
-
-    def test_same_key_with_another_body_is_refused(self, world):
-        world.claim('gent', world.key())
-        result = world.claim('aalst', world.key(), world.other_body)
+    def test_repeat_is_in_progress_then_gets_the_stored_answer(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        assert cluster.claim('brugge', key) == InProgress()
+        cluster.ledgers['gent'].mark_sent(attempt)
+        assert cluster.ledgers['gent'].record_ran(attempt, ANSWER)
+        for name in cluster.names:
+            assert cluster.claim(name, key) == Stored(ANSWER)
+
+    def test_same_key_with_another_body_is_refused(self, cluster):
+        cluster.claim('gent', cluster.key())
+        result = cluster.claim('aalst', cluster.key(), cluster.other_body)
         assert result == Mismatch()
         assert build_refusal(result).outcome is Outcome.NOT_RUN
 
-    def test_customers_do_not_share_keys(self, world):
-        assert isinstance(world.claim('gent', world.key()), Claimed)
-        other = world.key(customer='c2')
-        assert isinstance(world.claim('gent', other), Claimed)
-
-    def test_call_that_was_not_run_can_be_claimed_again(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].mark_sent(attempt)
-        world.ledgers['gent'].record_not_run(attempt, refused=True)
-        assert isinstance(world.claim('brugge', key), Claimed)
-
-    def test_large_answer_is_not_kept(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        large = Answer(status=200, body=bytes(world.settings.answer_bytes + 1))
-        world.ledgers['gent'].record_ran(attempt, large)
-        assert world.claim('gent', key) == Stored(None)
-
-    def test_full_shard_refuses_new_keys_and_records_the_old(self, make_world):
-        world = make_world(shards=1, claim_bytes=300)
+    def test_customers_do_not_share_keys(self, cluster):
+        assert isinstance(cluster.claim('gent', cluster.key()), Claimed)
+        other = cluster.key(customer='c2')
+        assert isinstance(cluster.claim('gent', other), Claimed)
+
+    def test_call_that_was_not_run_can_be_claimed_again(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].mark_sent(attempt)
+        cluster.ledgers['gent'].record_not_run(attempt, refused=True)
+        assert isinstance(cluster.claim('brugge', key), Claimed)
+
+    def test_large_answer_is_not_kept(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        large = Answer(status=200, body=bytes(cluster.settings.max_answer_bytes + 1))
+        cluster.ledgers['gent'].record_ran(attempt, large)
+        assert cluster.claim('gent', key) == Stored(None)
+
+    def test_full_shard_refuses_new_keys_and_records_the_old(self, make_cluster):
+        cluster = make_cluster(shards=1, max_claim_bytes=300)
         attempts = []
         with pytest.raises(RequestError) as caught:
             for number in range(10):
-                attempts.append(world.claim('gent', world.key(f'k{number}')).attempt)
+                attempts.append(
+                    cluster.claim('gent', cluster.key(f'k{number}')).attempt
+                )
         assert caught.value.outcome is Outcome.NOT_RUN
         assert len(attempts) > 1
-        assert all(world.ledgers['gent'].record_ran(one, ANSWER) for one in attempts)
+        assert all(cluster.ledgers['gent'].record_ran(one, ANSWER) for one in attempts)
 
 
 class TestSending:
     """The one permission to send."""
 
-    def test_second_send_breaks_the_invariant(self, world):
-        attempt = world.claim('gent', world.key()).attempt
-        world.ledgers['gent'].mark_sent(attempt)
+    def test_second_send_breaks_the_invariant(self, cluster):
+        attempt = cluster.claim('gent', cluster.key()).attempt
+        cluster.ledgers['gent'].mark_sent(attempt)
         with pytest.raises(InvariantError):
-            world.ledgers['gent'].mark_sent(attempt)
+            cluster.ledgers['gent'].mark_sent(attempt)
 
-    def test_not_run_after_sending_breaks_the_invariant(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].mark_sent(attempt)
+    def test_not_run_after_sending_breaks_the_invariant(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].mark_sent(attempt)
         with pytest.raises(InvariantError):
-            world.ledgers['gent'].record_not_run(attempt)
-        world.ledgers['gent'].settle()
-        assert world.claim('gent', key) == UnknownOutcome()
+            cluster.ledgers['gent'].record_not_run(attempt)
+        cluster.ledgers['gent'].settle()
+        assert cluster.claim('gent', key) == UnknownOutcome()
 
-    def test_daemon_that_wakes_after_its_claim_lapsed_does_not_send(self, world):
+    def test_daemon_that_wakes_after_its_claim_lapsed_does_not_send(self, cluster):
         """A daemon claims a call and is paused before it sends.
 
         Its claim lapses and the caller's repeat is told that the outcome is
         unknown. When the daemon wakes it is refused the permission and records
         that the call was not run, so the next repeat runs it.
         """
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.clock.advance(timedelta(minutes=5))
-        assert world.claim('brugge', key) == UnknownOutcome()
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.clock.advance(timedelta(minutes=5))
+        assert cluster.claim('brugge', key) == UnknownOutcome()
         with pytest.raises(RequestError) as caught:
-            world.ledgers['gent'].mark_sent(attempt)
+            cluster.ledgers['gent'].mark_sent(attempt)
         assert caught.value.outcome is Outcome.NOT_RUN
-        world.ledgers['gent'].settle()
-        assert isinstance(world.claim('brugge', key), Claimed)
+        cluster.ledgers['gent'].settle()
+        assert isinstance(cluster.claim('brugge', key), Claimed)
 
-    def test_answer_that_comes_after_the_lapse_is_still_stored(self, world):
+    def test_answer_that_comes_after_the_lapse_is_still_stored(self, cluster):
         """The service answers long after the claim lapsed.
 
         A repeat meanwhile is told `unknown`; a later one gets the answer, as
         the attempt that ran is the only one that ever could.
         """
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].mark_sent(attempt)
-        world.clock.advance(timedelta(minutes=5))
-        assert world.claim('brugge', key) == UnknownOutcome()
-        world.ledgers['gent'].record_ran(attempt, ANSWER)
-        assert world.claim('brugge', key) == Stored(ANSWER)
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].mark_sent(attempt)
+        cluster.clock.advance(timedelta(minutes=5))
+        assert cluster.claim('brugge', key) == UnknownOutcome()
+        cluster.ledgers['gent'].record_ran(attempt, ANSWER)
+        assert cluster.claim('brugge', key) == Stored(ANSWER)
 
 
 class TestStoreFaults:
     """A store that is down, or whose answers get lost."""
 
-    def test_store_down_refuses_before_dispatch(self, world):
-        world.store.faults.stand('*', Fault.REFUSED)
+    def test_store_down_refuses_before_dispatch(self, cluster):
+        cluster.store.faults.stand('*', Fault.REFUSED)
         with pytest.raises(RequestError) as caught:
-            world.claim('gent', world.key())
+            cluster.claim('gent', cluster.key())
         assert caught.value.outcome is Outcome.NOT_RUN
         assert caught.value.retry_after is not None
 
-    def test_lost_write_answer_is_settled_by_reading_back(self, world):
-        world.store.faults.queue('put_if', Fault.LOST_ANSWER)
-        key = world.key()
-        assert isinstance(world.claim('gent', key), Claimed)
-        assert world.claim('brugge', key) == InProgress()
+    def test_lost_write_answer_is_settled_by_reading_back(self, cluster):
+        cluster.store.faults.queue('put_if', Fault.LOST_ANSWER)
+        key = cluster.key()
+        assert isinstance(cluster.claim('gent', key), Claimed)
+        assert cluster.claim('brugge', key) == InProgress()
 
-    def test_claim_given_up_in_doubt_is_taken_back(self, world):
+    def test_claim_given_up_in_doubt_is_taken_back(self, cluster):
         """Every write's answer is lost, then the store is gone.
 
         The caller is told `not-run`, which holds since the attempt is never
         sent; but the store may hold its claim. Once the store is back the
         daemon takes the claim back, and a repeat runs the call.
         """
-        key = world.key()
-        owner = world.rank(key)[0]
-        world.store.faults.queue('put_if', *repeat(Fault.LOST_ANSWER, 9))
-        world.store.faults.queue('get', Fault.NONE, *repeat(Fault.LOST_REQUEST, 9))
+        key = cluster.key()
+        owner = cluster.rank(key)[0]
+        cluster.store.faults.queue('put_if', *repeat(Fault.LOST_ANSWER, 9))
+        cluster.store.faults.queue('get', Fault.NONE, *repeat(Fault.LOST_REQUEST, 9))
         with pytest.raises(RequestError):
-            world.claim(owner, key)
-        assert world.ledgers[owner].count_unsettled() == 1
-        world.store.faults.lift()
-        world.ledgers[owner].settle()
-        assert isinstance(world.claim('brugge', key), Claimed)
-
-    def test_record_waits_for_the_store(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].mark_sent(attempt)
-        world.store.faults.stand('*', Fault.REFUSED)
-        assert not world.ledgers['gent'].record_ran(attempt, ANSWER)
-        world.store.faults.lift()
-        world.ledgers['gent'].settle()
-        assert world.ledgers['gent'].count_unsettled() == 0
-        assert world.claim('aalst', key) == Stored(ANSWER)
-
-    def test_record_of_an_unknown_release_is_not_overwritten(self, world):
-        world.store.put_if('ledger/0', cbor2.dumps([9, {}, []]), 0)
+            cluster.claim(owner, key)
+        assert cluster.ledgers[owner].count_pending() == 1
+        cluster.store.faults.lift()
+        cluster.ledgers[owner].settle()
+        assert isinstance(cluster.claim('brugge', key), Claimed)
+
+    def test_record_waits_for_the_store(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].mark_sent(attempt)
+        cluster.store.faults.stand('*', Fault.REFUSED)
+        assert not cluster.ledgers['gent'].record_ran(attempt, ANSWER)
+        cluster.store.faults.lift()
+        cluster.ledgers['gent'].settle()
+        assert cluster.ledgers['gent'].count_pending() == 0
+        assert cluster.claim('aalst', key) == Stored(ANSWER)
+
+    def test_record_of_an_unknown_release_is_not_overwritten(self, cluster):
+        cluster.store.put_if('ledger/0', cbor2.dumps([9, {}, []]), 0)
         with pytest.raises(RequestError):
             for number in range(999):
-                world.claim('gent', world.key(f'k{number}'))
+                cluster.claim('gent', cluster.key(f'k{number}'))
 
 
 class TestOwner:
     """Commits by the shard's owner, and without it."""
 
-    def test_owner_writes_for_the_others(self, world):
-        key = world.key()
-        owner, other, _ = world.rank(key)
+    def test_owner_writes_for_the_others(self, cluster):
+        key = cluster.key()
+        owner, other, _ = cluster.rank(key)
         seen = []
-        world.network.messengers[owner].handle(
+        cluster.network.messengers[owner].handle(
             CommitRequest, lambda sender, message: seen.append(sender)
         )
-        world.claim(other, key)
+        cluster.claim(other, key)
         assert seen == [other]
 
-    def test_unreachable_owner_is_passed_over(self, world):
+    def test_unreachable_owner_is_passed_over(self, cluster):
         """The owner is cut off from a daemon, and both write the shard.
 
         Each goes on with compare-and-swap: a key is given to one of the two.
         """
-        key = world.key()
-        owner, other, _ = world.rank(key)
-        world.network.separate(owner, other)
-        assert isinstance(world.claim(other, key), Claimed)
-        assert world.claim(owner, key) == InProgress()
-        again = world.key('k2')
-        results = [world.claim(name, again) for name in (owner, other)]
+        key = cluster.key()
+        owner, other, _ = cluster.rank(key)
+        cluster.network.separate(owner, other)
+        assert isinstance(cluster.claim(other, key), Claimed)
+        assert cluster.claim(owner, key) == InProgress()
+        again = cluster.key('k2')
+        results = [cluster.claim(name, again) for name in (owner, other)]
         assert [type(result) for result in results] == [Claimed, InProgress]
 
-    def test_cached_record_does_not_hide_what_another_daemon_wrote(self, world):
-        key = world.key()
-        owner, other, _ = world.rank(key)
-        attempt = world.claim(owner, key).attempt
-        world.network.separate(owner, other)
-        assert world.claim(other, key) == InProgress()
-        world.ledgers[owner].record_ran(attempt, ANSWER)
-        assert world.claim(other, key) == Stored(ANSWER)
+    def test_cached_record_does_not_hide_what_another_daemon_wrote(self, cluster):
+        key = cluster.key()
+        owner, other, _ = cluster.rank(key)
+        attempt = cluster.claim(owner, key).attempt
+        cluster.network.separate(owner, other)
+        assert cluster.claim(other, key) == InProgress()
+        cluster.ledgers[owner].record_ran(attempt, ANSWER)
+        assert cluster.claim(other, key) == Stored(ANSWER)
 
-    def test_claim_that_was_held_up_on_its_way_is_not_given(self, world):
+    def test_claim_that_was_held_up_on_its_way_is_not_given(self, cluster):
         """A claim reaches the owner after its sender took it back.
 
         Were it given, nobody would send it and the key would stay in doubt.
         """
-        key = world.key()
-        owner, other, _ = world.rank(key)
+        key = cluster.key()
+        owner, other, _ = cluster.rank(key)
         held = []
-        network = world.network.messengers[owner]
+        network = cluster.network.messengers[owner]
         network.handle(CommitRequest, lambda _, message: held.append(message))
-        world.store.faults.stand('*', Fault.LOST_REQUEST)
+        cluster.store.faults.stand('*', Fault.LOST_REQUEST)
         with pytest.raises(RequestError):
-            world.claim(other, key)
-        world.store.faults.lift()
-        world.ledgers[other].settle()
-        world.restart(owner)
-        world.network.messengers[owner].receive(other, held[0])
-        assert isinstance(world.claim(other, key), Claimed)
+            cluster.claim(other, key)
+        cluster.store.faults.lift()
+        cluster.ledgers[other].settle()
+        cluster.restart(owner)
+        cluster.network.messengers[owner].receive(other, held[0])
+        assert isinstance(cluster.claim(other, key), Claimed)
 
     def test_messages_survive_the_wire(self):
         operation = Operation(
@@ -257,34 +259,34 @@
 class TestRetention:
     """What is left of a call after a while."""
 
-    def test_expired_key_is_refused(self, world):
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].record_ran(attempt, ANSWER)
-        world.clock.advance(timedelta(days=2))
-        assert world.claim('brugge', key) == Expired(Outcome.RAN)
-
-    def test_expired_key_is_refused_after_further_writes(self, make_world):
-        world = make_world(shards=1)
-        key = world.key()
-        attempt = world.claim('gent', key).attempt
-        world.ledgers['gent'].record_ran(attempt, ANSWER)
+    def test_expired_key_is_refused(self, cluster):
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].record_ran(attempt, ANSWER)
+        cluster.clock.advance(timedelta(days=2))
+        assert cluster.claim('brugge', key) == Expired(Outcome.RAN)
+
+    def test_expired_key_is_refused_after_further_writes(self, make_cluster):
+        cluster = make_cluster(shards=1)
+        key = cluster.key()
+        attempt = cluster.claim('gent', key).attempt
+        cluster.ledgers['gent'].record_ran(attempt, ANSWER)
         for day in range(25):
-            world.clock.advance(timedelta(days=1, seconds=1))
-            world.claim('gent', world.key(f'day {day}'))
-        assert world.claim('brugge', key) == Expired(Outcome.RAN)
-        assert len(world.store.get('ledger/0').value) < 1024
-
-    def test_marks_survive_a_clock_that_is_far_ahead(self, make_world):
-        world = make_world(shards=1)
-        key = world.key()
-        world.ledgers['gent'].record_ran(world.claim('gent', key).attempt, ANSWER)
-        world.clock.jump_wall(timedelta(days=3650))
-        world.claim('gent', world.key('other'))
-        assert world.claim('gent', key) == Expired(Outcome.RAN)
-
-    def test_key_that_carries_an_old_time_is_refused_for_good(self, world):
-        made = int((world.clock.now() - timedelta(days=90)).timestamp() * 1000)
+            cluster.clock.advance(timedelta(days=1, seconds=1))
+            cluster.claim('gent', cluster.key(f'day {day}'))
+        assert cluster.claim('brugge', key) == Expired(Outcome.RAN)
+        assert len(cluster.store.get('ledger/0').value) < 1024
+
+    def test_marks_survive_a_clock_that_is_far_ahead(self, make_cluster):
+        cluster = make_cluster(shards=1)
+        key = cluster.key()
+        cluster.ledgers['gent'].record_ran(cluster.claim('gent', key).attempt, ANSWER)
+        cluster.clock.jump_wall(timedelta(days=3650))
+        cluster.claim('gent', cluster.key('other'))
+        assert cluster.claim('gent', key) == Expired(Outcome.RAN)
+
+    def test_key_that_carries_an_old_time_is_refused_for_good(self, cluster):
+        made = int((cluster.clock.now() - timedelta(days=90)).timestamp() * 1000)
         old = uuid.UUID(int=made << 80 | 7 << 76 | 2 << 62 | 5)
-        assert world.claim('gent', world.key(str(old))) == Expired(Outcome.UNKNOWN)
-        assert isinstance(world.claim('gent', world.key()), Claimed)
+        assert cluster.claim('gent', cluster.key(str(old))) == Expired(Outcome.UNKNOWN)
+        assert isinstance(cluster.claim('gent', cluster.key()), Claimed)
--- a/libs/ledger/tests/test_ledger_machine.py
+++ b/libs/ledger/tests/test_ledger_machine.py
@@ -29,15 +29,15 @@
 class LedgerMachine(RuleBasedStateMachine):
     """Daemons claim, send, pause, die and are cut off, in any order."""
 
-    def __init__(self, make_world):
+    def __init__(self, make_cluster):
         super().__init__()
-        self.world = make_world(shards=2)
+        self.cluster = make_cluster(shards=2)
         self.violations = count_violations()
         self.claimed = []
         self.sent = []
         self.runs = Counter()
         self.messages = []
-        for name, messenger in self.world.network.messengers.items():
+        for name, messenger in self.cluster.network.messengers.items():
             self.record_messages(name, messenger)
 
     def record_messages(self, name, messenger):
@@ -55,7 +55,7 @@
         then=st.sampled_from(('hold', 'send', 'send', 'answer')),
     )
     def claim(self, daemon, key, then):
-        name = self.world.names[daemon]
+        name = self.cluster.names[daemon]
         self.claim_body(name, key, 'body')
         if then != 'hold' and self.claimed:
             self.send(-1, refuses=False)
@@ -64,12 +64,12 @@
 
     @rule(daemon=st.integers(0, 2), key=st.sampled_from(KEYS))
     def claim_with_another_body(self, daemon, key):
-        self.claim_body(self.world.names[daemon], key, 'other_body')
+        self.claim_body(self.cluster.names[daemon], key, 'other_body')
 
     def claim_body(self, name, key, body):
         try:
-            result = self.world.claim(
-                name, self.world.key(key), getattr(self.world, body)
+            result = self.cluster.claim(
+                name, self.cluster.key(key), getattr(self.cluster, body)
             )
         except RequestError as error:
             assert error.outcome is Outcome.NOT_RUN
@@ -85,7 +85,7 @@
     def send(self, pick, refuses):
         name, key, attempt = self.claimed.pop(pick % len(self.claimed))
         try:
-            self.world.ledgers[name].mark_sent(attempt)
+            self.cluster.ledgers[name].mark_sent(attempt)
         except RequestError as error:
             assert error.outcome is Outcome.NOT_RUN
             return
@@ -96,7 +96,7 @@
     @rule(pick=st.integers(0, 99), lost=st.booleans())
     def record(self, pick, lost):
         name, _, attempt, refused = self.sent.pop(pick % len(self.sent))
-        ledger = self.world.ledgers[name]
+        ledger = self.cluster.ledgers[name]
         if lost:
             ledger.record_unknown(attempt)
         elif refused:
@@ -108,64 +108,66 @@
     @rule()
     def give_up_unsent(self):
         name, _, attempt = self.claimed.pop()
-        self.world.ledgers[name].record_not_run(attempt)
+        self.cluster.ledgers[name].record_not_run(attempt)
 
     @rule(daemon=st.integers(0, 2))
     def crash(self, daemon):
-        name = self.world.names[daemon]
-        self.world.restart(name)
-        self.record_messages(name, self.world.network.messengers[name])
+        name = self.cluster.names[daemon]
+        self.cluster.restart(name)
+        self.record_messages(name, self.cluster.network.messengers[name])
         self.claimed = [one for one in self.claimed if one[0] != name]
         self.sent = [one for one in self.sent if one[0] != name]
 
     @rule(seconds=st.sampled_from((1, 6, 45)))
     def pause(self, seconds):
-        self.world.clock.advance(timedelta(seconds=seconds))
+        self.cluster.clock.advance(timedelta(seconds=seconds))
 
     @rule(
         operation=st.sampled_from(('put_if', 'get')),
         faults=st.lists(st.sampled_from(FAULTS), min_size=1, max_size=3),
     )
     def break_store(self, operation, faults):
-        self.world.store.faults.queue(operation, *faults)
+        self.cluster.store.faults.queue(operation, *faults)
 
     @rule(one=st.integers(0, 2), other=st.integers(0, 2))
     def cut_link(self, one, other):
-        self.world.network.separate(self.world.names[one], self.world.names[other])
+        self.cluster.network.separate(
+            self.cluster.names[one], self.cluster.names[other]
+        )
 
     @rule()
     def heal(self):
-        self.world.network.cut.clear()
-        self.world.store.faults.lift()
-        for ledger in self.world.ledgers.values():
+        self.cluster.network.cut.clear()
+        self.cluster.store.faults.lift()
+        for ledger in self.cluster.ledgers.values():
             ledger.settle()
 
     @precondition(lambda machine: machine.messages)
     @rule(pick=st.integers(0, 99))
     def repeat_message(self, pick):
         name, sender, message = self.messages[pick % len(self.messages)]
-        self.world.network.messengers[name].receive(sender, message)
+        self.cluster.network.messengers[name].receive(sender, message)
 
     @invariant()
-    def nothing_runs_twice(self):
+    def no_call_runs_twice(self):
         assert all(times <= 1 for times in self.runs.values())
 
     @invariant()
-    def no_invariant_of_the_program_broke(self):
+    def no_internal_invariant_is_violated(self):
         assert count_violations() == self.violations
 
 
 class TestLedgerMachine:
     """Random runs of the machine, the same ones each time."""
 
-    def test_no_call_runs_twice(self, make_world):
+    def test_no_call_runs_twice(self, make_cluster):
         bounds = settings(
             max_examples=250, stateful_step_count=40, derandomize=True, deadline=None
         )
-        run_state_machine_as_test(lambda: LedgerMachine(make_world), settings=bounds)
+        run_state_machine_as_test(lambda: LedgerMachine(make_cluster), settings=bounds)
 
-    def test_machine_notices_a_second_run(self, make_world):
-        machine = LedgerMachine(make_world)
+    def test_machine_notices_a_second_run(self, make_cluster):
+        machine = LedgerMachine(make_cluster)
         machine.runs['k1'] = 2
         with pytest.raises(AssertionError):
-            machine.nothing_runs_twice()
+            machine.no_call_runs_twice()
--- a/libs/recovery/fireflyhitch_recovery/answers.py
+++ b/libs/recovery/fireflyhitch_recovery/answers.py
@@ -13,9 +13,9 @@
 from fireflyhitch_recovery.events import (
     FIRST_LINEAGE,
     AttemptTag,
-    Cut,
     EventId,
     Lineage,
+    LineageEntry,
     check_lineage,
     find_attempt,
     make_attempt_tag,
@@ -137,7 +137,7 @@
         self._attempts = copy.attempts
         self._lineage = copy.lineage
         self._state = LogState.OPEN
-        self._held_at = 0
+        self._hold_index = 0
         newest = copy.lineage[-1]
         invariant(
             newest.first <= len(copy.events) + 1,
@@ -186,7 +186,7 @@
             events = self._hold_stream()
             self._attempts += 1
             tag = make_attempt_tag(self._daemon, self._attempts)
-            self._lineage = (*self._lineage, Cut(len(events) + 1, tag))
+            self._lineage = (*self._lineage, LineageEntry(len(events) + 1, tag))
             self._stream = AttemptStream(self, tag, list(events))
             self._state = LogState.OPEN
         self.wake()
@@ -202,12 +202,12 @@
                 events, self._lineage, self._attempts, self._find_held_end()
             )
 
-    def lift(self) -> None:
+    def release_hold(self) -> None:
         """Relay again, with what came meanwhile."""
         with self._lock:
             if self._state is not LogState.HELD:
                 return
-            del self._stream.events[self._held_at]
+            del self._stream.events[self._hold_index]
             self._stream.held = False
             self._state = LogState.OPEN
         self.wake()
@@ -236,9 +236,7 @@
         readable = tuple(event for event in events if event is not _HOLD)
         return AnswerPart(number + 1, readable, self._state, end)
 
-    def wait_after(
-        self, last: EventId, clock: Clock, patience: timedelta
-    ) -> AnswerPart:
+    def wait_after(self, last: EventId, clock: Clock, timeout: timedelta) -> AnswerPart:
         """Return the events behind an event, waiting until there is one.
 
         :returns: a part without events if nothing came in time, the answer has
@@ -251,8 +249,8 @@
             self.waiters.append(signal)
         try:
             part = self.read_after(last.number)
-            if not _is_worth_returning(part):
-                clock.wait(signal, patience)
+            if not _should_return(part):
+                clock.wait(signal, timeout)
                 part = self.read_after(last.number)
         finally:
             with self._lock:
@@ -271,13 +269,13 @@
         if not stream.held:
             stream.held = True
             stream.events.append(_HOLD)
-            self._held_at = stream.events.index(_HOLD)
-        before = stream.events[: self._held_at]
+            self._hold_index = stream.events.index(_HOLD)
+        before = stream.events[: self._hold_index]
         return tuple(event for event in before if event is not _HOLD)
 
     def _find_held_end(self) -> AnswerEnd | None:
-        behind = len(self._stream.events) > self._held_at + 1
-        return None if behind else self._stream.end
+        has_later_events = len(self._stream.events) > self._hold_index + 1
+        return None if has_later_events else self._stream.end
 
 
 class AnswerReader:
@@ -295,12 +293,12 @@
         """The last event that was read."""
         return self._last
 
-    def read(self, clock: Clock, patience: timedelta) -> AnswerPart:
+    def read(self, clock: Clock, timeout: timedelta) -> AnswerPart:
         """Return the next events; see ``AnswerLog.wait_after``.
 
         :raises InvariantError: if they do not follow on the last ones.
         """
-        part = self._log.wait_after(self._last, clock, patience)
+        part = self._log.wait_after(self._last, clock, timeout)
         invariant(
             part.first == self._last.number + 1,
             Invariant.ANSWER_ORDER,
@@ -312,5 +310,5 @@
         return part
 
 
-def _is_worth_returning(part: AnswerPart) -> bool:
+def _should_return(part: AnswerPart) -> bool:
     return bool(part.events) or part.end is not None or part.state is LogState.MOVED
--- a/libs/recovery/fireflyhitch_recovery/continuation.py
+++ b/libs/recovery/fireflyhitch_recovery/continuation.py
@@ -9,7 +9,7 @@
 
 DONE = b'[DONE]'
 LIMIT_FIELDS = ('max_completion_tokens', 'max_tokens')
-SINGLE = (None, 1)
+SINGLE_CHOICE = (None, 1)
 # Their state is not part of the text, so a text prefix cannot restore it.
 STATEFUL_FIELDS = ('tools', 'functions', 'response_format', 'logprobs')
 
@@ -49,7 +49,7 @@
 def is_continuable(body: bytes) -> bool:
     """Tell whether a request can go on from its generated text."""
     request = json.loads(body)
-    if request.get('n') not in SINGLE:
+    if request.get('n') not in SINGLE_CHOICE:
         return False
     return not any(request.get(field) for field in STATEFUL_FIELDS)
 
--- a/libs/recovery/fireflyhitch_recovery/drain.py
+++ b/libs/recovery/fireflyhitch_recovery/drain.py
@@ -26,7 +26,7 @@
         self._clock = clock
         self._lock = Lock()
         self._state = DrainState.SERVING
-        self._ends: float | None = None
+        self._deadline: float | None = None
 
     @property
     def state(self) -> DrainState:
@@ -50,18 +50,18 @@
                 self._state = DrainState.DRAINING
             if time_left is None:
                 return first
-            ends = self._clock.monotonic() + time_left.total_seconds()
-            if self._ends is not None and self._ends <= ends:
+            deadline = self._clock.monotonic() + time_left.total_seconds()
+            if self._deadline is not None and self._deadline <= deadline:
                 return first
-            self._ends = ends
+            self._deadline = deadline
             return True
 
     def read_time_left(self) -> timedelta | None:
         """Return the time until the machine goes, or ``None`` if it stays."""
         with self._lock:
-            if self._ends is None:
+            if self._deadline is None:
                 return None
-            left = max(0, self._ends - self._clock.monotonic())
+            left = max(0, self._deadline - self._clock.monotonic())
         return timedelta(seconds=left)
 
     def stop_if_done(self, in_progress: int) -> bool:
--- a/libs/recovery/fireflyhitch_recovery/events.py
+++ b/libs/recovery/fireflyhitch_recovery/events.py
@@ -35,15 +35,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class LineageEntry:
     """From which event on an answer is an attempt's."""
 
     first: int
     attempt: AttemptTag
 
 
-Lineage = tuple[Cut, ...]
-FIRST_LINEAGE: Lineage = (Cut(1, FIRST_ATTEMPT),)
+Lineage = tuple[LineageEntry, ...]
+FIRST_LINEAGE: Lineage = (LineageEntry(1, FIRST_ATTEMPT),)
 
 
 def make_attempt_tag(daemon: DaemonId, number: int) -> AttemptTag:
@@ -81,9 +81,9 @@
 def find_attempt(lineage: Lineage, number: int) -> AttemptTag:
     """Return the attempt that an event is of."""
     found = FIRST_ATTEMPT
-    for cut in lineage:
-        if cut.first <= number:
-            found = cut.attempt
+    for entry in lineage:
+        if entry.first <= number:
+            found = entry.attempt
     return found
 
 
--- a/libs/recovery/fireflyhitch_recovery/handover.py
+++ b/libs/recovery/fireflyhitch_recovery/handover.py
@@ -14,23 +14,15 @@
 from fireflyhitch_model.peers import Daemon, PeerMessage, PeerMessenger
 from fireflyhitch_model.states import Step
 from fireflyhitch_recovery.answers import AnswerCopy, LogState
-from fireflyhitch_recovery.batches import (
-    HandOverReport,
-    MovedRequest,
-    is_done,
-    is_open,
-    read_id,
-    take_batch,
-)
 from fireflyhitch_recovery.inflight import InFlight, measure_request
 from fireflyhitch_recovery.locations import Locations
 from fireflyhitch_recovery.messages import (
+    CapacityQuery,
+    CapacityReply,
     Confirm,
     ConfirmReply,
-    Located,
     Location,
-    Offer,
-    OfferReply,
+    LocationUpdate,
     Transfer,
     TransferReply,
     WireRequest,
@@ -39,8 +31,16 @@
 from fireflyhitch_recovery.reception import Reception, TakeOver
 from fireflyhitch_recovery.requests import TrackedRequest
 from fireflyhitch_recovery.settings import DEFAULT_SETTINGS, HandOverSettings
+from fireflyhitch_recovery.transfer_batches import (
+    HandOverReport,
+    MovedRequest,
+    get_request_id,
+    is_active,
+    is_taken_over,
+    pop_batch,
+)
 
-CONFIRM_TRIES = 2
+MAX_CONFIRM_ATTEMPTS = 2
 
 
 class HandOver:
@@ -51,7 +51,7 @@
     that it answers it.
 
     :param take_over: has the daemon go on with a request; must not block.
-    :param read_room: how many more streams the daemon can carry.
+    :param read_capacity: how many more streams the daemon can carry.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         clock: Clock,
         in_flight: InFlight,
         take_over: TakeOver,
-        read_room: Callable[[], int],
+        read_capacity: Callable[[], int],
         settings: HandOverSettings = DEFAULT_SETTINGS,
     ) -> None:
         self._daemon = daemon
@@ -80,15 +80,15 @@
             in_flight,
             self.locations,
             take_over,
-            read_room,
+            read_capacity,
             settings,
         )
         self._lock = Lock()
         self._moved: dict[RequestId, MovedRequest] = {}
-        self._protected: dict[RequestId, DaemonId] = {}
-        self._failed: set[DaemonId] = set()
+        self._replicas: dict[RequestId, DaemonId] = {}
+        self._failed_peers: set[DaemonId] = set()
         self._leaving = False
-        self._seen_to: set[RequestId] = set()
+        self._handled: set[RequestId] = set()
         in_flight.observe(self._withdraw_copy)
 
     def hand_over(
@@ -101,25 +101,25 @@
 
         :param time_left: after which it is given up.
         """
-        ends = self._clock.monotonic() + time_left.total_seconds()
+        deadline = self._clock.monotonic() + time_left.total_seconds()
         wanted = tuple(request_ids)
-        self._seen_to.update(wanted)
+        self._handled.update(wanted)
         self.announce()
-        waiting = deque(self._find_all(wanted))
+        pending = deque(self._find_movable(wanted))
         moved: list[RequestId] = []
-        while waiting and self._clock.monotonic() < ends:
-            peer = self._choose_peer(waiting)
+        while pending and self._clock.monotonic() < deadline:
+            peer = self._choose_peer(pending)
             if peer is None:
-                self._failed.clear()
-                self._clock.wait(Event(), self._settings.pause)
+                self._failed_peers.clear()
+                self._clock.wait(Event(), self._settings.retry_interval)
                 continue
-            batch = take_batch(waiting, self._settings)
+            batch = pop_batch(pending, self._settings)
             done = self._move_batch(peer, batch.requests)
-            moved.extend(read_id(tracked) for tracked in done)
+            moved.extend(get_request_id(tracked) for tracked in done)
             rest = [tracked for tracked in batch.requests if tracked not in done]
-            waiting.extendleft(reversed(list(filter(is_open, rest))))
-            self._wait_for_pace(batch.size)
-        left = tuple(one for one in wanted if one not in moved and self._has(one))
+            pending.extendleft(reversed(list(filter(is_active, rest))))
+            self._limit_send_rate(batch.size)
+        left = tuple(one for one in wanted if one not in moved and self._is_active(one))
         if left:
             logger.bind(step=Step.HAND_OVER.value).warning(
                 '{} requests moved, {} left here', len(moved), len(left)
@@ -135,22 +135,22 @@
         :returns: the requests that a peer keeps copies of.
         """
         self.announce()
-        waiting = deque(self._find_all(request_ids))
-        protected: list[RequestId] = []
-        while waiting:
-            peer = self._choose_peer(waiting)
+        pending = deque(self._find_movable(request_ids))
+        replicas: list[RequestId] = []
+        while pending:
+            peer = self._choose_peer(pending)
             if peer is None:
                 break
-            batch = take_batch(waiting, self._settings).requests
+            batch = pop_batch(pending, self._settings).requests
             copies = [(tracked, tracked.log.copy()) for tracked in batch]
             kept = self._transfer(peer, copies)
-            self._note_protected(peer, kept)
-            protected.extend(kept)
+            self._record_replicas(peer, kept)
+            replicas.extend(kept)
             if len(kept) < len(batch):
-                self._failed.add(peer)
-        self._failed.clear()
-        self._seen_to.update(protected)
-        return tuple(protected)
+                self._failed_peers.add(peer)
+        self._failed_peers.clear()
+        self._handled.update(replicas)
+        return tuple(replicas)
 
     def announce(self) -> None:
         """Tell where this daemon's requests are, once it is leaving.
@@ -168,8 +168,8 @@
         What went to a peer that has died since is handed over once more, and
         the copies of what is finished here are brought up to date.
         """
-        self._protect_latecomers()
-        self._refresh_copies()
+        self._replicate_new()
+        self._refresh_replicas()
         live = {daemon.daemon_id for daemon in self._messenger.live()}
         with self._lock:
             suspects = [
@@ -177,19 +177,19 @@
                 for request_id, move in self._moved.items()
                 if move.peer not in live and self._in_flight.find(request_id) is None
             ]
-        answered = {found.request_id for found in self._find_answered(suspects)}
+        answered = {found.request_id for found in self._find_active_elsewhere(suspects)}
         lost = [one for one in suspects if one not in answered]
         if not lost:
             return HandOverReport((), ())
         for request_id in lost:
-            self._take_back(request_id)
-        report = self.hand_over(lost, self._settings.confirm_patience)
+            self._restore_moved(request_id)
+        report = self.hand_over(lost, self._settings.confirm_timeout)
         for left in map(self._in_flight.find, report.left):
             if left is not None:
                 self._take_over(left)
         return report
 
-    def _protect_latecomers(self) -> None:
+    def _replicate_new(self) -> None:
         """Protect what became this daemon's own after it began to leave.
 
         A copy that it kept for a peer is its own once that peer has died. It was
@@ -198,62 +198,68 @@
         """
         if not self._leaving:
             return
-        active = map(read_id, self._in_flight.list())
-        late = [request_id for request_id in active if request_id not in self._seen_to]
+        active = map(get_request_id, self._in_flight.list())
+        late = [request_id for request_id in active if request_id not in self._handled]
         if late:
             self.protect(late)
 
-    def _find_all(self, request_ids: Iterable[RequestId]) -> list[TrackedRequest]:
+    def _find_movable(self, request_ids: Iterable[RequestId]) -> list[TrackedRequest]:
         found = map(self._in_flight.find, request_ids)
         return [tracked for tracked in found if tracked and self._is_movable(tracked)]
 
-    def _has(self, request_id: RequestId) -> bool:
+    def _is_active(self, request_id: RequestId) -> bool:
         tracked = self._in_flight.find(request_id)
-        return tracked is not None and is_open(tracked)
+        return tracked is not None and is_active(tracked)
 
     def _is_movable(self, tracked: TrackedRequest) -> bool:
         # A message that is too large for a peer link would break the link.
         fits = measure_request(tracked) <= self._settings.max_request_bytes
         return fits and tracked.finished is None
 
-    def _choose_peer(self, waiting: Iterable[TrackedRequest]) -> DaemonId | None:
+    def _choose_peer(self, pending: Iterable[TrackedRequest]) -> DaemonId | None:
         """Return the peer with the most room, in another failure domain if any."""
         peers = [
             daemon
             for daemon in self._messenger.live()
-            if daemon.daemon_id not in self._failed
+            if daemon.daemon_id not in self._failed_peers
             and daemon.daemon_id != self._daemon.daemon_id
         ]
-        ours = self._daemon.failure_domain
-        far = [peer.daemon_id for peer in peers if peer.failure_domain != ours]
-        near = [peer.daemon_id for peer in peers if peer.failure_domain == ours]
-        return self._compare_room(far, waiting) or self._compare_room(near, waiting)
+        own_domain = self._daemon.failure_domain
+        other_domain = [
+            peer.daemon_id for peer in peers if peer.failure_domain != own_domain
+        ]
+        same_domain = [
+            peer.daemon_id for peer in peers if peer.failure_domain == own_domain
+        ]
+        return self._find_most_capacity(
+            other_domain, pending
+        ) or self._find_most_capacity(same_domain, pending)
 
-    def _compare_room(
-        self, candidates: list[DaemonId], waiting: Iterable[TrackedRequest]
+    def _find_most_capacity(
+        self, candidates: list[DaemonId], pending: Iterable[TrackedRequest]
     ) -> DaemonId | None:
         """Ask peers for their room, until a few have some.
 
         Each daemon starts at another place of the list. With a failure domain
         leaving at once, all would else fill the same peer first.
         """
-        sizes = [len(tracked.accepted.body) for tracked in waiting]
-        offer = Offer(requests=len(sizes), size=sum(sizes))
+        sizes = [len(tracked.accepted.body) for tracked in pending]
+        offer = CapacityQuery(requests=len(sizes), size=sum(sizes))
         best: DaemonId | None = None
-        most = 0
-        asked = 0
+        max_capacity = 0
+        with_capacity = 0
         for candidate in rank_by_hash(self._daemon.daemon_id, candidates):
-            room = self._ask_room(candidate, offer)
-            if room > most:
-                best, most = candidate, room
-            asked += room > 0
-            if asked >= self._settings.offers:
+            capacity = self._request_capacity(candidate, offer)
+            if capacity > max_capacity:
+                best, max_capacity = candidate, capacity
+            with_capacity += capacity > 0
+            if with_capacity >= self._settings.max_offers:
                 break
         return best
 
-    def _ask_room(self, peer: DaemonId, offer: Offer) -> int:
+    def _request_capacity(self, peer: DaemonId, offer: CapacityQuery) -> int:
         reply = self._ask(peer, offer)
-        if not isinstance(reply, OfferReply) or not reply.size:
+        if not isinstance(reply, CapacityReply) or not reply.size:
             return 0
         return reply.requests
 
@@ -262,17 +268,17 @@
     ) -> list[TrackedRequest]:
         copies = [(tracked, tracked.log.hold()) for tracked in batch]
         kept = self._transfer(peer, copies)
-        taken = self._confirm(peer, kept) if kept else ()
-        done = [tracked for tracked in batch if is_done(tracked, taken)]
+        confirmed = self._confirm(peer, kept) if kept else ()
+        done = [tracked for tracked in batch if is_taken_over(tracked, confirmed)]
         for moved in done:
-            self._let_go(moved, peer)
+            self._release(moved, peer)
         rest = [tracked for tracked in batch if tracked not in done]
         if rest:
-            self._failed.add(peer)
-            self._keep_here(rest, peer)
+            self._failed_peers.add(peer)
+            self._keep_local(rest, peer)
         return done
 
-    def _keep_here(self, rest: Iterable[TrackedRequest], peer: DaemonId) -> None:
+    def _keep_local(self, rest: Iterable[TrackedRequest], peer: DaemonId) -> None:
         """Go on with requests that a peer did not say it took.
 
         It may have taken them, with its answer lost. The generation goes above
@@ -280,15 +286,15 @@
         """
         for tracked in rest:
             tracked.generation += 2
-            tracked.log.lift()
-        request_ids = tuple(map(read_id, rest))
+            tracked.log.release_hold()
+        request_ids = tuple(map(get_request_id, rest))
         self._messenger.tell(peer, Withdraw(requests=request_ids))
         locations = tuple(map(self._describe, rest))
-        self._messenger.tell(peer, Located(locations=locations))
+        self._messenger.tell(peer, LocationUpdate(locations=locations))
 
     def _describe(self, tracked: TrackedRequest) -> Location:
         return Location(
-            request_id=read_id(tracked),
+            request_id=get_request_id(tracked),
             daemon_id=self._daemon.daemon_id,
             generation=tracked.generation,
         )
@@ -307,17 +313,17 @@
     def _confirm(
         self, peer: DaemonId, request_ids: tuple[RequestId, ...]
     ) -> tuple[RequestId, ...]:
-        for _ in range(CONFIRM_TRIES):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             reply = self._ask(peer, Confirm(requests=request_ids))
             if isinstance(reply, ConfirmReply):
                 return reply.requests
         return ()
 
-    def _let_go(self, tracked: TrackedRequest, peer: DaemonId) -> None:
-        request_id = read_id(tracked)
+    def _release(self, tracked: TrackedRequest, peer: DaemonId) -> None:
+        request_id = get_request_id(tracked)
         with self._lock:
             self._moved[request_id] = MovedRequest(tracked, peer)
-            self._protected.pop(request_id, None)
+            self._replicas.pop(request_id, None)
         self._in_flight.leave(tracked)
         self.locations.publish(
             (
@@ -329,35 +335,35 @@
             )
         )
 
-    def _refresh_copies(self) -> None:
+    def _refresh_replicas(self) -> None:
         # A copy that names an engine's stream which was lost meanwhile would
         # have the peer go on from further back than the caller has read.
         with self._lock:
-            protected = tuple(self._protected.items())
-        for peer in sorted({holder for _, holder in protected}):
-            held = [request_id for request_id, holder in protected if holder == peer]
+            replicas = tuple(self._replicas.items())
+        for peer in sorted({holder for _, holder in replicas}):
+            held = [request_id for request_id, holder in replicas if holder == peer]
             copies = [
                 (tracked, tracked.log.copy())
-                for tracked in self._find_all(held)
+                for tracked in self._find_movable(held)
                 if tracked.log.state is LogState.OPEN
             ]
             for start in range(0, len(copies), self._settings.batch_requests):
                 batch = copies[start : start + self._settings.batch_requests]
-                self._protect_elsewhere(batch, self._transfer(peer, batch))
+                self._replicate_rejected(batch, self._transfer(peer, batch))
 
-    def _protect_elsewhere(
+    def _replicate_rejected(
         self,
         copies: list[tuple[TrackedRequest, AnswerCopy]],
         kept: tuple[RequestId, ...],
     ) -> None:
-        refused = [one for one, _ in copies if read_id(one) not in kept]
+        refused = [one for one, _ in copies if get_request_id(one) not in kept]
         for tracked in refused:
             # Above the copy that may be left at a peer out of reach.
             tracked.generation += 1
         if refused:
-            self.protect(map(read_id, refused))
+            self.protect(map(get_request_id, refused))
 
-    def _find_answered(self, request_ids: list[RequestId]) -> list[Location]:
+    def _find_active_elsewhere(self, request_ids: list[RequestId]) -> list[Location]:
         """Return where requests are, by the word of who answers them."""
         holders: dict[DaemonId, list[RequestId]] = {}
         for location in self.locations.find_all(request_ids):
@@ -366,40 +372,40 @@
             holders.setdefault(location.daemon_id, []).append(location.request_id)
         answered: list[Location] = []
         for holder, held in holders.items():
-            said = self.locations.ask(holder, held)
-            answered.extend(one for one in said if one.daemon_id == holder)
+            reported = self.locations.ask(holder, held)
+            answered.extend(one for one in reported if one.daemon_id == holder)
         return answered
 
-    def _take_back(self, request_id: RequestId) -> None:
+    def _restore_moved(self, request_id: RequestId) -> None:
         with self._lock:
             move = self._moved.pop(request_id)
         held = move.tracked
-        known = self.locations.find_here(request_id)
-        newest = max(known.generation if known else 0, held.generation + 1)
+        recorded = self.locations.find_local(request_id)
+        newest = max(recorded.generation if recorded else 0, held.generation + 1)
         # Above what the lost peer had, so that its copy loses if it comes back.
         tracked = self._in_flight.register(held.accepted, held.log.hold(), newest + 1)
         tracked.placement = held.placement
 
-    def _note_protected(self, peer: DaemonId, kept: Iterable[RequestId]) -> None:
+    def _record_replicas(self, peer: DaemonId, kept: Iterable[RequestId]) -> None:
         with self._lock:
-            self._protected.update((request_id, peer) for request_id in kept)
+            self._replicas.update((request_id, peer) for request_id in kept)
 
     def _withdraw_copy(self, request_id: RequestId) -> None:
         with self._lock:
-            peer = self._protected.pop(request_id, None)
+            peer = self._replicas.pop(request_id, None)
         if peer is not None:
             self._messenger.tell(peer, Withdraw(requests=(request_id,)))
 
-    def _wait_for_pace(self, size: int) -> None:
+    def _limit_send_rate(self, size: int) -> None:
         seconds = size / self._settings.bytes_per_second
         self._clock.wait(Event(), timedelta(seconds=seconds))
 
     def _ask(self, peer: DaemonId, message: PeerMessage) -> PeerMessage | None:
         try:
-            return self._messenger.ask(peer, message, self._settings.ask_patience)
+            return self._messenger.ask(peer, message, self._settings.ask_timeout)
         except PeerError as error:
             logger.bind(step=Step.HAND_OVER.value, peer=error.peer).debug(
                 'no answer to {}', message.kind
             )
-            self._failed.add(peer)
+            self._failed_peers.add(peer)
             return None
--- a/libs/recovery/fireflyhitch_recovery/inflight.py
+++ b/libs/recovery/fireflyhitch_recovery/inflight.py
@@ -91,13 +91,13 @@
             accepted, AnswerLog(self._daemon, copy), generation=generation
         )
         with self._lock:
-            known = self._active.get(request_id)
-            newer = known is None or known.generation < generation
+            previous = self._active.get(request_id)
+            newer = previous is None or previous.generation < generation
             if newer:
                 self._active[request_id] = tracked
         invariant(newer, Invariant.ANSWER_OWNER, request_id, step=Step.ADMIT)
-        if known is not None:
-            known.log.move()
+        if previous is not None:
+            previous.log.move()
         return tracked
 
     def find(self, request_id: RequestId) -> TrackedRequest | None:
@@ -125,8 +125,8 @@
             if self._active.get(request_id) is not tracked:
                 return
             self._active.pop(request_id)
-            self._keep(request_id, tracked)
-        self._tell(request_id)
+            self._retain(request_id, tracked)
+        self._notify(request_id)
 
     def leave(self, tracked: TrackedRequest) -> None:
         """Give up a request that another daemon has now; its readers move."""
@@ -134,10 +134,10 @@
         tracked.log.move()
         with self._lock:
             # It may have ended here while it was being handed over.
-            for kept in (self._active, self._finished):
-                if kept.get(request_id) is tracked:
-                    kept.pop(request_id)
-        self._tell(request_id)
+            for store in (self._active, self._finished):
+                if store.get(request_id) is tracked:
+                    store.pop(request_id)
+        self._notify(request_id)
 
     def list(self) -> tuple[TrackedRequest, ...]:
         """Return the requests in progress."""
@@ -148,11 +148,11 @@
         """Have an observer told of each request that ends or leaves."""
         self._observers.append(observer)
 
-    def _keep(self, request_id: RequestId, tracked: TrackedRequest) -> None:
+    def _retain(self, request_id: RequestId, tracked: TrackedRequest) -> None:
         if measure_request(tracked) <= self._finished.maxsize:
             self._finished[request_id] = tracked
 
-    def _tell(self, request_id: RequestId) -> None:
+    def _notify(self, request_id: RequestId) -> None:
         for observer in self._observers:
             observer(request_id)
 
--- a/libs/recovery/fireflyhitch_recovery/locations.py
+++ b/libs/recovery/fireflyhitch_recovery/locations.py
@@ -12,7 +12,12 @@
 from fireflyhitch_model.peers import PeerMessenger
 from fireflyhitch_recovery.answers import LogState
 from fireflyhitch_recovery.inflight import InFlight, make_daemon_tag
-from fireflyhitch_recovery.messages import Locate, Located, LocateReply, Location
+from fireflyhitch_recovery.messages import (
+    Location,
+    LocationQuery,
+    LocationReply,
+    LocationUpdate,
+)
 from fireflyhitch_recovery.settings import HandOverSettings
 
 
@@ -37,13 +42,13 @@
         self._in_flight = in_flight
         self._settings = settings
         self._lock = Lock()
-        self._known: TTLCache[RequestId, Location] = TTLCache(
+        self._stored: TTLCache[RequestId, Location] = TTLCache(
             settings.max_locations,
-            settings.location_time.total_seconds(),
+            settings.location_ttl.total_seconds(),
             clock.monotonic,
         )
-        messenger.handle(Located, self._take_located)
-        messenger.handle(Locate, self._take_locate)
+        messenger.handle(LocationUpdate, self._handle_location_update)
+        messenger.handle(LocationQuery, self._handle_location_query)
 
     def find(self, request_id: RequestId) -> Location | None:
         """Return who answers a request, asking peers if need be.
@@ -51,7 +56,7 @@
         :returns: ``None`` if nobody in reach knows: it was never accepted, is
             long over, or was lost with its daemon.
         """
-        here = self.find_here(request_id)
+        here = self.find_local(request_id)
         if here is not None and here.daemon_id == self._daemon_id:
             return here
         return next(iter(self.find_all((request_id,))), None)
@@ -59,19 +64,19 @@
     def find_all(self, request_ids: Iterable[RequestId]) -> tuple[Location, ...]:
         """Return who answers some requests, asking each peer once at most."""
         wanted = tuple(request_ids)
-        asked: dict[DaemonId, list[RequestId]] = {}
+        queries: dict[DaemonId, list[RequestId]] = {}
         for request_id in wanted:
-            for keeper in self._choose_keepers(request_id):
-                asked.setdefault(keeper, []).append(request_id)
-        found = [self.find_here(one) for one in wanted]
-        for keeper, kept in asked.items():
-            found.extend(self.ask(keeper, kept))
+            for directory_daemon in self._choose_directory_daemons(request_id):
+                queries.setdefault(directory_daemon, []).append(request_id)
+        found = [self.find_local(one) for one in wanted]
+        for directory_daemon, batch in queries.items():
+            found.extend(self.ask(directory_daemon, batch))
         newest: dict[RequestId, Location] = {}
         for location in sorted(filter(None, found), key=_read_generation):
             newest[location.request_id] = location
         return tuple(newest.values())
 
-    def find_here(self, request_id: RequestId) -> Location | None:
+    def find_local(self, request_id: RequestId) -> Location | None:
         """Return who answers a request, as far as this daemon knows."""
         tracked = self._in_flight.find(request_id)
         if tracked is not None and tracked.log.state is not LogState.MOVED:
@@ -81,53 +86,65 @@
                 generation=tracked.generation,
             )
         with self._lock:
-            return self._known.get(request_id)
+            return self._stored.get(request_id)
 
     def publish(self, locations: Iterable[Location]) -> None:
         """Tell the daemons that keep these requests' locations."""
-        told: dict[DaemonId, list[Location]] = {}
+        updates: dict[DaemonId, list[Location]] = {}
         for location in locations:
-            self._note(location)
-            for keeper in self._choose_keepers(location.request_id):
-                told.setdefault(keeper, []).append(location)
-        for keeper, noted in told.items():
-            self._messenger.tell(keeper, Located(locations=tuple(noted)))
+            self._store(location)
+            for directory_daemon in self._choose_directory_daemons(location.request_id):
+                updates.setdefault(directory_daemon, []).append(location)
+        for directory_daemon, batch in updates.items():
+            self._messenger.tell(
+                directory_daemon, LocationUpdate(locations=tuple(batch))
+            )
 
     def ask(
         self, peer: DaemonId, request_ids: Iterable[RequestId]
     ) -> tuple[Location, ...]:
         """Ask one peer; what it does not know is left out, all if it is gone."""
-        message = Locate(requests=tuple(request_ids))
+        message = LocationQuery(requests=tuple(request_ids))
         try:
-            reply = self._messenger.ask(peer, message, self._settings.ask_patience)
+            reply = self._messenger.ask(peer, message, self._settings.ask_timeout)
         except PeerError:
             return ()
-        return reply.locations if isinstance(reply, LocateReply) else ()
+        return reply.locations if isinstance(reply, LocationReply) else ()
 
-    def _choose_keepers(self, request_id: RequestId) -> list[DaemonId]:
+    def _choose_directory_daemons(self, request_id: RequestId) -> list[DaemonId]:
         members = [daemon.daemon_id for daemon in self._messenger.live()]
-        keepers = rank_by_hash(request_id, members)[: self._settings.directory]
+        directory_daemons = rank_by_hash(request_id, members)[
+            : self._settings.directory_size
+        ]
         tag = request_id.partition('-')[0]
         acceptors = [member for member in members if make_daemon_tag(member) == tag]
-        chosen = dict.fromkeys([*acceptors, *keepers])
-        return [keeper for keeper in chosen if keeper != self._daemon_id]
-
-    def _take_located(self, sender: DaemonId, message: Located) -> None:
+        chosen = dict.fromkeys([*acceptors, *directory_daemons])
+        return [
+            directory_daemon
+            for directory_daemon in chosen
+            if directory_daemon != self._daemon_id
+        ]
+
+    def _handle_location_update(
+        self, sender: DaemonId, message: LocationUpdate
+    ) -> None:
         for location in message.locations:
-            self._note(location)
+            self._store(location)
 
-    def _take_locate(self, sender: DaemonId, message: Locate) -> LocateReply:
-        found = [self.find_here(request_id) for request_id in message.requests]
-        return LocateReply(locations=tuple(filter(None, found)))
+    def _handle_location_query(
+        self, sender: DaemonId, message: LocationQuery
+    ) -> LocationReply:
+        found = [self.find_local(request_id) for request_id in message.requests]
+        return LocationReply(locations=tuple(filter(None, found)))
 
-    def _note(self, location: Location) -> None:
+    def _store(self, location: Location) -> None:
         with self._lock:
-            known = self._known.get(location.request_id)
-            if known is None or known.generation <= location.generation:
-                self._known[location.request_id] = location
-        self._drop_older(location)
+            stored = self._stored.get(location.request_id)
+            if stored is None or stored.generation <= location.generation:
+                self._stored[location.request_id] = location
+        self._release_superseded(location)
 
-    def _drop_older(self, location: Location) -> None:
+    def _release_superseded(self, location: Location) -> None:
         # Another daemon went on with a request of ours while we were thought
         # dead. Two answers to one request would mix for a caller that moves.
         tracked = self._in_flight.find(location.request_id)
--- a/libs/recovery/fireflyhitch_recovery/messages.py
+++ b/libs/recovery/fireflyhitch_recovery/messages.py
@@ -9,7 +9,7 @@
 from fireflyhitch_model.ids import DaemonId, RequestId
 from fireflyhitch_model.peers import PeerMessage
 from fireflyhitch_recovery.answers import AnswerCopy, AnswerEnd
-from fireflyhitch_recovery.events import Cut
+from fireflyhitch_recovery.events import LineageEntry
 from fireflyhitch_recovery.requests import (
     AcceptedRequest,
     CompletionKind,
@@ -18,11 +18,11 @@
 )
 
 
-class _Part(BaseModel):
+class _WireModel(BaseModel):
     model_config = ConfigDict(frozen=True, extra='ignore')
 
 
-class WireRequest(_Part):
+class WireRequest(_WireModel):
     """A request with its answer so far.
 
     :param call: its arrival is told as its age, and its deadline as the time
@@ -34,7 +34,7 @@
     body: bytes
     streaming: bool
     events: tuple[bytes, ...]
-    lineage: tuple[Cut, ...]
+    lineage: tuple[LineageEntry, ...]
     attempts: int
     end: AnswerEnd | None = None
     placement: Placement | None = None
@@ -85,7 +85,7 @@
         return AnswerCopy(self.events, self.lineage, self.attempts, self.end)
 
 
-class Offer(PeerMessage):
+class CapacityQuery(PeerMessage):
     """Asks a peer how much it could take over."""
 
     kind: ClassVar[str] = 'hand-over-offer'
@@ -94,7 +94,7 @@
     size: int
 
 
-class OfferReply(PeerMessage):
+class CapacityReply(PeerMessage):
     """Tells how much a peer could take over now.
 
     :param size: bytes of requests and answers.
@@ -146,7 +146,7 @@
     requests: tuple[RequestId, ...]
 
 
-class Location(_Part):
+class Location(_WireModel):
     """Who answers a request; the higher generation is right."""
 
     request_id: RequestId
@@ -154,7 +154,7 @@
     generation: int
 
 
-class Located(PeerMessage):
+class LocationUpdate(PeerMessage):
     """Tells who answers requests from now on."""
 
     kind: ClassVar[str] = 'request-located'
@@ -162,7 +162,7 @@
     locations: tuple[Location, ...]
 
 
-class Locate(PeerMessage):
+class LocationQuery(PeerMessage):
     """Asks who answers some requests."""
 
     kind: ClassVar[str] = 'request-locate'
@@ -170,7 +170,7 @@
     requests: tuple[RequestId, ...]
 
 
-class LocateReply(PeerMessage):
+class LocationReply(PeerMessage):
     """Tells who answers which request, as far as the asked one knows."""
 
     kind: ClassVar[str] = 'request-locations'
--- a/libs/recovery/fireflyhitch_recovery/reception.py
+++ b/libs/recovery/fireflyhitch_recovery/reception.py
@@ -13,11 +13,11 @@
 from fireflyhitch_recovery.inflight import InFlight
 from fireflyhitch_recovery.locations import Locations
 from fireflyhitch_recovery.messages import (
+    CapacityQuery,
+    CapacityReply,
     Confirm,
     ConfirmReply,
     Location,
-    Offer,
-    OfferReply,
     Transfer,
     TransferReply,
     WireRequest,
@@ -30,10 +30,10 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _UnconfirmedRequest:
     request: WireRequest
     sender: DaemonId
-    ask_at: float
+    check_at: float
 
 
 class Reception:
@@ -43,7 +43,7 @@
     a peer that gets a refusal turns to the next daemon.
 
     :param take_over: has the daemon go on with a request; must not block.
-    :param read_room: how many more streams the daemon can carry.
+    :param read_capacity: how many more streams the daemon can carry.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         in_flight: InFlight,
         locations: Locations,
         take_over: TakeOver,
-        read_room: Callable[[], int],
+        read_capacity: Callable[[], int],
         settings: HandOverSettings,
     ) -> None:
         self._daemon_id = daemon_id
@@ -62,16 +62,16 @@
         self._in_flight = in_flight
         self._locations = locations
         self._take_over = take_over
-        self._read_room = read_room
+        self._read_capacity = read_capacity
         self._settings = settings
         self._lock = Lock()
-        self._kept: dict[RequestId, _Kept] = {}
-        self._taken: dict[RequestId, int] = {}
+        self._unconfirmed: dict[RequestId, _UnconfirmedRequest] = {}
+        self._taken_over: dict[RequestId, int] = {}
         in_flight.observe(self._release)
-        messenger.handle(Offer, self._take_offer)
-        messenger.handle(Transfer, self._take_transfer)
-        messenger.handle(Confirm, self._take_confirm)
-        messenger.handle(Withdraw, self._take_withdraw)
+        messenger.handle(CapacityQuery, self._handle_capacity_query)
+        messenger.handle(Transfer, self._handle_transfer)
+        messenger.handle(Confirm, self._handle_confirm)
+        messenger.handle(Withdraw, self._handle_withdraw)
 
     def check_senders(self) -> None:
         """Go on with what a sender left unconfirmed and is not answering itself.
@@ -81,38 +81,42 @@
         """
         now = self._clock.monotonic()
         overdue = self._list_overdue(now)
-        for sender in {kept.sender for kept in overdue}:
-            theirs = [kept for kept in overdue if kept.sender == sender]
-            self._check_sender(sender, theirs)
+        for sender in {unconfirmed.sender for unconfirmed in overdue}:
+            from_sender = [
+                unconfirmed for unconfirmed in overdue if unconfirmed.sender == sender
+            ]
+            self._check_sender(sender, from_sender)
 
     def list_kept(self) -> tuple[RequestId, ...]:
         """Return the requests that wait for confirmation."""
         with self._lock:
-            return tuple(self._kept)
+            return tuple(self._unconfirmed)
 
-    def count_kept(self) -> int:
+    def count_unconfirmed(self) -> int:
         """Return how many requests wait for confirmation."""
         with self._lock:
-            return len(self._kept)
+            return len(self._unconfirmed)
 
-    def measure(self) -> int:
+    def count_bytes(self) -> int:
         """Return how many bytes kept and taken-over requests were in all."""
         with self._lock:
-            return self._measure()
+            return self._count_bytes()
 
-    def _check_sender(self, sender: DaemonId, overdue: list[_Kept]) -> None:
-        request_ids = [kept.request.request_id for kept in overdue]
+    def _check_sender(
+        self, sender: DaemonId, overdue: list[_UnconfirmedRequest]
+    ) -> None:
+        request_ids = [unconfirmed.request.request_id for unconfirmed in overdue]
         answered = self._locations.ask(sender, request_ids)
-        still_there = {
+        still_at_sender = {
             location.request_id for location in answered if location.daemon_id == sender
         }
         elsewhere = self._find_elsewhere(sender, request_ids)
-        for kept in overdue:
-            request_id = kept.request.request_id
-            if request_id in still_there:
-                self._postpone(kept)
+        for unconfirmed in overdue:
+            request_id = unconfirmed.request.request_id
+            if request_id in still_at_sender:
+                self._postpone(unconfirmed)
             elif request_id in elsewhere:
-                self._forget((request_id,))
+                self._discard((request_id,))
             else:
                 logger.bind(step=Step.HAND_OVER.value, peer=sender).warning(
                     'went on without confirmation'
@@ -122,46 +126,53 @@
     def _find_elsewhere(
         self, sender: DaemonId, request_ids: list[RequestId]
     ) -> set[RequestId]:
-        ours = (sender, self._daemon_id)
+        excluded = (sender, self._daemon_id)
         return {
             location.request_id
             for location in self._locations.find_all(request_ids)
-            if location.daemon_id not in ours
+            if location.daemon_id not in excluded
         }
 
-    def _postpone(self, kept: _Kept) -> None:
-        patience = self._settings.confirm_patience.total_seconds()
-        kept.ask_at = self._clock.monotonic() + patience
+    def _postpone(self, unconfirmed: _UnconfirmedRequest) -> None:
+        delay = self._settings.confirm_timeout.total_seconds()
+        unconfirmed.check_at = self._clock.monotonic() + delay
 
-    def _take_offer(self, sender: DaemonId, message: Offer) -> OfferReply:
+    def _handle_capacity_query(
+        self, sender: DaemonId, message: CapacityQuery
+    ) -> CapacityReply:
         with self._lock:
-            return OfferReply(requests=self._count_room(), size=self._measure_room())
+            return CapacityReply(
+                requests=self._count_free_requests(), size=self._count_free_bytes()
+            )
 
-    def _take_transfer(self, sender: DaemonId, message: Transfer) -> TransferReply:
+    def _handle_transfer(self, sender: DaemonId, message: Transfer) -> TransferReply:
         now = self._clock.monotonic()
-        ask_at = now + self._settings.confirm_patience.total_seconds()
+        check_at = now + self._settings.confirm_timeout.total_seconds()
         with self._lock:
             accepted = tuple(
                 request.request_id
                 for request in message.requests
-                if self._keep(_Kept(request, sender, ask_at))
+                if self._store(_UnconfirmedRequest(request, sender, check_at))
             )
         return TransferReply(accepted=accepted)
 
-    def _keep(self, kept: _Kept) -> bool:
-        request = kept.request
-        if request.request_id in self._kept:
+    def _store(self, unconfirmed: _UnconfirmedRequest) -> bool:
+        request = unconfirmed.request
+        if request.request_id in self._unconfirmed:
             # A newer copy. A daemon that leaves meanwhile sends it elsewhere.
-            has_room = self._read_room() > 0
+            fits = self._read_capacity() > 0
         else:
-            has_room = self._count_room() > 0 and self._measure_room() >= request.size
-        if has_room:
-            self._kept[request.request_id] = kept
+            fits = (
+                self._count_free_requests() > 0
+                and self._count_free_bytes() >= request.size
+            )
+        if fits:
+            self._unconfirmed[request.request_id] = unconfirmed
         else:
-            self._kept.pop(request.request_id, None)
-        return has_room
+            self._unconfirmed.pop(request.request_id, None)
+        return fits
 
-    def _take_confirm(self, sender: DaemonId, message: Confirm) -> ConfirmReply:
+    def _handle_confirm(self, sender: DaemonId, message: Confirm) -> ConfirmReply:
         self._start(message.requests)
         answered = tuple(
             request_id
@@ -170,29 +181,29 @@
         )
         return ConfirmReply(requests=answered)
 
-    def _take_withdraw(self, sender: DaemonId, message: Withdraw) -> None:
-        self._forget(message.requests)
+    def _handle_withdraw(self, sender: DaemonId, message: Withdraw) -> None:
+        self._discard(message.requests)
 
     def _start(self, request_ids: Iterable[RequestId]) -> None:
         started = []
         for request_id in request_ids:
-            tracked = self._adopt(request_id)
+            tracked = self._activate(request_id)
             if tracked is not None:
                 started.append(tracked)
         self._locations.publish(self._describe(tracked) for tracked in started)
         for tracked in started:
             self._take_over(tracked)
 
-    def _adopt(self, request_id: RequestId) -> TrackedRequest | None:
+    def _activate(self, request_id: RequestId) -> TrackedRequest | None:
         with self._lock:
-            kept = self._kept.pop(request_id, None)
-            if kept is None:
+            unconfirmed = self._unconfirmed.pop(request_id, None)
+            if unconfirmed is None:
                 return None
-            request = kept.request
+            request = unconfirmed.request
             held = self._in_flight.find(request_id)
             if held is not None and held.generation >= request.generation:
                 return None
-            self._taken[request_id] = request.size
+            self._taken_over[request_id] = request.size
         now = self._clock.monotonic()
         tracked = self._in_flight.register(
             request.unpack_accepted(now), request.unpack_copy(), request.generation
@@ -207,27 +218,33 @@
             generation=tracked.generation,
         )
 
-    def _forget(self, request_ids: Iterable[RequestId]) -> None:
+    def _discard(self, request_ids: Iterable[RequestId]) -> None:
         with self._lock:
             for request_id in request_ids:
-                self._kept.pop(request_id, None)
+                self._unconfirmed.pop(request_id, None)
 
     def _release(self, request_id: RequestId) -> None:
         with self._lock:
-            self._taken.pop(request_id, None)
+            self._taken_over.pop(request_id, None)
 
-    def _list_overdue(self, now: float) -> tuple[_Kept, ...]:
+    def _list_overdue(self, now: float) -> tuple[_UnconfirmedRequest, ...]:
         with self._lock:
-            return tuple(kept for kept in self._kept.values() if kept.ask_at <= now)
+            return tuple(
+                unconfirmed
+                for unconfirmed in self._unconfirmed.values()
+                if unconfirmed.check_at <= now
+            )
 
-    def _count_room(self) -> int:
+    def _count_free_requests(self) -> int:
         # What was taken over is among the daemon's streams already.
-        allowed = self._settings.max_requests - len(self._taken)
-        return max(0, min(allowed, self._read_room()) - len(self._kept))
+        allowed = self._settings.max_requests - len(self._taken_over)
+        return max(0, min(allowed, self._read_capacity()) - len(self._unconfirmed))
 
-    def _measure_room(self) -> int:
-        return max(0, self._settings.max_kept_bytes - self._measure())
+    def _count_free_bytes(self) -> int:
+        return max(0, self._settings.max_total_bytes - self._count_bytes())
 
-    def _measure(self) -> int:
-        kept = sum(kept.request.size for kept in self._kept.values())
-        return kept + sum(self._taken.values())
+    def _count_bytes(self) -> int:
+        unconfirmed_bytes = sum(
+            unconfirmed.request.size for unconfirmed in self._unconfirmed.values()
+        )
+        return unconfirmed_bytes + sum(self._taken_over.values())
--- a/libs/recovery/fireflyhitch_recovery/resume.py
+++ b/libs/recovery/fireflyhitch_recovery/resume.py
@@ -77,7 +77,7 @@
 IMPOSSIBLE = ResumePlan(ResumeKind.IMPOSSIBLE, 0, timedelta.max)
 
 
-def plan_resume(facts: ResumeFacts, costs: ResumeCosts = DEFAULT_COSTS) -> ResumePlan:
+def plan_resume(context: ResumeFacts, costs: ResumeCosts = DEFAULT_COSTS) -> ResumePlan:
     """Choose how an answer goes on.
 
     When the way chosen fails, take the fact away that it rested on and ask
@@ -85,28 +85,28 @@
 
     :returns: ``IMPOSSIBLE`` if the answer can only end with an error.
     """
-    return min(list_plans(facts, costs), key=_rate_plan, default=IMPOSSIBLE)
+    return min(list_plans(context, costs), key=_rank_plan, default=IMPOSSIBLE)
 
 
-def list_plans(facts: ResumeFacts, costs: ResumeCosts) -> list[ResumePlan]:
+def list_plans(context: ResumeFacts, costs: ResumeCosts) -> list[ResumePlan]:
     """Return all the ways that the facts allow, with what each costs."""
     plans = []
-    if facts.stream_reachable:
+    if context.stream_reachable:
         plans.append(ResumePlan(ResumeKind.ENGINE_STREAM, 0, costs.call_time))
-    if not facts.continuable and facts.generated_tokens:
+    if not context.continuable and context.generated_tokens:
         return plans
-    total = facts.prompt_tokens + facts.generated_tokens
-    if facts.kv_tokens:
-        plans.append(_plan_import(facts, costs, total))
-    missing = max(0, total - facts.cached_tokens)
+    total = context.prompt_tokens + context.generated_tokens
+    if context.kv_tokens:
+        plans.append(_plan_import(context, costs, total))
+    missing = max(0, total - context.cached_tokens)
     estimated = costs.call_time + _estimate_prefill(missing, costs)
     plans.append(ResumePlan(ResumeKind.GENERATED_PREFIX, missing, estimated))
     return plans
 
 
-def _plan_import(facts: ResumeFacts, costs: ResumeCosts, total: int) -> ResumePlan:
-    missing = max(0, total - facts.kv_tokens)
-    size = facts.kv_tokens * costs.kv_bytes_per_token
+def _plan_import(context: ResumeFacts, costs: ResumeCosts, total: int) -> ResumePlan:
+    missing = max(0, total - context.kv_tokens)
+    size = context.kv_tokens * costs.kv_bytes_per_token
     moving = timedelta(seconds=size / costs.kv_bytes_per_second)
     # Export, import, and the call that goes on.
     calls = 3 * costs.call_time
@@ -118,5 +118,5 @@
     return timedelta(seconds=tokens / costs.prefill_tokens_per_second)
 
 
-def _rate_plan(plan: ResumePlan) -> tuple[timedelta, int]:
+def _rank_plan(plan: ResumePlan) -> tuple[timedelta, int]:
     return plan.estimated, plan.recomputed_tokens
--- a/libs/recovery/fireflyhitch_recovery/batches.py
+++ b/libs/recovery/fireflyhitch_recovery/transfer_batches.py
@@ -39,30 +39,30 @@
     size: int = 0
 
 
-def take_batch(waiting: deque[TrackedRequest], settings: HandOverSettings) -> Batch:
+def pop_batch(pending: deque[TrackedRequest], settings: HandOverSettings) -> Batch:
     """Take the next requests that go into one transfer."""
     batch = Batch()
-    while waiting and len(batch.requests) < settings.batch_requests:
-        size = measure_request(waiting[0])
+    while pending and len(batch.requests) < settings.batch_requests:
+        size = measure_request(pending[0])
         if batch.requests and batch.size + size > settings.batch_bytes:
             break
-        batch.requests.append(waiting.popleft())
+        batch.requests.append(pending.popleft())
         batch.size += size
     return batch
 
 
-def is_open(tracked: TrackedRequest) -> bool:
+def is_active(tracked: TrackedRequest) -> bool:
     """Tell whether a request is still answered."""
     return tracked.finished is None
 
 
-def is_done(tracked: TrackedRequest, taken: Iterable[RequestId]) -> bool:
+def is_taken_over(tracked: TrackedRequest, confirmed: Iterable[RequestId]) -> bool:
     """Tell whether a peer has a request."""
     # The peer's word that it has the request may also come before its answer
     # to the confirmation, or in place of it.
-    return read_id(tracked) in taken or tracked.log.state is LogState.MOVED
+    return get_request_id(tracked) in confirmed or tracked.log.state is LogState.MOVED
 
 
-def read_id(tracked: TrackedRequest) -> RequestId:
+def get_request_id(tracked: TrackedRequest) -> RequestId:
     """Return a request's id."""
     return tracked.accepted.call.request_id
--- a/libs/recovery/tests/conftest.py
+++ b/libs/recovery/tests/conftest.py
@@ -28,8 +28,8 @@
 
     def __init__(self, cluster, name, domain):
         self.name = DaemonId(name)
-        self.room = 100
-        self.taken = []
+        self.capacity = 100
+        self.taken_over = []
         self.in_flight = InFlight(self.name, cluster.clock)
         daemon = Daemon(self.name, domain, '', '')
         self.hand_over = HandOver(
@@ -37,8 +37,8 @@
             cluster.network.join(daemon),
             cluster.clock,
             self.in_flight,
-            self.taken.append,
-            lambda: self.room - len(self.in_flight.list()),
+            self.taken_over.append,
+            lambda: self.capacity - len(self.in_flight.list()),
             cluster.settings,
         )
 
@@ -66,8 +66,8 @@
         self.network = MemoryPeerNetwork()
         self.settings = replace(DEFAULT_SETTINGS, **changes)
         self.nodes = {}
-        places = (('a1', 'a'), ('a2', 'a'), ('b1', 'b'), ('c1', 'c'))
-        for name, domain in places:
+        layout = (('a1', 'a'), ('a2', 'a'), ('b1', 'b'), ('c1', 'c'))
+        for name, domain in layout:
             self.nodes[name] = Node(self, name, domain)
 
     def accept(self, name='a1', events=(b'1', b'2'), body=b'{}'):
--- a/libs/recovery/tests/test_answers.py
+++ b/libs/recovery/tests/test_answers.py
@@ -19,8 +19,8 @@
 )
 from fireflyhitch_recovery.events import (
     START,
-    Cut,
     EventId,
+    LineageEntry,
     format_event_id,
     parse_event_id,
 )
@@ -60,7 +60,7 @@
         copy = log.hold()
         assert not stream.append(b'2')
         assert (copy.events, read(log)) == ((b'1',), (b'1',))
-        log.lift()
+        log.release_hold()
         assert read(log) == (b'1', b'2')
         assert stream.append(b'3')
 
@@ -68,7 +68,7 @@
         log.current().append(b'1')
         log.hold()
         log.move()
-        log.lift()
+        log.release_hold()
         assert not log.current().append(b'2')
         assert log.state is LogState.MOVED
         assert read(log) == (b'1',)
@@ -81,7 +81,7 @@
         stream.append(b'2')
         stream.finish(AnswerEnd.COMPLETE)
         assert log.read_after(0).end is None
-        log.lift()
+        log.release_hold()
         assert log.read_after(0).end is AnswerEnd.COMPLETE
 
     def test_hold_against_a_busy_writer_neither_loses_nor_repeats(self, log):
@@ -92,12 +92,12 @@
         """
         stream = log.current()
         total = 20000
-        late = []
+        not_relayed = []
 
         def write():
             for number in range(total):
                 if not stream.append(b'%d' % number):
-                    late.append(number)
+                    not_relayed.append(number)
 
         writer = threading.Thread(target=write)
         writer.start()
@@ -105,7 +105,7 @@
         while writer.is_alive():
             cuts.append(len(log.hold().events))
             assert len(read(log)) == cuts[-1]
-            log.lift()
+            log.release_hold()
         writer.join()
         assert cuts == sorted(cuts)
         assert read(log) == tuple(b'%d' % number for number in range(total))
@@ -132,7 +132,7 @@
         log.current().append(b'1')
         log.open_attempt().extend([b'2', b'3', b'4'])
         other = AnswerLog(DaemonId('aalst'), log.copy())
-        elsewhere = EventId(3, Cut(2, '2-ffff').attempt)
+        elsewhere = EventId(3, LineageEntry(2, '2-ffff').attempt)
         with pytest.raises(RequestError) as caught:
             other.wait_after(elsewhere, ManualClock(), NOW)
         assert caught.value.code == 'answer_diverged'
@@ -147,7 +147,9 @@
         with pytest.raises(InvariantError):
             AnswerLog(
                 DaemonId('gent'),
-                AnswerCopy((b'1',), (Cut(1, ''), Cut(9, 'x')), 2, None),
+                AnswerCopy(
+                    (b'1',), (LineageEntry(1, ''), LineageEntry(9, 'x')), 2, None
+                ),
             )
 
 
@@ -156,16 +158,18 @@
 
     def test_waiting_reader_is_woken_by_the_next_event(self, log):
         reader = AnswerReader(log, START)
-        got = []
-        waits = threading.Thread(
-            target=lambda: got.append(reader.read(SystemClock(), timedelta(seconds=30)))
+        received = []
+        waiter = threading.Thread(
+            target=lambda: received.append(
+                reader.read(SystemClock(), timedelta(seconds=30))
+            )
         )
-        waits.start()
+        waiter.start()
         while not log.waiters:
             threading.Event().wait(0.001)
         log.current().append(b'1')
-        waits.join()
-        assert got[0].events == (b'1',)
+        waiter.join()
+        assert received[0].events == (b'1',)
         assert reader.last == EventId(1)
 
     @settings(max_examples=60, derandomize=True, deadline=None)
@@ -174,18 +178,18 @@
         log = AnswerLog(DaemonId('gent'))
         reader = AnswerReader(log, START)
         streams = [log.current()]
-        got = []
+        received = []
         for number, step in enumerate(steps):
             if step == 'event':
                 streams[-1].append(b'%d' % number)
             elif step == 'hold':
                 log.hold()
             elif step == 'lift':
-                log.lift()
+                log.release_hold()
             elif step == 'attempt':
                 streams.append(log.open_attempt() or streams[-1])
             else:
-                got.extend(reader.read(ManualClock(), NOW).events)
-        log.lift()
-        got.extend(reader.read(ManualClock(), NOW).events)
-        assert tuple(got) == read(log)
+                received.extend(reader.read(ManualClock(), NOW).events)
+        log.release_hold()
+        received.extend(reader.read(ManualClock(), NOW).events)
+        assert tuple(received) == read(log)
--- a/libs/recovery/tests/test_choices.py
+++ b/libs/recovery/tests/test_choices.py
@@ -30,8 +30,8 @@
     """The way that costs least."""
 
     def test_engine_stream_computes_nothing_again(self):
-        facts = ResumeFacts(1000, 50, stream_reachable=True, kv_tokens=1050)
-        plan = plan_resume(facts)
+        context = ResumeFacts(1000, 50, stream_reachable=True, kv_tokens=1050)
+        plan = plan_resume(context)
         assert (plan.kind, plan.recomputed_tokens) == (ResumeKind.ENGINE_STREAM, 0)
 
     def test_kv_import_beats_a_long_prefix(self):
@@ -39,8 +39,8 @@
         assert (plan.kind, plan.recomputed_tokens) == (ResumeKind.KV_IMPORT, 50)
 
     def test_cached_prefix_beats_an_import(self):
-        facts = ResumeFacts(4000, 50, kv_tokens=4050, cached_tokens=4000)
-        plan = plan_resume(facts)
+        context = ResumeFacts(4000, 50, kv_tokens=4050, cached_tokens=4000)
+        plan = plan_resume(context)
         assert plan.kind is ResumeKind.GENERATED_PREFIX
         assert plan.recomputed_tokens == 50
 
@@ -50,8 +50,8 @@
         assert plan.kind is ResumeKind.GENERATED_PREFIX
 
     def test_answer_that_cannot_be_continued_ends(self):
-        facts = ResumeFacts(1000, 50, kv_tokens=1050, continuable=False)
-        assert plan_resume(facts).kind is ResumeKind.IMPOSSIBLE
+        context = ResumeFacts(1000, 50, kv_tokens=1050, continuable=False)
+        assert plan_resume(context).kind is ResumeKind.IMPOSSIBLE
 
     def test_answer_without_events_starts_anew_even_so(self):
         plan = plan_resume(ResumeFacts(1000, 0, continuable=False))
--- a/libs/recovery/tests/test_handover.py
+++ b/libs/recovery/tests/test_handover.py
@@ -9,7 +9,7 @@
 from fireflyhitch_recovery.messages import Confirm, Transfer, WireRequest
 
 
-class Killed(Exception):
+class DaemonKilled(Exception):
     """Ends a daemon in the middle of its work."""
 
 
@@ -26,9 +26,9 @@
         assert report.moved == ids(tracked)
         holder = cluster.holder(tracked)
         assert holder in ('b1', 'c1')
-        taken = cluster.nodes[holder].taken[-1]
-        assert taken.log.read_after(0).events == (b'1', b'2')
-        assert taken.placement == tracked.placement
+        taken_over = cluster.nodes[holder].taken_over[-1]
+        assert taken_over.log.read_after(0).events == (b'1', b'2')
+        assert taken_over.placement == tracked.placement
         assert tracked.log.state is LogState.MOVED
 
     def test_caller_reads_nothing_that_the_peer_was_not_given(self, cluster):
@@ -80,24 +80,24 @@
     def test_requests_spread_over_the_peers_with_room(self, make_cluster):
         cluster = make_cluster(batch_requests=2)
         for name in ('b1', 'c1'):
-            cluster.nodes[name].room = 5
+            cluster.nodes[name].capacity = 5
         tracked = [cluster.accept() for _ in range(8)]
         assert len(cluster.nodes['a1'].move(*tracked).moved) == 8
-        assert len(cluster.nodes['b1'].taken) in (3, 4, 5)
+        assert len(cluster.nodes['b1'].taken_over) in (3, 4, 5)
 
     def test_peers_memory_is_bounded(self, make_cluster):
-        cluster = make_cluster(max_kept_bytes=3000, batch_requests=2)
-        cluster.nodes['a2'].room = 0
+        cluster = make_cluster(max_total_bytes=3000, batch_requests=2)
+        cluster.nodes['a2'].capacity = 0
         tracked = [cluster.accept(body=bytes(1000)) for _ in range(8)]
         report = cluster.nodes['a1'].move(*tracked)
         assert len(report.moved) == 4
         for name in ('b1', 'c1'):
-            assert cluster.nodes[name].hand_over.reception.measure() <= 3000
+            assert cluster.nodes[name].hand_over.reception.count_bytes() <= 3000
         left = [one for one in tracked if ids(one)[0] in report.left]
         assert {one.log.state for one in left} == {LogState.OPEN}
-        for taken in cluster.nodes['b1'].taken:
-            cluster.nodes['b1'].in_flight.finish(taken, AnswerEnd.COMPLETE)
-        assert cluster.nodes['b1'].hand_over.reception.measure() == 0
+        for taken_over in cluster.nodes['b1'].taken_over:
+            cluster.nodes['b1'].in_flight.finish(taken_over, AnswerEnd.COMPLETE)
+        assert cluster.nodes['b1'].hand_over.reception.count_bytes() == 0
         assert len(cluster.nodes['a1'].move(*left).moved) == 2
 
     def test_request_too_large_for_a_message_stays(self, make_cluster):
@@ -136,7 +136,7 @@
 
     def test_peer_of_the_same_failure_domain_is_better_than_none(self, cluster):
         for peer in ('b1', 'c1'):
-            cluster.nodes[peer].room = 0
+            cluster.nodes[peer].capacity = 0
         tracked = cluster.accept()
         cluster.nodes['a1'].move(tracked)
         assert cluster.holder(tracked) == 'a2'
@@ -203,7 +203,7 @@
         cluster.nodes['a1'].move(tracked)
         holder = cluster.holder(tracked)
         assert holder != confirms[0]
-        dropped = cluster.nodes[confirms[0]].taken[-1]
+        dropped = cluster.nodes[confirms[0]].taken_over[-1]
         assert dropped.log.state is LogState.MOVED
 
     def test_sender_that_dies_after_its_transfer_is_made_up_for(self, cluster):
@@ -217,11 +217,11 @@
 
         def die_before_confirming(peer, message, timeout):
             if isinstance(message, Confirm):
-                raise Killed
+                raise DaemonKilled
             return real_ask(peer, message, timeout)
 
         cluster.network.messengers['a1'].ask = die_before_confirming
-        with pytest.raises(Killed):
+        with pytest.raises(DaemonKilled):
             cluster.nodes['a1'].move(tracked)
         cluster.kill('a1')
         assert not cluster.holders(tracked)
@@ -243,7 +243,10 @@
         cluster.nodes['a1'].check()
         second = cluster.holder(tracked)
         assert second not in ('a1', first)
-        assert cluster.nodes[second].taken[0].log.read_after(0).events == (b'1', b'2')
+        assert cluster.nodes[second].taken_over[0].log.read_after(0).events == (
+            b'1',
+            b'2',
+        )
 
     def test_request_that_came_back_is_not_taken_back_again(self, cluster):
         """A peer hands a request back to the daemon that it had it from.
@@ -252,15 +255,15 @@
         not set a second answer beside the one under way.
         """
         tracked = cluster.accept()
-        cluster.nodes['c1'].room = 0
-        cluster.nodes['a2'].room = 0
+        cluster.nodes['c1'].capacity = 0
+        cluster.nodes['a2'].capacity = 0
         cluster.nodes['a1'].move(tracked)
         cluster.nodes['b1'].move(tracked)
         assert cluster.holder(tracked) == 'a1'
         cluster.kill('b1')
         cluster.nodes['a1'].check()
         assert cluster.holder(tracked) == 'a1'
-        assert len(cluster.nodes['a1'].taken) == 1
+        assert len(cluster.nodes['a1'].taken_over) == 1
 
     def test_request_is_answered_here_if_no_second_peer_is_left(self, cluster):
         tracked = cluster.accept()
@@ -269,7 +272,7 @@
             cluster.kill(name)
         cluster.nodes['a1'].check()
         assert cluster.holders(tracked) == ['a1']
-        assert cluster.nodes['a1'].taken
+        assert cluster.nodes['a1'].taken_over
 
     def test_protected_request_survives_an_early_death(self, cluster):
         """A request could finish in time, but its daemon dies sooner.
@@ -313,26 +316,27 @@
         """
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
-        keeps = [
+        with_replica = [
             node
             for node in cluster.nodes.values()
-            if node.hand_over.reception.count_kept()
+            if node.hand_over.reception.count_unconfirmed()
         ]
-        keeps[0].room = 0
+        with_replica[0].capacity = 0
         cluster.nodes['a1'].check()
-        assert not keeps[0].hand_over.reception.count_kept()
+        assert not with_replica[0].hand_over.reception.count_unconfirmed()
         cluster.kill('a1')
         cluster.advance(3)
         for node in list(cluster.nodes.values()):
             node.check()
-        assert cluster.holder(tracked) != keeps[0].name
+        assert cluster.holder(tracked) != with_replica[0].name
 
     def test_protecting_copy_goes_when_the_request_ends(self, cluster):
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
         cluster.nodes['a1'].in_flight.finish(tracked, AnswerEnd.COMPLETE)
         kept = [
-            node.hand_over.reception.count_kept() for node in cluster.nodes.values()
+            node.hand_over.reception.count_unconfirmed()
+            for node in cluster.nodes.values()
         ]
         assert sum(kept) == 0
 
--- a/libs/recovery/tests/test_recovery_machine.py
+++ b/libs/recovery/tests/test_recovery_machine.py
@@ -28,8 +28,8 @@
         self.request_id = tracked.accepted.call.request_id
         self.reader = AnswerReader(tracked.log, START)
         self.log = tracked.log
-        self.got = ()
-        self.over = False
+        self.received = ()
+        self.diverged = False
 
     def reconnect(self, cluster, entry):
         location = entry.hand_over.locations.find(self.request_id)
@@ -40,18 +40,18 @@
             self.reader = AnswerReader(tracked.log, self.reader.last)
 
     def read(self, cluster):
-        if self.over:
+        if self.diverged:
             return
         try:
             part = self.reader.read(cluster.clock, timedelta())
         except RequestError as error:
             assert error.code == 'answer_diverged'
-            self.over = True
+            self.diverged = True
             return
-        self.got += part.events
+        self.received += part.events
         whole = self.log.read_after(0).events
-        shared = min(len(self.got), len(whole))
-        assert self.got[:shared] == whole[:shared], 'mixed up'
+        shared = min(len(self.received), len(whole))
+        assert self.received[:shared] == whole[:shared], 'mixed up'
 
 
 class RecoveryMachine(RuleBasedStateMachine):
@@ -63,29 +63,29 @@
         self.violations = count_violations()
         self.streams = {}
         self.callers = []
-        self.words = 0
+        self.event_count = 0
         for messenger in self.cluster.network.messengers.values():
-            messenger.ask = self.let_life_go_on(messenger.ask)
+            messenger.ask = self.interleave_generation(messenger.ask)
 
-    def let_life_go_on(self, ask):
-        def ask_meanwhile(peer, message, timeout):
+    def interleave_generation(self, ask):
+        def ask_interleaved(peer, message, timeout):
             self.generate()
             try:
                 return ask(peer, message, timeout)
             finally:
                 self.generate()
 
-        return ask_meanwhile
+        return ask_interleaved
 
     def pick(self, number):
         return list(self.cluster.nodes.values())[number % len(self.cluster.nodes)]
 
-    def start_adopted(self):
+    def resume_taken_over(self):
         for node in self.cluster.nodes.values():
-            while node.taken:
-                tracked = node.taken.pop()
-                place = (node.name, tracked.accepted.call.request_id)
-                self.streams[place] = tracked.log.open_attempt()
+            while node.taken_over:
+                tracked = node.taken_over.pop()
+                stream_key = (node.name, tracked.accepted.call.request_id)
+                self.streams[stream_key] = tracked.log.open_attempt()
 
     @rule(number=PICK)
     def accept(self, number):
@@ -98,9 +98,9 @@
     @rule()
     def generate(self):
         for stream in self.streams.values():
-            self.words += 1
+            self.event_count += 1
             if stream is not None:
-                stream.append(b'%d' % self.words)
+                stream.append(b'%d' % self.event_count)
         for caller in self.callers:
             caller.read(self.cluster)
 
@@ -109,10 +109,10 @@
         self.accept(number)
         node = self.pick(number)
         node.move(*node.in_flight.list())
-        self.start_adopted()
+        self.resume_taken_over()
 
     @rule(number=PICK)
-    def protect_all(self, number):
+    def push_replicas(self, number):
         node = self.pick(number)
         node.hand_over.protect(
             [one.accepted.call.request_id for one in node.in_flight.list()]
@@ -124,7 +124,9 @@
         name = self.pick(number).name
         self.cluster.kill(name)
         self.streams = {
-            place: stream for place, stream in self.streams.items() if place[0] != name
+            stream_key: stream
+            for stream_key, stream in self.streams.items()
+            if stream_key[0] != name
         }
 
     @rule(one=st.sampled_from(NAMES), other=st.sampled_from(NAMES), both=st.booleans())
@@ -143,7 +145,7 @@
         self.cluster.advance(seconds)
         for node in list(self.cluster.nodes.values()):
             node.check()
-        self.start_adopted()
+        self.resume_taken_over()
         self.reconnect(number)
 
     @rule(number=PICK)
@@ -153,7 +155,7 @@
         self.generate()
 
     @invariant()
-    def no_invariant_of_the_program_broke(self):
+    def no_internal_invariant_is_violated(self):
         assert count_violations() == self.violations
 
 
