--- a/libs/ledger/fireflyhitch_ledger/attempts.py
+++ b/libs/ledger/fireflyhitch_ledger/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that this daemon may send, and those it has sent."""
+"""Registry of the attempts that this daemon may send or has sent."""
 
 from enum import Enum
 from threading import Lock
@@ -16,11 +16,12 @@
 
 
 class AttemptRegistry:
-    """Gives each attempt one permission to send.
+    """Permits each attempt to be sent once.
 
-    The store never gives a claim to a second attempt while the first might be
-    sent, so this check within one process is all that sending once rests on:
-    a process that dies, or pauses at any point, sends nothing more.
+    The store never grants a claim to a second attempt while the first might
+    still be sent, so this check within one process suffices for sending at most
+    once: a process that crashes sends nothing more, and one that was paused is
+    rejected by the check.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -34,10 +35,10 @@
             self._states[attempt.attempt_id] = _AttemptState.GIVEN
 
     def send(self, attempt: Attempt) -> None:
-        """Use up the permission to send.
+        """Mark an attempt as sent.
 
-        :raises RequestError: if the attempt ended or its time to send is over,
-            as after a long pause; the attempt is then closed for good.
+        :raises RequestError: if the attempt was closed or its send deadline has
+            passed, as after a long pause; it is then closed permanently.
         :raises InvariantError: if it was sent before.
         """
         with self._lock:
@@ -57,7 +58,7 @@
             raise build_unavailable('the claim lapsed before the call was sent')
 
     def close(self, attempt: Attempt) -> bool:
-        """End an attempt, so that it can never be sent.
+        """Close an attempt, so that it can no longer be sent.
 
         :returns: whether it was sent.
         """
--- a/libs/ledger/fireflyhitch_ledger/committer.py
+++ b/libs/ledger/fireflyhitch_ledger/committer.py
@@ -1,4 +1,4 @@
-"""Group commit of one shard by compare-and-swap."""
+"""Group commit of a shard with compare-and-swap."""
 
 import threading
 from collections import deque
@@ -31,15 +31,16 @@
 MAX_STORE_ATTEMPTS = 3
 MIN_BACKOFF_SECONDS = 0.02
 MAX_BACKOFF_SECONDS = 0.2
-# Each lost race means that another daemon's write took effect; so many in a
-# row only happen if membership disagrees widely.
+# Each conflict means that another daemon's write took effect. This many in a row
+# only happen if the daemons' membership views differ widely.
 MAX_CONFLICTS = 32
 
 
 class Ticket:
     """An operation that waits for its commit.
 
-    :param lead: called when it is this ticket's turn to have the shard committed.
+    :param lead: called when this ticket becomes the leader, which must call
+        ``ShardCommitter.commit``.
     :param finish: called once the ticket has its result or its error.
     """
 
@@ -58,15 +59,15 @@
 
     @property
     def finished(self) -> bool:
-        """Whether it has its result or its error."""
+        """Whether the ticket has its result or its error."""
         return self.result is not None or self.error is not None
 
 
 class ShardCommitter:
-    """Commits all waiting operations of one shard in one write.
+    """Commits all queued operations of one shard in one write.
 
-    One thread at a time leads: it takes what has queued up and writes it, while
-    the next batch gathers. So batches grow with the load and no timer is needed.
+    One thread at a time is the leader: it writes the queued operations while the
+    next batch queues up. Batches thus grow with the load, without a timer.
     """
 
     def __init__(
@@ -89,10 +90,10 @@
         self._revision = ABSENT
 
     def run(self, operation: Operation) -> OperationResult:
-        """Commit an operation and return its result, on the caller's thread.
+        """Commit an operation on the caller's thread and return its result.
 
-        :raises PlatformError: if the store does not answer; its outcome tells
-            whether the operation may have had an effect.
+        :raises PlatformError: if the store does not reply; the error's outcome
+            says whether the operation may have taken effect.
         """
         signal = threading.Event()
         ticket = Ticket(operation, signal.set, lambda _: signal.set())
@@ -108,7 +109,7 @@
         return ticket.result
 
     def enqueue(self, ticket: Ticket) -> None:
-        """Add an operation to the next batch; its callbacks do the rest."""
+        """Add an operation to the next batch; completion is reported by callback."""
         with self._lock:
             self._queue.append(ticket)
             ticket.leading = not self._has_leader
@@ -117,7 +118,7 @@
             ticket.lead()
 
     def commit(self) -> None:
-        """Commit the waiting batch; only for whom ``lead`` was called."""
+        """Commit the queued batch; call it only after ``lead`` was called."""
         self._wait_for_write_slot()
         with self._lock:
             batch = tuple(self._queue)
@@ -143,7 +144,8 @@
             if queued:
                 self._queue.remove(ticket)
         if queued and ticket.leading:
-            # Its turn came as it gave up; else the shard would wait for ever.
+            # It became the leader while timing out; without a successor the
+            # shard's queue would hang.
             self._pass_lead()
         if ticket.result is not None:
             return ticket.result
@@ -151,7 +153,7 @@
 
     def _build_timeout(self, outcome: Outcome) -> PlatformError:
         return PlatformError(
-            'the store is too slow', step=Step.STORE_WRITE, outcome=outcome
+            'store request timed out', step=Step.STORE_WRITE, outcome=outcome
         )
 
     def _wait_for_write_slot(self) -> None:
@@ -164,8 +166,8 @@
         try:
             results = self._commit_operations(operations)
         except Exception as error:
-            # Also what no store should raise: a leader that died of it would
-            # leave the shard's queue without one, and its callers hanging.
+            # Catch unexpected errors, too: if one ended the leader, the shard's
+            # queue would have no leader and its callers would hang.
             failure = _to_platform_error(error)
             for ticket in batch:
                 ticket.error = failure
@@ -203,10 +205,10 @@
             elif attempt.fresh or applied.is_final:
                 return applied.results
             else:
-                # The cache may be behind what another daemon has written.
+                # The cached record may be stale; read it again.
                 self._record = None
         raise PlatformError(
-            'lost too many races', step=Step.STORE_WRITE, outcome=Outcome.NOT_RUN
+            'too many write conflicts', step=Step.STORE_WRITE, outcome=Outcome.NOT_RUN
         )
 
     def _apply(
@@ -225,8 +227,8 @@
         try:
             written = self._store.put_if(self._key, encoded, self._revision)
         except PlatformError as error:
-            # The write may have taken effect. The next try reads the record
-            # back, where the attempts' ids tell whether it did.
+            # The write may have taken effect. The next try reads the record,
+            # where the attempt ids show whether it did.
             self._record = None
             attempt.may_be_written |= error.outcome is not Outcome.NOT_RUN
             raise
@@ -258,10 +260,10 @@
 
 
 class _BatchState:
-    """One batch on its way to the store.
+    """State of a batch during its commit.
 
-    :ivar uncertain: whether a write was tried whose answer was lost.
-    :ivar fresh: whether the record in hand was read for this batch.
+    :ivar may_be_written: whether the result of a write was lost.
+    :ivar fresh: whether the record was read from the store for this batch.
     """
 
     def __init__(self, operations: tuple[Operation, ...]) -> None:
--- a/libs/ledger/fireflyhitch_ledger/keys.py
+++ b/libs/ledger/fireflyhitch_ledger/keys.py
@@ -1,4 +1,4 @@
-"""Keys of calls: their scope, their digest and the shard that holds them."""
+"""Idempotency keys of calls: scope, digest and shard."""
 
 import hashlib
 import uuid
@@ -32,10 +32,10 @@
 
 
 def digest_key(key: CallKey) -> KeyDigest:
-    """Return the digest under which a call is recorded.
+    """Return the digest that identifies a call in the ledger.
 
-    A cryptographic hash, since a caller chooses the key and a collision would
-    answer one call with another's result.
+    The hash is cryptographic, since the caller chooses the key and a collision
+    would answer one call with another's result.
     """
     parts = (key.customer, key.service, key.key)
     text = '\x00'.join(f'{len(part)}:{part}' for part in parts)
@@ -43,19 +43,19 @@
 
 
 def digest_body(method: str, path: str, body: bytes) -> BodyDigest:
-    """Return the digest that tells whether a repeated key repeats its call."""
+    """Return the digest that detects a key reused for another call."""
     return BodyDigest(_hash(method.encode(), path.encode(), body))
 
 
 def choose_shard(digest: KeyDigest, shards: int) -> Shard:
-    """Return the shard that holds a key."""
+    """Return the shard that stores a key."""
     return Shard(int.from_bytes(digest[:4]) % shards)
 
 
 def read_key_time(key: IdempotencyKey) -> datetime | None:
-    """Return the time at which a UUID of version 7 was made.
+    """Return the creation time of a version 7 UUID.
 
-    :returns: ``None`` for a key that carries no time.
+    :returns: ``None`` for a key that contains no time.
     """
     try:
         parsed = uuid.UUID(key)
--- a/libs/ledger/fireflyhitch_ledger/ledger.py
+++ b/libs/ledger/fireflyhitch_ledger/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of calls that may not be repeated."""
+"""The ledger of non-repeatable calls."""
 
 import threading
 import uuid
@@ -55,19 +55,20 @@
 
 
 def make_attempt_id() -> AttemptId:
-    """Return an id that no other attempt has."""
+    """Return a unique attempt id."""
     return AttemptId(uuid.uuid4().hex)
 
 
 class Ledger:
-    """Sees to it that a call with an idempotency key is sent at most once.
+    """Ensures that a call with an idempotency key is sent at most once.
 
-    A call is claimed in the key-value service before its first byte leaves.
-    A claim passes to another attempt only once the first has recorded that it
-    was not run; a claim that lapses without a record counts as unknown for
-    good. Safe to call from any thread.
+    A call is claimed in the key-value store before its first byte is sent. The
+    claim is granted to another attempt only once the first has recorded that
+    the call was not run. A claim that expires without a recorded outcome counts
+    as unknown for good, unless its own attempt still records one. Safe to call
+    from any thread.
 
-    :param daemon_id: this daemon, as ``messenger.live()`` names it.
+    :param daemon_id: id of this daemon in ``messenger.live()``.
     """
 
     def __init__(
@@ -100,25 +101,26 @@
         messenger.handle(CommitReply, self._handle_reply)
 
     def start(self) -> None:
-        """Start the threads that commit for peers and settle what is left.
+        """Start the threads that commit for peers and write pending records.
 
-        Before that, a peer's request is committed on the thread that brings it.
+        Before that, a peer's request is committed on the receiving thread.
         """
         self._workers.start(self.settle, self._settings.settle_interval)
 
     def stop(self) -> None:
-        """Settle once more and end the threads."""
+        """Stop the threads and write the pending records once more."""
         self._workers.stop()
         self.settle()
 
     def claim(self, key: CallKey, body_digest: BodyDigest, call: Call) -> ClaimResult:
         """Claim a call before it is sent.
 
-        :param body_digest: of method, path and body, from ``digest_body``.
-        :param call: its deadline bounds how long the claim counts as running.
-        :returns: ``Claimed`` if the call is to be sent now; else why not.
-        :raises RequestError: ``not-run`` if the store cannot be reached in
-            time, or has no room for the key.
+        :param body_digest: digest of method, path and body; see ``digest_body``.
+        :param call: its deadline limits how long the claim counts as running.
+        :returns: ``Claimed`` if the call may be sent now, otherwise the reason
+            why not.
+        :raises RequestError: ``not-run`` if the store cannot be reached in time
+            or the key's shard is full.
         """
         if self._is_expired(key):
             return Expired(Outcome.UNKNOWN)
@@ -140,9 +142,9 @@
         return _convert_result(result, attempt)
 
     def mark_sent(self, attempt: Attempt) -> None:
-        """Ask for leave to send, right before the first byte goes out.
+        """Mark a call as sent, right before its first byte is sent.
 
-        :raises RequestError: ``not-run`` if the claim has lapsed; this is
+        :raises RequestError: ``not-run`` if the claim has expired; this is
             recorded, so that the caller can claim the call again.
         :raises InvariantError: if the attempt was sent before.
         """
@@ -155,8 +157,8 @@
     def record_ran(self, attempt: Attempt, answer: Answer) -> bool:
         """Record that the call ran; its repeats get the answer.
 
-        :returns: whether the store has it already; if not, it is tried again
-            in the background, and the caller can have its answer all the same.
+        :returns: whether the record is written. If not, the write is retried in
+            the background, and the caller can get its answer all the same.
         """
         self._attempts.close(attempt)
         return self._record(_build_record(attempt, OperationKind.RECORD_RAN, answer))
@@ -164,9 +166,9 @@
     def record_not_run(self, attempt: Attempt, *, refused: bool = False) -> bool:
         """Record that the call was not run, so that it can be claimed again.
 
-        :param refused: whether the backend server said that it refused the
-            call before execution; without that it must not have been sent.
-        :returns: whether the store has it already.
+        :param refused: whether the backend server reported that it refused the
+            call before execution; otherwise it must not have been sent.
+        :returns: whether the record is written.
         :raises InvariantError: if the call was sent and not refused.
         """
         sent = self._attempts.close(attempt)
@@ -183,26 +185,26 @@
     def record_unknown(self, attempt: Attempt) -> bool:
         """Record that the call was sent and its answer lost.
 
-        :returns: whether the store has it already.
+        :returns: whether the record is written.
         """
         self._attempts.close(attempt)
         return self._record(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
 
     def settle(self) -> None:
-        """Try once more to record what the store has not taken."""
+        """Retry writing the pending records to the store."""
         for operation in self._pending.list():
             try:
                 result = self._execute(operation)
             except PlatformError as error:
                 logger.bind(step=error.step.value, peer=error.peer).warning(
-                    'ledger records wait for the store'
+                    'store unavailable, ledger records still pending'
                 )
                 return
             self._pending.remove(operation)
             self._check_record(operation, result)
 
     def count_pending(self) -> int:
-        """Return how many records the store has not taken yet."""
+        """Return the number of records not yet written to the store."""
         return len(self._pending.list())
 
     def _is_expired(self, key: CallKey) -> bool:
@@ -214,8 +216,8 @@
     def _build_attempt(
         self, key: CallKey, body_digest: BodyDigest, call: Call
     ) -> Attempt:
-        # Both times count from before the store is asked, so that the time the
-        # claim takes is not given to it twice.
+        # Both times are measured from before the store request, so that its
+        # duration does not extend them.
         now = self._clock.monotonic()
         send_within = self._settings.send_within.total_seconds()
         margin = self._settings.record_margin.total_seconds()
@@ -231,8 +233,8 @@
     def _withdraw_claim(self, attempt: Attempt, error: PlatformError) -> None:
         if error.outcome is Outcome.NOT_RUN:
             return
-        # The claim may be in the store without an owner; until it is taken
-        # back, the caller's next try would be told that the call is running.
+        # The claim may be in the store although no attempt uses it. Until it is
+        # withdrawn, the caller's next try would get ``InProgress``.
         self._pending.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
 
     def _record(self, operation: Operation) -> bool:
@@ -263,7 +265,7 @@
         try:
             return self._committers[shard].run(operation)
         except PlatformError as error:
-            # The owner may still commit what it was told.
+            # The owner may still commit the request that it received.
             error.outcome = Outcome.UNKNOWN
             raise
 
@@ -301,7 +303,7 @@
 
 
 class _PendingReply:
-    """A reply that is waited for."""
+    """A reply that a caller waits for."""
 
     def __init__(self) -> None:
         self.received = threading.Event()
--- a/libs/ledger/fireflyhitch_ledger/messages.py
+++ b/libs/ledger/fireflyhitch_ledger/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a shard's owner commits for the other daemons."""
+"""Peer messages for commits by the owner of a shard."""
 
 from typing import ClassVar
 
@@ -9,10 +9,10 @@
 class CommitRequest(PeerMessage):
     """Asks a shard's owner to commit an operation with its next write.
 
-    It is told rather than asked, so that the owner's link is not held while
-    the store writes; the owner tells back a ``CommitReply``.
+    It is a one-way message, so that the link to the owner is not blocked while
+    the store writes; the owner sends a ``CommitReply`` back.
 
-    :param number: chosen by the sender, to match the reply.
+    :param number: chosen by the sender to match the reply.
     """
 
     kind: ClassVar[str] = 'ledger-commit'
@@ -23,9 +23,10 @@
 
 
 class CommitReply(PeerMessage):
-    """Tells what came of a commit.
+    """Reports the result of a commit.
 
-    :param result: ``None`` if the owner could not reach the store.
+    :param result: ``None`` if the commit failed, for example because the owner
+        could not reach the store.
     """
 
     kind: ClassVar[str] = 'ledger-committed'
--- a/libs/ledger/fireflyhitch_ledger/operations.py
+++ b/libs/ledger/fireflyhitch_ledger/operations.py
@@ -1,4 +1,4 @@
-"""What is asked of a shard, and what comes of it; also sent between daemons."""
+"""Operations on a shard and their results, also sent between daemons."""
 
 from enum import StrEnum
 
@@ -18,7 +18,7 @@
 
 
 class Answer(BaseModel):
-    """The answer of a call that ran, as its repeats get it."""
+    """The stored answer of a call that ran, returned to its repeats."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -28,7 +28,7 @@
 
 
 class OperationKind(StrEnum):
-    """What is done to the record of a call."""
+    """Kind of change to the record of a call."""
 
     CLAIM = 'claim'
     RECORD_RAN = 'record-ran'
@@ -37,11 +37,11 @@
 
 
 class Operation(BaseModel):
-    """One change of one call's record; repeating it does no harm.
+    """An idempotent change of one call's record.
 
-    :param attempt: who claims, or whose claim is recorded.
-    :param lapses_at: wall time, in seconds since 1970, after which a claim
-        without a record counts as unknown.
+    :param attempt: the attempt that claims the call or whose outcome is recorded.
+    :param lapses_at: wall clock time, in seconds since 1970, after which a claim
+        without a recorded outcome counts as unknown.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
@@ -55,7 +55,7 @@
 
 
 class ResultKind(StrEnum):
-    """What came of an operation."""
+    """Kind of an operation's result."""
 
     CLAIMED = 'claimed'
     STORED = 'stored'
@@ -69,16 +69,17 @@
     CONTRADICTED = 'contradicted'
 
 
-# A cached record may be behind the store. These results cannot be undone by
-# what the cache has missed, so they need no read.
+# A cached record may be older than the stored one. Later writes cannot change
+# these results, so they need no read.
 FINAL_RESULTS = frozenset((ResultKind.STORED, ResultKind.MISMATCH, ResultKind.EXPIRED))
 
 
 class OperationResult(BaseModel):
-    """What came of an operation.
+    """Result of an operation.
 
-    :param answer: of a call that ran; ``None`` if it was too large to keep.
-    :param outcome: what is still known of an expired call.
+    :param answer: answer of a call that ran; ``None`` if it was too large to
+        store.
+    :param outcome: recorded outcome of an expired call.
     """
 
     model_config = ConfigDict(frozen=True, extra='ignore')
--- a/libs/ledger/fireflyhitch_ledger/pending_records.py
+++ b/libs/ledger/fireflyhitch_ledger/pending_records.py
@@ -1,4 +1,4 @@
-"""Records that the store has not taken yet."""
+"""Records that are not yet written to the store."""
 
 from collections import OrderedDict
 from threading import Lock
@@ -11,10 +11,10 @@
 
 
 class PendingRecords:
-    """Keeps records until the store takes them, the newest of them if many.
+    """Bounded queue of records for the store; it drops the oldest when full.
 
-    A record that is lost leaves its call claimed, which counts as unknown once
-    the claim lapses: less than is known, and never wrong.
+    A dropped record leaves its call claimed, and its outcome counts as unknown
+    once the claim expires. That loses information but is never wrong.
     """
 
     def __init__(self, limit: int) -> None:
@@ -23,7 +23,7 @@
         self._operations: OrderedDict[AttemptId, Operation] = OrderedDict()
 
     def add(self, operation: Operation) -> None:
-        """Keep a record for later."""
+        """Add a record to be written later."""
         with self._lock:
             self._operations[operation.attempt] = operation
             dropped = len(self._operations) > self._limit
@@ -33,7 +33,7 @@
             logger.bind(step=Step.RECORD.value).warning('ledger record dropped')
 
     def remove(self, operation: Operation) -> None:
-        """Forget a record that the store has taken."""
+        """Remove a record that was written to the store."""
         with self._lock:
             self._operations.pop(operation.attempt, None)
 
--- a/libs/ledger/fireflyhitch_ledger/records.py
+++ b/libs/ledger/fireflyhitch_ledger/records.py
@@ -1,4 +1,4 @@
-"""A shard's record: the calls it holds, and how it is stored."""
+"""The record of a shard: its calls and its stored form."""
 
 from dataclasses import dataclass, replace
 from datetime import UTC, datetime
@@ -20,7 +20,7 @@
 
 
 class EntryState(IntEnum):
-    """How far a call has come; stored by number."""
+    """State of a call; stored as its number."""
 
     CLAIMED = 0
     RAN = 1
@@ -32,7 +32,8 @@
 class Entry:
     """The record of one call.
 
-    :param since: wall time of its claim, in seconds since 1970.
+    :param since: wall clock time of its claim, in seconds since 1970.
+    :param lapses_at: see ``Operation``.
     """
 
     attempt: AttemptId
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpiredDay:
-    """Shortened digests of the calls whose entries went on one day."""
+    """Short digests of the calls whose entries expired on one day."""
 
     day: int
     ran: frozenset[bytes] = frozenset()
@@ -54,12 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardRecord:
-    """All that one shard holds; a changed shard is a new record.
+    """Immutable state of one shard; each change creates a new record.
 
-    Entries stay encoded: a commit touches a few of thousands.
+    Entries stay encoded, since a commit changes only a few out of thousands.
 
-    :param prune_at: wall time at which the oldest entry expires.
-    :param size: bytes of its stored form, as last encoded or decoded.
+    :param prune_at: wall clock time at which the oldest entry expires, in seconds
+        since 1970.
+    :param size: approximate size of the stored form in bytes.
     """
 
     entries: dict[KeyDigest, bytes]
@@ -68,7 +70,7 @@
     size: int = 0
 
     def find_expired(self, digest: KeyDigest) -> Outcome | None:
-        """Return what is known of a call whose entry has gone."""
+        """Return the outcome of a call whose entry has expired, if recorded."""
         short_digest = digest[:SHORT_DIGEST_BYTES]
         for day in self.expired:
             if short_digest in day.ran:
@@ -82,7 +84,7 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """Return an entry's stored form."""
+    """Return the stored form of an entry."""
     answer = entry.answer
     return cbor2.dumps(
         [
@@ -97,7 +99,7 @@
 
 
 def decode_entry(encoded: bytes) -> Entry:
-    """Return the entry of its stored form."""
+    """Return the entry for a stored form."""
     attempt, body_digest, *rest = cbor2.loads(encoded)
     state, since, lapses_at, answer = rest
     return Entry(
@@ -111,7 +113,7 @@
 
 
 def encode_record(record: ShardRecord) -> bytes:
-    """Return a shard's stored form."""
+    """Return the stored form of a shard."""
     expired = [
         [day.day, b''.join(sorted(day.ran)), b''.join(sorted(day.unknown))]
         for day in record.expired
@@ -122,13 +124,13 @@
 def decode_record(stored: bytes, settings: LedgerSettings) -> ShardRecord:
     """Return the record of a stored shard.
 
-    :raises PlatformError: if it was written by a release that this one does
-        not understand; overwriting it would forget calls.
+    :raises PlatformError: if its format is that of another release; overwriting
+        it would lose the records of calls.
     """
     version, entries, expired = cbor2.loads(stored)
     if version != FORMAT:
         raise PlatformError(
-            f'ledger record has format {version}',
+            f'unsupported ledger record format {version}',
             step=Step.STORE_READ,
             outcome=Outcome.NOT_RUN,
         )
@@ -144,12 +146,13 @@
 def prune_record(
     record: ShardRecord, now: float, settings: LedgerSettings
 ) -> ShardRecord:
-    """Replace the entries past their retention by marks of a few bytes.
+    """Replace the entries past their retention by short digests.
 
-    Days of marks are counted, not dated: were they dropped by date, one clock
-    far ahead would forget them all and let old keys run again.
+    The number of days with digests is limited, not their age. If days were
+    dropped by date, one clock far ahead would drop them all, and calls with old
+    keys could run again.
 
-    :param now: wall time in seconds since 1970.
+    :param now: wall clock time in seconds since 1970.
     """
     if now < record.prune_at:
         return record
--- a/libs/ledger/fireflyhitch_ledger/results.py
+++ b/libs/ledger/fireflyhitch_ledger/results.py
@@ -1,4 +1,4 @@
-"""What a claim may come to, and how it is told to the caller."""
+"""Results of a claim and the errors that callers get for them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """The right to send one call once.
+    """The permission to send one call once.
 
-    :param send_by: monotonic seconds after which it may not be sent any more.
-    :param lapses_at: wall time in seconds since 1970; see ``Operation``.
+    :param send_by: monotonic time in seconds after which it must not be sent.
+    :param lapses_at: wall clock time in seconds since 1970; see ``Operation``.
     """
 
     attempt_id: AttemptId
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The call is this daemon's to send, once."""
+    """This daemon may send the call once."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The call ran before.
+    """The call has run before.
 
-    :param answer: ``None`` if it was too large to keep.
+    :param answer: ``None`` if it was too large to store.
     """
 
     answer: Answer | None
@@ -50,24 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """Another attempt at the call is under way."""
+    """Another attempt at the call is in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """An earlier attempt was cut off; nobody knows whether the call ran."""
+    """An earlier attempt was interrupted; whether the call ran is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """The key was used before, for a call with another body."""
+    """The key was used before for a call with another body."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The key is too old for its answer to be kept.
+    """The key is older than the retention of its answer.
 
-    :param outcome: what is still known of the call.
+    :param outcome: recorded outcome of the call.
     """
 
     outcome: Outcome
@@ -78,10 +78,10 @@
 
 
 def build_refusal(refusal: Refusal) -> RequestError:
-    """Return the error that tells a caller why its call is not sent.
+    """Return the error for a call that is not sent.
 
-    ``not-run`` is said of a mismatch, whose own body was never sent. It is not
-    said of the others, as the call itself may have run under this key.
+    A mismatch is reported as ``not-run``, as its own body was never sent. The
+    others are not, as the call itself may have run under this key.
     """
     if isinstance(refusal, InProgress):
         return _build_conflict(
@@ -112,7 +112,7 @@
 
 
 def build_too_large() -> RequestError:
-    """Return the error for a call that ran but whose answer was not kept."""
+    """Return the error for a call that ran but whose answer was not stored."""
     return _build_conflict(
         'the call ran; its answer was too large to keep',
         CONFLICT,
@@ -123,9 +123,9 @@
 
 
 def build_missing_key() -> RequestError:
-    """Return the error for a call that needs a key and has none.
+    """Return the error for a call that lacks its idempotency key.
 
-    It is refused, as nothing could tell its repeat from a second booking.
+    Without a key, a repeat could not be told from a second booking.
     """
     return _build_conflict(
         'this method needs an Idempotency-Key header of 1 to 255 characters',
--- a/libs/ledger/fireflyhitch_ledger/settings.py
+++ b/libs/ledger/fireflyhitch_ledger/settings.py
@@ -1,4 +1,4 @@
-"""Bounds of the ledger: sizes, rates, retention and patience."""
+"""Limits of the ledger: sizes, rates, retention and timeouts."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,22 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """How much is kept, for how long, and how long is waited.
-
-    :param shards: how many records the calls are spread over; the same in all
-        daemons, and never changed while records are kept.
-    :param writes_per_second: the share of the store's rate that all daemons'
-        ledgers use together.
-    :param retention: how long a repeat gets the stored answer.
-    :param max_expired_days: on how many days' expired keys are still refused.
-    :param max_claim_bytes: a shard of this size takes no new claim; the rest of
-        the store's 1 MB is room for the records of claims already given.
-    :param max_answer_bytes: larger answers are not kept.
-    :param send_within: how long after it was asked for a claim may be sent.
-    :param record_margin: time after the call's deadline in which the daemon
-        may still record it before it counts as unknown.
-    :param owner_timeout: how long the shard's owner may take to answer.
-    :param claim_timeout: how long the store may take in all.
+    """Limits of the ledger.
+
+    :param shards: number of records that the calls are spread over; it must be
+        the same in all daemons and must not change while records are kept.
+    :param writes_per_second: share of the store's write rate for the ledgers of
+        all daemons together.
+    :param write_burst: number of writes that may exceed the rate at once.
+    :param retention: period in which a repeat gets the stored answer.
+    :param max_expired_days: number of days whose expired keys are still refused.
+    :param max_claim_bytes: a shard of this size accepts no new claim; the rest of
+        the store's 1 MB is reserved for the records of granted claims.
+    :param max_record_bytes: a shard of this size stores no more answers.
+    :param max_answer_bytes: larger answers are not stored.
+    :param send_within: time from the claim request in which the call may be sent.
+    :param record_margin: time after the call's deadline in which the daemon may
+        still record it before its outcome counts as unknown.
+    :param owner_timeout: time that the shard's owner has to reply.
+    :param unresponsive_time: time for which an unresponsive owner is skipped.
+    :param claim_timeout: total time that the store has for a commit.
+    :param max_pending: number of records that wait for the store.
     """
 
     shards: int = 16
--- a/libs/ledger/fireflyhitch_ledger/shard_owners.py
+++ b/libs/ledger/fireflyhitch_ledger/shard_owners.py
@@ -1,4 +1,4 @@
-"""Which daemon commits a shard for the others."""
+"""Assignment of shards to the daemons that commit them."""
 
 from threading import Lock
 
@@ -16,10 +16,10 @@
 
 
 class ShardOwners:
-    """Each shard's owner: the first by hash among the live daemons.
+    """Owner of each shard: the first live daemon in hash order.
 
-    Daemons may disagree on who is live. Then two of them write one shard, one
-    of the writes conflicts, and all that is lost is efficiency.
+    Daemons may disagree on which daemons are live. Then two of them write to one
+    shard and one of the writes conflicts, which costs only efficiency.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
         )
 
     def find(self, shard: Shard) -> DaemonId | None:
-        """Return the daemon to ask.
+        """Return the daemon that commits a shard.
 
-        :returns: ``None`` if this daemon is to commit by itself, as the owner
-            or because the owner was out of reach a moment ago.
+        :returns: ``None`` if this daemon commits it, as the owner or because the
+            owner was unresponsive recently.
         """
         live = frozenset(daemon.daemon_id for daemon in self._messenger.live())
         with self._lock:
@@ -59,9 +59,10 @@
             return owner
 
     def mark_unresponsive(self, owner: DaemonId) -> None:
-        """Pass over an owner for a while.
+        """Skip an owner for ``unresponsive_time``.
 
-        Else each call would wait for a dead owner until membership finds out.
+        Otherwise each call would wait for a crashed owner until membership
+        detects the crash.
         """
         with self._lock:
             self._unresponsive[owner] = True
--- a/libs/ledger/fireflyhitch_ledger/transitions.py
+++ b/libs/ledger/fireflyhitch_ledger/transitions.py
@@ -1,4 +1,4 @@
-"""The rules by which operations change a shard's record; no side effects."""
+"""Pure state transitions of a shard's record."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -42,8 +42,8 @@
 class ApplyResult:
     """A record after some operations.
 
-    :param changed: whether it has to be written for the results to be true.
-    :param is_final: whether the results hold even if the record read was old.
+    :param changed: whether the record must be written before the results hold.
+    :param is_final: whether the results hold even if the record read was stale.
     """
 
     record: ShardRecord
@@ -60,8 +60,8 @@
 ) -> ApplyResult:
     """Apply operations in order.
 
-    :param now: wall time in seconds since 1970. It tells a running call from a
-        cut-off one, and prunes; whether a call may be sent never rests on it.
+    :param now: wall clock time in seconds since 1970. It is used to tell running
+        calls from interrupted ones and to prune, but never to permit sending.
     """
     pruned = prune_record(record, now, settings)
     update = _RecordUpdate(pruned, settings, now)
@@ -71,7 +71,7 @@
 
 
 class _RecordUpdate:
-    """A record that is being changed."""
+    """A mutable copy of a record during an update."""
 
     def __init__(
         self, record: ShardRecord, settings: LedgerSettings, now: float
@@ -110,7 +110,8 @@
         if entry.body_digest != operation.body_digest:
             return MISMATCH
         if entry.attempt == operation.attempt:
-            # A claim whose answer was lost, or that came by two ways.
+            # A repeated claim: the reply was lost, or both the owner and the
+            # sender commit it.
             held = entry.state is EntryState.CLAIMED
             return CLAIMED if held else SUPERSEDED
         if entry.state is EntryState.NOT_RUN:
@@ -132,8 +133,8 @@
 
     def _grant(self, digest: KeyDigest, operation: Operation) -> OperationResult:
         if self._now >= operation.lapses_at:
-            # A claim that was held up on its way: whoever asked has given up,
-            # and would leave it behind as a call of unknown outcome.
+            # A delayed claim: its sender has given up. A grant would leave the
+            # call with an unknown outcome.
             return SUPERSEDED
         self._put_entry(digest, operation, EntryState.CLAIMED)
         return CLAIMED
@@ -161,8 +162,8 @@
         gone = self._record.find_expired(digest) is not None
         if gone or operation.kind is not OperationKind.RECORD_NOT_RUN:
             return SUPERSEDED
-        # The attempt gave up before its claim came through. Were it not noted,
-        # a claim still on its way would stay behind as of unknown outcome.
+        # The attempt gave up before its claim was committed. Without an entry, a
+        # delayed claim would be granted and leave an unknown outcome.
         self._put_entry(digest, operation, EntryState.NOT_RUN)
         return RECORDED
 
--- a/libs/ledger/fireflyhitch_ledger/workers.py
+++ b/libs/ledger/fireflyhitch_ledger/workers.py
@@ -1,4 +1,4 @@
-"""Threads that commit for other daemons and settle what is left over."""
+"""Threads that commit for other daemons and write pending records."""
 
 import threading
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Workers:
-    """A few threads for the ledger's work that no caller waits in."""
+    """A thread pool for the ledger's background work."""
 
     def __init__(self, count: int, clock: Clock) -> None:
         self._count = count
@@ -26,14 +26,14 @@
     def start(self, settle: Callable[[], None], interval: timedelta) -> None:
         """Start the threads.
 
-        :param settle: is called each interval.
+        :param settle: called once per interval.
         """
         for _ in range(self._count):
             self._spawn(self._run_queue)
         self._spawn(lambda: self._run_periodically(settle, interval))
 
     def stop(self) -> None:
-        """Finish the work at hand and end the threads."""
+        """Finish the queued work and stop the threads."""
         self._stopping.set()
         for _ in range(self._count):
             self._work.put(None)
@@ -42,7 +42,7 @@
         self._threads.clear()
 
     def submit(self, work: Callable[[], None]) -> None:
-        """Do work on one of the threads, or at once if none was started."""
+        """Run work on one of the threads, or synchronously if none was started."""
         if self._threads:
             self._work.put(work)
         else:
@@ -71,6 +71,6 @@
     try:
         work()
     except Exception:
-        # An error that ended the thread would leave the other calls of its
-        # shards waiting, and records unsettled until the daemon is restarted.
+        # If an error ended the thread, the other calls of its shards would hang
+        # and records would stay pending until the daemon is restarted.
         logger.bind(step=Step.RECORD.value).exception('ledger work failed')
--- a/libs/ledger/fireflyhitch_ledger/write_limiter.py
+++ b/libs/ledger/fireflyhitch_ledger/write_limiter.py
@@ -1,4 +1,4 @@
-"""How often this daemon's ledger writes to the store."""
+"""Rate limit of this daemon's ledger writes to the store."""
 
 from threading import Lock
 
@@ -6,10 +6,10 @@
 
 
 class WriteRateLimiter:
-    """Spreads writes so that all ledgers together stay within the store's rate.
+    """Limits writes so that all ledgers together stay within the store's rate.
 
-    Without it many shards at once would take the store's whole rate from the
-    configuration. A write that has to wait lets its batch grow meanwhile.
+    Otherwise the ledger's shards could use up the store's whole rate and starve
+    the configuration. While a write is delayed, its batch grows.
     """
 
     def __init__(self, clock: Clock, rate: float, burst: int) -> None:
@@ -20,14 +20,14 @@
         self._next = clock.monotonic()
 
     def set_rate(self, rate: float) -> None:
-        """Change the rate, in writes a second."""
+        """Set the rate in writes per second."""
         with self._lock:
             self._interval = 1 / rate
 
     def reserve(self) -> float:
         """Reserve the next write.
 
-        :returns: how long to wait for it, in seconds.
+        :returns: delay before it in seconds.
         """
         with self._lock:
             now = self._clock.monotonic()
--- a/libs/ledger/tests/conftest.py
+++ b/libs/ledger/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Ledgers of three daemons over one store, in passed time."""
+"""Fixtures: ledgers of three daemons with one store, on a manual clock."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 class LedgerCluster:
-    """Three daemons, their store and their clock."""
+    """Ledgers of three daemons with their store, network and clock."""
 
     body = digest_body('POST', '/services/bookings/visits', b'{"van": 1}')
     other_body = digest_body('POST', '/services/bookings/visits', b'{"van": 2}')
--- a/libs/ledger/tests/test_claims.py
+++ b/libs/ledger/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims, their records and what repeats are told."""
+"""Tests of claims, recorded outcomes and the results of repeats."""
 
 import uuid
 from datetime import timedelta
@@ -36,7 +36,7 @@
 
 
 class TestClaim:
-    """What a first claim and its repeats get."""
+    """Results of a first claim and its repeats."""
 
     def test_repeat_is_in_progress_then_gets_the_stored_answer(self, cluster):
         key = cluster.key()
@@ -86,15 +86,15 @@
 
 
 class TestSending:
-    """The one permission to send."""
+    """The permission to send once."""
 
-    def test_second_send_breaks_the_invariant(self, cluster):
+    def test_second_send_violates_the_invariant(self, cluster):
         attempt = cluster.claim('gent', cluster.key()).attempt
         cluster.ledgers['gent'].mark_sent(attempt)
         with pytest.raises(InvariantError):
             cluster.ledgers['gent'].mark_sent(attempt)
 
-    def test_not_run_after_sending_breaks_the_invariant(self, cluster):
+    def test_not_run_after_sending_violates_the_invariant(self, cluster):
         key = cluster.key()
         attempt = cluster.claim('gent', key).attempt
         cluster.ledgers['gent'].mark_sent(attempt)
@@ -103,12 +103,12 @@
         cluster.ledgers['gent'].settle()
         assert cluster.claim('gent', key) == UnknownOutcome()
 
-    def test_daemon_that_wakes_after_its_claim_lapsed_does_not_send(self, cluster):
+    def test_daemon_resumed_after_its_claim_expired_does_not_send(self, cluster):
         """A daemon claims a call and is paused before it sends.
 
-        Its claim lapses and the caller's repeat is told that the outcome is
-        unknown. When the daemon wakes it is refused the permission and records
-        that the call was not run, so the next repeat runs it.
+        Its claim expires, and a repeat gets an unknown outcome. The resumed
+        daemon must not send but record that the call was not run, so that the
+        next repeat can run it.
         """
         key = cluster.key()
         attempt = cluster.claim('gent', key).attempt
@@ -120,11 +120,11 @@
         cluster.ledgers['gent'].settle()
         assert isinstance(cluster.claim('brugge', key), Claimed)
 
-    def test_answer_that_comes_after_the_lapse_is_still_stored(self, cluster):
-        """The service answers long after the claim lapsed.
+    def test_answer_after_the_claim_expired_is_still_stored(self, cluster):
+        """The service answers long after the claim expired.
 
-        A repeat meanwhile is told `unknown`; a later one gets the answer, as
-        the attempt that ran is the only one that ever could.
+        A repeat before the answer gets an unknown outcome. A later one must get
+        the answer, since no other attempt can have run.
         """
         key = cluster.key()
         attempt = cluster.claim('gent', key).attempt
@@ -136,7 +136,7 @@
 
 
 class TestStoreFaults:
-    """A store that is down, or whose answers get lost."""
+    """A store that is down, or whose replies are lost."""
 
     def test_store_down_refuses_before_dispatch(self, cluster):
         cluster.store.faults.stand('*', Fault.REFUSED)
@@ -145,18 +145,18 @@
         assert caught.value.outcome is Outcome.NOT_RUN
         assert caught.value.retry_after is not None
 
-    def test_lost_write_answer_is_settled_by_reading_back(self, cluster):
+    def test_lost_write_reply_is_resolved_by_reading_back(self, cluster):
         cluster.store.faults.queue('put_if', Fault.LOST_ANSWER)
         key = cluster.key()
         assert isinstance(cluster.claim('gent', key), Claimed)
         assert cluster.claim('brugge', key) == InProgress()
 
-    def test_claim_given_up_in_doubt_is_taken_back(self, cluster):
-        """Every write's answer is lost, then the store is gone.
+    def test_abandoned_claim_of_unknown_outcome_is_withdrawn(self, cluster):
+        """The replies to all writes are lost, then the store is down.
 
-        The caller is told `not-run`, which holds since the attempt is never
-        sent; but the store may hold its claim. Once the store is back the
-        daemon takes the claim back, and a repeat runs the call.
+        The caller gets `not-run`, which is true since the attempt is never sent,
+        but the store may contain its claim. Once the store is available again,
+        the daemon must withdraw the claim so that a repeat can run the call.
         """
         key = cluster.key()
         owner = cluster.rank(key)[0]
@@ -180,7 +180,7 @@
         assert cluster.ledgers['gent'].count_pending() == 0
         assert cluster.claim('aalst', key) == Stored(ANSWER)
 
-    def test_record_of_an_unknown_release_is_not_overwritten(self, cluster):
+    def test_record_of_unknown_format_is_not_overwritten(self, cluster):
         cluster.store.put_if('ledger/0', cbor2.dumps([9, {}, []]), 0)
         with pytest.raises(RequestError):
             for number in range(999):
@@ -188,7 +188,7 @@
 
 
 class TestOwner:
-    """Commits by the shard's owner, and without it."""
+    """Commits by the shard's owner and without it."""
 
     def test_owner_writes_for_the_others(self, cluster):
         key = cluster.key()
@@ -200,10 +200,10 @@
         cluster.claim(other, key)
         assert seen == [other]
 
-    def test_unreachable_owner_is_passed_over(self, cluster):
-        """The owner is cut off from a daemon, and both write the shard.
+    def test_unreachable_owner_is_bypassed(self, cluster):
+        """The owner and another daemon cannot reach each other; both write the shard.
 
-        Each goes on with compare-and-swap: a key is given to one of the two.
+        With compare-and-swap, a key must be granted to only one of them.
         """
         key = cluster.key()
         owner, other, _ = cluster.rank(key)
@@ -223,10 +223,11 @@
         cluster.ledgers[owner].record_ran(attempt, ANSWER)
         assert cluster.claim(other, key) == Stored(ANSWER)
 
-    def test_claim_that_was_held_up_on_its_way_is_not_given(self, cluster):
-        """A claim reaches the owner after its sender took it back.
+    def test_delayed_claim_is_not_granted(self, cluster):
+        """A claim reaches the owner after its sender has withdrawn it.
 
-        Were it given, nobody would send it and the key would stay in doubt.
+        If it were granted, no daemon would send the call, and its outcome would
+        stay unknown.
         """
         key = cluster.key()
         owner, other, _ = cluster.rank(key)
@@ -242,7 +243,7 @@
         cluster.network.messengers[owner].receive(other, held[0])
         assert isinstance(cluster.claim(other, key), Claimed)
 
-    def test_messages_survive_the_wire(self):
+    def test_messages_round_trip(self):
         operation = Operation(
             kind=OperationKind.RECORD_RAN,
             digest=bytes(range(240, 256)),
@@ -257,7 +258,7 @@
 
 
 class TestRetention:
-    """What is left of a call after a while."""
+    """Expiry of calls."""
 
     def test_expired_key_is_refused(self, cluster):
         key = cluster.key()
@@ -277,7 +278,7 @@
         assert cluster.claim('brugge', key) == Expired(Outcome.RAN)
         assert len(cluster.store.get('ledger/0').value) < 1024
 
-    def test_marks_survive_a_clock_that_is_far_ahead(self, make_cluster):
+    def test_expired_digests_survive_a_clock_far_ahead(self, make_cluster):
         cluster = make_cluster(shards=1)
         key = cluster.key()
         cluster.ledgers['gent'].record_ran(cluster.claim('gent', key).attempt, ANSWER)
@@ -285,7 +286,7 @@
         cluster.claim('gent', cluster.key('other'))
         assert cluster.claim('gent', key) == Expired(Outcome.RAN)
 
-    def test_key_that_carries_an_old_time_is_refused_for_good(self, cluster):
+    def test_key_with_an_old_creation_time_is_always_refused(self, cluster):
         made = int((cluster.clock.now() - timedelta(days=90)).timestamp() * 1000)
         old = uuid.UUID(int=made << 80 | 7 << 76 | 2 << 62 | 5)
         assert cluster.claim('gent', cluster.key(str(old))) == Expired(Outcome.UNKNOWN)
--- a/libs/ledger/tests/test_group_commit.py
+++ b/libs/ledger/tests/test_group_commit.py
@@ -11,12 +11,12 @@
 
 
 class TestGroupCommit:
-    """Operations that wait together are written together."""
+    """Queued operations share a write."""
 
-    def test_operations_that_wait_share_one_write(self, make_cluster):
-        """One write is under way while others come for the same shard.
+    def test_queued_operations_share_one_write(self, make_cluster):
+        """Operations arrive for a shard during a write.
 
-        They wait for it and then go out in one write, instead of one each.
+        They must wait and then be committed in one write, not in one each.
         """
         cluster = make_cluster(SystemClock(), shards=1, writes_per_second=1000.0)
         owner = cluster.rank(cluster.key())[0]
@@ -42,10 +42,10 @@
         assert cluster.store.calls['put_if'] == 2
 
     def test_one_of_many_concurrent_claims_wins(self, make_cluster):
-        """Callers post one key to three daemons at once, over live threads.
+        """Callers claim the same key at three daemons concurrently.
 
-        The owner commits for two of them; whoever comes first gets the claim,
-        and everybody else is told that the call is in progress.
+        The owner commits for two of the daemons. One caller must get the claim
+        and all others ``InProgress``.
         """
         cluster = make_cluster(SystemClock(), shards=2)
         for name in cluster.names:
@@ -64,9 +64,9 @@
 
 
 class TestWorkers:
-    """Threads that no caller waits in."""
+    """Background threads."""
 
-    def test_failing_work_does_not_end_its_thread(self):
+    def test_failing_work_does_not_stop_its_thread(self):
         workers = Workers(1, SystemClock())
         workers.start(lambda: None, timedelta(seconds=60))
         done = threading.Event()
--- a/libs/ledger/tests/test_ledger_machine.py
+++ b/libs/ledger/tests/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over three ledgers, with faults between and during steps."""
+"""A state machine of three ledgers, with faults between and during steps."""
 
 from collections import Counter
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Daemons claim, send, pause, die and are cut off, in any order."""
+    """Daemons claim, send, pause, crash and lose links, in any order."""
 
     def __init__(self, make_cluster):
         super().__init__()
@@ -78,7 +78,7 @@
             assert not self.runs[key], 'claimed although it ran'
             self.claimed.append((name, key, result.attempt))
         if isinstance(result, Stored):
-            assert self.runs[key], 'has an answer and did not run'
+            assert self.runs[key], 'has an answer although it did not run'
 
     @precondition(lambda machine: machine.claimed)
     @rule(pick=st.integers(0, 99), refuses=st.booleans())
@@ -158,7 +158,7 @@
 
 
 class TestLedgerMachine:
-    """Random runs of the machine, the same ones each time."""
+    """Random but reproducible runs of the machine."""
 
     def test_no_call_runs_twice(self, make_cluster):
         bounds = settings(
@@ -166,7 +166,7 @@
         )
         run_state_machine_as_test(lambda: LedgerMachine(make_cluster), settings=bounds)
 
-    def test_machine_notices_a_second_run(self, make_cluster):
+    def test_machine_detects_a_second_run(self, make_cluster):
         machine = LedgerMachine(make_cluster)
         machine.runs['k1'] = 2
         with pytest.raises(AssertionError):
--- a/libs/recovery/fireflyhitch_recovery/__init__.py
+++ b/libs/recovery/fireflyhitch_recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight: resume, hand-over and drain."""
+"""In-flight requests: resume, hand-over and drain."""
--- a/libs/recovery/fireflyhitch_recovery/answers.py
+++ b/libs/recovery/fireflyhitch_recovery/answers.py
@@ -1,4 +1,4 @@
-"""The events of one answer, in order, while attempts and readers come and go."""
+"""Ordered event log of one answer, shared by its attempts and readers."""
 
 import threading
 from dataclasses import dataclass
@@ -23,14 +23,14 @@
 
 
 class AnswerEnd(StrEnum):
-    """How an answer ended."""
+    """Final state of an answer."""
 
     COMPLETE = 'complete'
     FAILED = 'failed'
 
 
 class LogState(Enum):
-    """Whether an answer's events can be relayed here."""
+    """Whether this daemon may relay an answer's events."""
 
     OPEN = 'open'
     HELD = 'held'
@@ -45,12 +45,12 @@
 
 
 class AttemptStream:
-    """What one attempt adds to an answer; one thread appends to it.
+    """Events that one attempt appends to an answer, from a single thread.
 
-    Appending takes no lock. The list itself is the order: a hold is an element
-    of it, events before it are of the answer, and events behind it wait or are
-    dropped. ``list.append`` and ``del list[i]`` are single steps under the
-    interpreter's lock, so that there is no gap between check and append.
+    Appending takes no lock. A hold is a marker in the event list: events before
+    it belong to the answer, events after it wait or are dropped. ``list.append``
+    and ``del list[i]`` are atomic under the GIL, so that no event can slip in
+    between a check and an append.
     """
 
     __slots__ = ('_log', 'end', 'events', 'held', 'tag')
@@ -65,13 +65,13 @@
         self.end: AnswerEnd | None = None
 
     def append(self, event: bytes) -> bool:
-        """Add an event.
+        """Append an event.
 
-        ``held`` is set before the mark is appended: whoever finds it unset
-        after its own append stands before the mark.
+        ``held`` is set before the marker is appended. If it is still unset after
+        an append, that event precedes the marker.
 
-        :returns: whether it may be relayed now; if not, ask ``AnswerLog.state``
-            and read on from the last event relayed.
+        :returns: whether the event may be relayed now; if not, check
+            ``AnswerLog.state`` and read on after the last relayed event.
         """
         self.events.append(event)
         if self.held:
@@ -81,7 +81,7 @@
         return True
 
     def extend(self, events: list[bytes]) -> bool:
-        """Add the events that came in one read; as ``append``."""
+        """Append the events of one read; see ``append``."""
         self.events.extend(events)
         if self.held:
             return False
@@ -90,16 +90,16 @@
         return True
 
     def finish(self, end: AnswerEnd) -> None:
-        """Mark the answer's end; nothing is appended behind it."""
+        """Set how the answer ended; nothing may be appended afterwards."""
         self.end = end
         self._log.wake()
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerPart:
-    """The events behind one that a reader holds.
+    """The events after the last one that a reader has.
 
-    :param first: the number of the first of the events.
+    :param first: number of the first of these events.
     :param end: how the answer ended, if these are its last events.
     """
 
@@ -110,13 +110,13 @@
 
     @property
     def last(self) -> int:
-        """The number of the last event read so far."""
+        """Number of the last event read so far."""
         return self.first + len(self.events) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCopy:
-    """An answer so far, for a peer to go on with."""
+    """A partial answer that a peer can continue."""
 
     events: tuple[bytes, ...]
     lineage: Lineage
@@ -128,7 +128,7 @@
 
 
 class AnswerLog:
-    """One answer: its current attempt, its readers, and whether it is held."""
+    """One answer with its current attempt, its readers and its hold."""
 
     def __init__(self, daemon: DaemonId, copy: AnswerCopy = EMPTY_COPY) -> None:
         self.waiters: list[threading.Event] = []
@@ -151,12 +151,12 @@
 
     @property
     def state(self) -> LogState:
-        """Whether events can be relayed from here."""
+        """Whether this daemon may relay events."""
         return self._state
 
     @property
     def lineage(self) -> Lineage:
-        """Which attempt each part of the answer is of."""
+        """The attempts that generated the answer, with the first event of each."""
         return self._lineage
 
     @property
@@ -165,7 +165,7 @@
         return self._stream.end
 
     def current(self) -> AttemptStream:
-        """Return the current attempt, as for going on with an engine's stream."""
+        """Return the current attempt, for example to continue an engine stream."""
         return self._stream
 
     def count(self) -> int:
@@ -173,12 +173,13 @@
         return len(self.read_after(0).events)
 
     def open_attempt(self) -> AttemptStream | None:
-        """Start an attempt that goes on behind the events so far.
+        """Start an attempt that continues after the events so far.
 
-        The old attempt's late events land behind its hold and reach nobody.
+        Late events of the previous attempt are appended after its hold marker
+        and are not relayed.
 
         :returns: ``None`` while the answer is held or once it has moved, since
-            a peer may be going on from the same place.
+            a peer may be continuing it from the same event.
         """
         with self._lock:
             if self._state is not LogState.OPEN:
@@ -193,7 +194,7 @@
         return self._stream
 
     def hold(self) -> AnswerCopy:
-        """Stop relaying and return the answer up to here."""
+        """Stop relaying and return the partial answer."""
         with self._lock:
             events = self._hold_stream()
             if self._state is LogState.OPEN:
@@ -203,7 +204,7 @@
             )
 
     def release_hold(self) -> None:
-        """Relay again, with what came meanwhile."""
+        """Resume relaying, including events appended since the hold."""
         with self._lock:
             if self._state is not LogState.HELD:
                 return
@@ -213,21 +214,21 @@
         self.wake()
 
     def move(self) -> None:
-        """Leave a held answer to the peer that has it now."""
+        """Stop relaying for good, as a peer has taken the answer over."""
         with self._lock:
             self._hold_stream()
             self._state = LogState.MOVED
         self.wake()
 
     def copy(self) -> AnswerCopy:
-        """Return the answer so far without holding it."""
+        """Return the partial answer without holding it."""
         part = self.read_after(0)
         return AnswerCopy(part.events, self._lineage, self._attempts, part.end)
 
     def read_after(self, number: int) -> AnswerPart:
-        """Return the events behind an event, without waiting."""
+        """Return the events after an event, without waiting."""
         stream = self._stream
-        # The end first: events are complete once it is set.
+        # Read ``end`` first: once it is set, no more events are appended.
         end = stream.end
         events = stream.events[number:]
         if _HOLD in events:
@@ -237,11 +238,11 @@
         return AnswerPart(number + 1, readable, self._state, end)
 
     def wait_after(self, last: EventId, clock: Clock, timeout: timedelta) -> AnswerPart:
-        """Return the events behind an event, waiting until there is one.
+        """Return the events after an event; wait until there is one.
 
-        :returns: a part without events if nothing came in time, the answer has
-            ended, or it has moved.
-        :raises RequestError: if the event is not of this answer.
+        :returns: a part without events on a timeout, or if the answer has ended
+            or moved.
+        :raises RequestError: if the event does not belong to this answer.
         """
         check_lineage(self._lineage, last)
         signal = threading.Event()
@@ -255,12 +256,12 @@
         finally:
             with self._lock:
                 self.waiters.remove(signal)
-        # An attempt may have started while this waited.
+        # An attempt may have started during the wait.
         check_lineage(self._lineage, last)
         return part
 
     def wake(self) -> None:
-        """Wake the readers that wait for an event."""
+        """Wake the waiting readers."""
         for signal in tuple(self.waiters):
             signal.set()
 
@@ -279,9 +280,9 @@
 
 
 class AnswerReader:
-    """One caller's place in an answer.
+    """One caller's read position in an answer.
 
-    :param last: the last event that the caller has.
+    :param last: the last event that the caller has received.
     """
 
     def __init__(self, log: AnswerLog, last: EventId) -> None:
@@ -290,13 +291,13 @@
 
     @property
     def last(self) -> EventId:
-        """The last event that was read."""
+        """Id of the last event read."""
         return self._last
 
     def read(self, clock: Clock, timeout: timedelta) -> AnswerPart:
         """Return the next events; see ``AnswerLog.wait_after``.
 
-        :raises InvariantError: if they do not follow on the last ones.
+        :raises InvariantError: if they do not follow the last event read.
         """
         part = self._log.wait_after(self._last, clock, timeout)
         invariant(
--- a/libs/recovery/fireflyhitch_recovery/drain.py
+++ b/libs/recovery/fireflyhitch_recovery/drain.py
@@ -1,4 +1,4 @@
-"""Whether this daemon takes new requests, and when it may stop."""
+"""Drain state: whether this daemon accepts requests, and when it may stop."""
 
 from datetime import timedelta
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class DrainState(Enum):
-    """How far a daemon is on its way out."""
+    """Phase of a daemon's shutdown."""
 
     SERVING = 'serving'
     DRAINING = 'draining'
@@ -16,10 +16,11 @@
 
 
 class Drain:
-    """A daemon's way out: it only goes forward, and the soonest end counts.
+    """Drain of a daemon before it stops.
 
-    A graceful stop has no end of its own: it waits until no request is left.
-    A reclaim has one, and what cannot finish by then is handed over.
+    The state only advances, and the earliest deadline applies. A graceful stop
+    has no deadline and waits until no request is left. A reclaim has one, and
+    requests that cannot finish by then are handed over.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -30,19 +31,20 @@
 
     @property
     def state(self) -> DrainState:
-        """How far the daemon is."""
+        """Current phase."""
         return self._state
 
     @property
     def ready(self) -> bool:
-        """Whether the platform's balancer may send new requests."""
+        """Whether the platform's load balancer may send new requests."""
         return self._state is DrainState.SERVING
 
     def start(self, time_left: timedelta | None = None) -> bool:
-        """Stop taking new requests.
+        """Stop accepting new requests.
 
-        :param time_left: until the machine is taken back, if it is.
-        :returns: whether this is news: a first start, or a sooner end.
+        :param time_left: time until the machine is reclaimed, if it is.
+        :returns: whether this changed the drain: a first start, or an earlier
+            deadline.
         """
         with self._lock:
             first = self._state is DrainState.SERVING
@@ -57,7 +59,7 @@
             return True
 
     def read_time_left(self) -> timedelta | None:
-        """Return the time until the machine goes, or ``None`` if it stays."""
+        """Return the time until the machine is reclaimed, or ``None``."""
         with self._lock:
             if self._deadline is None:
                 return None
@@ -65,9 +67,9 @@
         return timedelta(seconds=left)
 
     def stop_if_done(self, in_progress: int) -> bool:
-        """Tell whether the process may end now.
+        """Return whether the process may exit now.
 
-        :param in_progress: requests that this daemon still answers.
+        :param in_progress: number of requests that this daemon still answers.
         """
         with self._lock:
             if self._state is DrainState.DRAINING and not in_progress:
--- a/libs/recovery/fireflyhitch_recovery/events.py
+++ b/libs/recovery/fireflyhitch_recovery/events.py
@@ -1,4 +1,4 @@
-"""Ids of an answer's events, as callers send them back in Last-Event-ID."""
+"""Event ids of an answer, which callers send back in ``Last-Event-ID``."""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -8,8 +8,8 @@
 from fireflyhitch_model.ids import DaemonId
 from fireflyhitch_model.states import Outcome, Step
 
-# Names who generated an event's text. Empty for the first attempt at a request,
-# so that ids are plain numbers until an answer is continued elsewhere.
+# Identifies the attempt that generated an event. Empty for a request's first
+# attempt, so that ids are plain numbers until another attempt continues it.
 AttemptTag = NewType('AttemptTag', str)
 
 FIRST_ATTEMPT = AttemptTag('')
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EventId:
-    """The place of an event in an answer.
+    """Position of an event in an answer.
 
-    :param number: counts from 1; 0 stands before the first event.
-    :param attempt: the attempt that generated it.
+    :param number: counts from 1; 0 is the position before the first event.
+    :param attempt: the attempt that generated the event.
     """
 
     number: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineageEntry:
-    """From which event on an answer is an attempt's."""
+    """The number of the first event that an attempt generated."""
 
     first: int
     attempt: AttemptTag
@@ -47,22 +47,22 @@
 
 
 def make_attempt_tag(daemon: DaemonId, number: int) -> AttemptTag:
-    """Return a tag that two daemons that continue one answer do not share.
+    """Return an attempt tag that differs between daemons that continue one answer.
 
-    :param number: the attempt's number at this daemon, from 2.
+    :param number: number of the attempt at this daemon, from 2.
     """
     return AttemptTag(f'{number}-{hash_text(daemon) & TAG_MASK:04x}')
 
 
 def format_event_id(number: int, attempt: AttemptTag) -> str:
-    """Return an event's id for the ``id:`` field of server-sent events."""
+    """Return an event id for the ``id:`` field of a server-sent event."""
     return f'{number}{SEPARATOR}{attempt}' if attempt else str(number)
 
 
 def parse_event_id(text: str) -> EventId:
-    """Return the id that a caller sent in ``Last-Event-ID``.
+    """Return the event id that a caller sent in ``Last-Event-ID``.
 
-    :raises RequestError: if it is not one of ours.
+    :raises RequestError: if the id is malformed.
     """
     number, _, attempt = text.strip().partition(SEPARATOR)
     if not number:
@@ -79,7 +79,7 @@
 
 
 def find_attempt(lineage: Lineage, number: int) -> AttemptTag:
-    """Return the attempt that an event is of."""
+    """Return the attempt that generated an event."""
     found = FIRST_ATTEMPT
     for entry in lineage:
         if entry.first <= number:
@@ -88,13 +88,13 @@
 
 
 def check_lineage(lineage: Lineage, last: EventId) -> None:
-    """Check that an answer can go on behind an event that a caller holds.
+    """Check that an answer continues the events that a caller has received.
 
-    Two daemons cut off from each other may both continue an answer, with
-    different words. Whoever has read from one of them must not be given the
-    rest of the other; the id's attempt shows it.
+    During a network partition two daemons may both continue an answer, with
+    different text. A caller that read from one must not get the rest from the
+    other; the attempt in the event id tells them apart.
 
-    :raises RequestError: if the event is of a continuation that is not ours.
+    :raises RequestError: if the event belongs to another continuation.
     """
     if last.number == 0 or find_attempt(lineage, last.number) == last.attempt:
         return
--- a/libs/recovery/fireflyhitch_recovery/handover.py
+++ b/libs/recovery/fireflyhitch_recovery/handover.py
@@ -1,4 +1,4 @@
-"""Handing requests in progress over to peers before this daemon goes."""
+"""Hand-over of in-flight requests to peers before this daemon stops."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -44,14 +44,14 @@
 
 
 class HandOver:
-    """Moves requests to peers in other failure domains, and takes theirs.
+    """Moves requests to peers in other failure domains, and receives theirs.
 
-    A request is held while it is transferred, so that its caller cannot have
-    read more than the peer was given; it is let go only once the peer says
-    that it answers it.
+    A request is held during its transfer, so that its caller cannot have read
+    more than the peer received. It is released only once the peer confirms that
+    it answers the request.
 
-    :param take_over: has the daemon go on with a request; must not block.
-    :param read_capacity: how many more streams the daemon can carry.
+    :param take_over: continues a request on this daemon; must not block.
+    :param read_capacity: returns how many more streams the daemon can serve.
     """
 
     def __init__(
@@ -94,12 +94,13 @@
     def hand_over(
         self, request_ids: Iterable[RequestId], time_left: timedelta
     ) -> HandOverReport:
-        """Move requests to peers, in the order given; blocks until done.
+        """Move requests to peers in the given order; block until done.
 
-        Call it on a thread of its own. The engine connections of moved requests
-        must stay open until the process ends, as engines cancel what is closed.
+        Call it on a dedicated thread. The engine connections of moved requests
+        must stay open until the process exits, because engines cancel a stream
+        whose connection closes.
 
-        :param time_left: after which it is given up.
+        :param time_left: time limit; the rest stays here.
         """
         deadline = self._clock.monotonic() + time_left.total_seconds()
         wanted = tuple(request_ids)
@@ -122,17 +123,17 @@
         left = tuple(one for one in wanted if one not in moved and self._is_active(one))
         if left:
             logger.bind(step=Step.HAND_OVER.value).warning(
-                '{} requests moved, {} left here', len(moved), len(left)
+                '{} requests moved, {} not moved', len(moved), len(left)
             )
         return HandOverReport(tuple(moved), left)
 
     def protect(self, request_ids: Iterable[RequestId]) -> tuple[RequestId, ...]:
-        """Leave copies of requests with a peer while they finish here.
+        """Replicate requests to a peer while they finish here.
 
-        Should this daemon die before its time, the peer goes on with them. The
-        copies are withdrawn as the requests end.
+        If this daemon crashes first, the peer continues them. A replica is
+        withdrawn when its request ends.
 
-        :returns: the requests that a peer keeps copies of.
+        :returns: the requests that a peer has replicas of.
         """
         self.announce()
         pending = deque(self._find_movable(request_ids))
@@ -153,20 +154,20 @@
         return tuple(replicas)
 
     def announce(self) -> None:
-        """Tell where this daemon's requests are, once it is leaving.
+        """Publish the locations of this daemon's requests when it starts to leave.
 
-        The others do not count a leaving daemon among the live ones, by which
-        they find it from a request's id. Callers who come back through them
-        would be told that their request is lost.
+        Peers no longer count a leaving daemon as live and cannot find it from
+        a request's id. Without this, callers that reconnect through a peer
+        would get an error that their request is lost.
         """
         self._leaving = True
         self.locations.publish(map(self._describe, self._in_flight.list()))
 
     def check_peers(self) -> HandOverReport:
-        """Mend what became of copies and moved requests, once a second.
+        """Recover requests lost with a peer and refresh replicas; call it every second.
 
-        What went to a peer that has died since is handed over once more, and
-        the copies of what is finished here are brought up to date.
+        Requests that were moved to a peer that has crashed since are handed over
+        again. Replicas of requests that finish here are brought up to date.
         """
         self._replicate_new()
         self._refresh_replicas()
@@ -190,11 +191,11 @@
         return report
 
     def _replicate_new(self) -> None:
-        """Protect what became this daemon's own after it began to leave.
+        """Replicate requests that this daemon got after it started to leave.
 
-        A copy that it kept for a peer is its own once that peer has died. It was
-        not among what was handed over or protected at the notice, and callers
-        would lose it with this daemon. One that no peer took is tried again.
+        A replica held for a peer becomes this daemon's request when that peer
+        crashes. It was not handed over or replicated at the notice, so it would
+        be lost with this daemon. A request that no peer accepted is retried.
         """
         if not self._leaving:
             return
@@ -212,12 +213,12 @@
         return tracked is not None and is_active(tracked)
 
     def _is_movable(self, tracked: TrackedRequest) -> bool:
-        # A message that is too large for a peer link would break the link.
+        # A message above the size limit of a peer link breaks the link.
         fits = measure_request(tracked) <= self._settings.max_request_bytes
         return fits and tracked.finished is None
 
     def _choose_peer(self, pending: Iterable[TrackedRequest]) -> DaemonId | None:
-        """Return the peer with the most room, in another failure domain if any."""
+        """Return the peer with the most capacity, preferably in another domain."""
         peers = [
             daemon
             for daemon in self._messenger.live()
@@ -238,10 +239,10 @@
     def _find_most_capacity(
         self, candidates: list[DaemonId], pending: Iterable[TrackedRequest]
     ) -> DaemonId | None:
-        """Ask peers for their room, until a few have some.
+        """Query peers until ``max_offers`` of them report free capacity.
 
-        Each daemon starts at another place of the list. With a failure domain
-        leaving at once, all would else fill the same peer first.
+        Each daemon queries in another order. Otherwise all daemons of a failure
+        domain that leave together would fill the same peer first.
         """
         sizes = [len(tracked.accepted.body) for tracked in pending]
         offer = CapacityQuery(requests=len(sizes), size=sum(sizes))
@@ -279,10 +280,11 @@
         return done
 
     def _keep_local(self, rest: Iterable[TrackedRequest], peer: DaemonId) -> None:
-        """Go on with requests that a peer did not say it took.
+        """Continue requests here that a peer did not confirm.
 
-        It may have taken them, with its answer lost. The generation goes above
-        the one it was given, so that it lets go once it hears of it.
+        The peer may have taken them over and its reply been lost. The generation
+        is raised above the one it received, so that it releases them when it
+        receives the new location.
         """
         for tracked in rest:
             tracked.generation += 2
@@ -336,8 +338,8 @@
         )
 
     def _refresh_replicas(self) -> None:
-        # A copy that names an engine's stream which was lost meanwhile would
-        # have the peer go on from further back than the caller has read.
+        # With a replica whose engine stream was lost since, the peer would
+        # continue from a point before what the caller has already read.
         with self._lock:
             replicas = tuple(self._replicas.items())
         for peer in sorted({holder for _, holder in replicas}):
@@ -358,13 +360,13 @@
     ) -> None:
         refused = [one for one, _ in copies if get_request_id(one) not in kept]
         for tracked in refused:
-            # Above the copy that may be left at a peer out of reach.
+            # Supersedes a replica that may remain at an unreachable peer.
             tracked.generation += 1
         if refused:
             self.protect(map(get_request_id, refused))
 
     def _find_active_elsewhere(self, request_ids: list[RequestId]) -> list[Location]:
-        """Return where requests are, by the word of who answers them."""
+        """Return the locations that are confirmed by the daemons they name."""
         holders: dict[DaemonId, list[RequestId]] = {}
         for location in self.locations.find_all(request_ids):
             if location.daemon_id == self._daemon.daemon_id:
@@ -382,7 +384,7 @@
         held = move.tracked
         recorded = self.locations.find_local(request_id)
         newest = max(recorded.generation if recorded else 0, held.generation + 1)
-        # Above what the lost peer had, so that its copy loses if it comes back.
+        # Supersedes the lost peer's copy in case that peer comes back.
         tracked = self._in_flight.register(held.accepted, held.log.hold(), newest + 1)
         tracked.placement = held.placement
 
@@ -405,7 +407,7 @@
             return self._messenger.ask(peer, message, self._settings.ask_timeout)
         except PeerError as error:
             logger.bind(step=Step.HAND_OVER.value, peer=error.peer).debug(
-                'no answer to {}', message.kind
+                'no reply to {}', message.kind
             )
             self._failed_peers.add(peer)
             return None
--- a/libs/recovery/fireflyhitch_recovery/inflight.py
+++ b/libs/recovery/fireflyhitch_recovery/inflight.py
@@ -1,4 +1,4 @@
-"""The requests that this daemon answers, and the answers it has just given."""
+"""Requests that this daemon answers, and its recently finished answers."""
 
 import uuid
 from collections.abc import Callable
@@ -30,21 +30,21 @@
 
 
 def make_daemon_tag(daemon: DaemonId) -> str:
-    """Return the short name of a daemon within request ids."""
+    """Return the hash that identifies a daemon in request ids."""
     return f'{hash_text(daemon) & TAG_MASK:0{TAG_DIGITS}x}'
 
 
 def make_request_id(daemon: DaemonId) -> RequestId:
-    """Return a new request id, which tells which daemon accepted the request.
+    """Return a new request id that contains the tag of the accepting daemon.
 
-    So a request that was never handed over is found without any directory.
+    A request that was never handed over is thus found without a directory.
     """
     return RequestId(f'{make_daemon_tag(daemon)}-{uuid.uuid4().hex}')
 
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """For how long, and up to which size in all, finished answers are kept."""
+    """Maximum age and maximum total size of stored finished answers."""
 
     duration: timedelta = RETENTION
     max_bytes: int = MAX_FINISHED_BYTES
@@ -54,9 +54,9 @@
 
 
 class InFlight:
-    """Requests in progress, and finished ones for callers who come back.
+    """In-flight requests, and finished ones for callers that reconnect.
 
-    Safe to call from any thread; none of it is called per event.
+    Safe to call from any thread. No method is called per event.
     """
 
     def __init__(
@@ -82,9 +82,11 @@
         copy: AnswerCopy = EMPTY_COPY,
         generation: int = 0,
     ) -> TrackedRequest:
-        """Add a request that is now this daemon's to answer.
+        """Add a request that this daemon answers from now on.
 
-        :param copy: the answer so far, if another daemon had it before.
+        :param copy: the partial answer, if another daemon had the request before.
+        :raises InvariantError: if it is registered here with the same or a
+            higher generation.
         """
         request_id = accepted.call.request_id
         tracked = TrackedRequest(
@@ -101,7 +103,7 @@
         return tracked
 
     def find(self, request_id: RequestId) -> TrackedRequest | None:
-        """Return a request in progress or just finished."""
+        """Return an in-flight or recently finished request."""
         with self._lock:
             active = self._active.get(request_id)
             return active or self._finished.get(request_id)
@@ -109,14 +111,14 @@
     def find_for(
         self, request_id: RequestId, customer: CustomerId
     ) -> TrackedRequest | None:
-        """Return a request to its own customer; to others it does not exist."""
+        """Return a request to its own customer, and ``None`` to any other."""
         tracked = self.find(request_id)
         if tracked is None or tracked.accepted.call.customer != customer:
             return None
         return tracked
 
     def finish(self, tracked: TrackedRequest, end: AnswerEnd) -> None:
-        """End a request whose last event was appended, and keep its answer."""
+        """Mark a request as finished after its last event and store its answer."""
         request_id = tracked.accepted.call.request_id
         tracked.finished = end
         if tracked.log.end is None:
@@ -129,23 +131,23 @@
         self._notify(request_id)
 
     def leave(self, tracked: TrackedRequest) -> None:
-        """Give up a request that another daemon has now; its readers move."""
+        """Remove a request that another daemon has taken over; its readers move."""
         request_id = tracked.accepted.call.request_id
         tracked.log.move()
         with self._lock:
-            # It may have ended here while it was being handed over.
+            # The request may have finished here during its hand-over.
             for store in (self._active, self._finished):
                 if store.get(request_id) is tracked:
                     store.pop(request_id)
         self._notify(request_id)
 
     def list(self) -> tuple[TrackedRequest, ...]:
-        """Return the requests in progress."""
+        """Return the in-flight requests."""
         with self._lock:
             return tuple(self._active.values())
 
     def observe(self, observer: Callable[[RequestId], None]) -> None:
-        """Have an observer told of each request that ends or leaves."""
+        """Call an observer with the id of each request that finishes or is removed."""
         self._observers.append(observer)
 
     def _retain(self, request_id: RequestId, tracked: TrackedRequest) -> None:
@@ -158,7 +160,7 @@
 
 
 def measure_request(tracked: TrackedRequest) -> int:
-    """Return roughly how many bytes a request takes in memory."""
+    """Return the approximate memory of a request in bytes."""
     events = tracked.log.read_after(0).events
     answer = sum(map(len, events)) + EVENT_OVERHEAD_BYTES * len(events)
     return REQUEST_OVERHEAD_BYTES + len(tracked.accepted.body) + answer
--- a/libs/recovery/fireflyhitch_recovery/locations.py
+++ b/libs/recovery/fireflyhitch_recovery/locations.py
@@ -1,4 +1,4 @@
-"""Where a request is being answered, so that any daemon can find it."""
+"""Lookup of the daemon that answers a request."""
 
 from collections.abc import Iterable
 from threading import Lock
@@ -24,9 +24,9 @@
 class Locations:
     """Finds the daemon that answers a request.
 
-    A request that never moved is with the daemon that its id names. One that
-    moved is known to a few daemons chosen by hash of its id, so that neither
-    its acceptance nor its move has to be told to everybody.
+    A request that never moved is at the daemon named in its id. The location of
+    a moved request is stored by a few directory daemons chosen by a hash of its
+    id, so that neither its acceptance nor its move needs a broadcast.
     """
 
     def __init__(
@@ -51,10 +51,10 @@
         messenger.handle(LocationQuery, self._handle_location_query)
 
     def find(self, request_id: RequestId) -> Location | None:
-        """Return who answers a request, asking peers if need be.
+        """Return the location of a request; query peers if necessary.
 
-        :returns: ``None`` if nobody in reach knows: it was never accepted, is
-            long over, or was lost with its daemon.
+        :returns: ``None`` if no reachable daemon has the location: the request
+            was never accepted, ended long ago, or was lost with its daemon.
         """
         here = self.find_local(request_id)
         if here is not None and here.daemon_id == self._daemon_id:
@@ -62,7 +62,7 @@
         return next(iter(self.find_all((request_id,))), None)
 
     def find_all(self, request_ids: Iterable[RequestId]) -> tuple[Location, ...]:
-        """Return who answers some requests, asking each peer once at most."""
+        """Return the locations of requests; query each peer at most once."""
         wanted = tuple(request_ids)
         queries: dict[DaemonId, list[RequestId]] = {}
         for request_id in wanted:
@@ -77,7 +77,7 @@
         return tuple(newest.values())
 
     def find_local(self, request_id: RequestId) -> Location | None:
-        """Return who answers a request, as far as this daemon knows."""
+        """Return the location of a request from local state only."""
         tracked = self._in_flight.find(request_id)
         if tracked is not None and tracked.log.state is not LogState.MOVED:
             return Location(
@@ -89,7 +89,7 @@
             return self._stored.get(request_id)
 
     def publish(self, locations: Iterable[Location]) -> None:
-        """Tell the daemons that keep these requests' locations."""
+        """Send locations to the directory daemons of their requests."""
         updates: dict[DaemonId, list[Location]] = {}
         for location in locations:
             self._store(location)
@@ -103,7 +103,10 @@
     def ask(
         self, peer: DaemonId, request_ids: Iterable[RequestId]
     ) -> tuple[Location, ...]:
-        """Ask one peer; what it does not know is left out, all if it is gone."""
+        """Query one peer for locations.
+
+        :returns: the locations that it has on record; none if it does not reply.
+        """
         message = LocationQuery(requests=tuple(request_ids))
         try:
             reply = self._messenger.ask(peer, message, self._settings.ask_timeout)
@@ -145,8 +148,8 @@
         self._release_superseded(location)
 
     def _release_superseded(self, location: Location) -> None:
-        # Another daemon went on with a request of ours while we were thought
-        # dead. Two answers to one request would mix for a caller that moves.
+        # Another daemon continued a local request while it considered this daemon
+        # crashed. A caller that reconnects would get a mix of the two answers.
         tracked = self._in_flight.find(location.request_id)
         elsewhere = location.daemon_id != self._daemon_id
         if tracked and elsewhere and tracked.generation < location.generation:
--- a/libs/recovery/fireflyhitch_recovery/messages.py
+++ b/libs/recovery/fireflyhitch_recovery/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which requests in progress pass from one daemon to another."""
+"""Peer messages that hand in-flight requests over between daemons."""
 
 from dataclasses import replace
 from typing import ClassVar, Self
@@ -23,10 +23,10 @@
 
 
 class WireRequest(_WireModel):
-    """A request with its answer so far.
+    """A request with its partial answer, as sent to a peer.
 
-    :param call: its arrival is told as its age, and its deadline as the time
-        left, since monotonic clocks differ between daemons.
+    :param call: with its age in place of the arrival and the time left in place
+        of the deadline, since monotonic clocks differ between daemons.
     """
 
     call: Call
@@ -44,7 +44,7 @@
     def pack(
         cls, tracked: TrackedRequest, copy: AnswerCopy, generation: int, now: float
     ) -> Self:
-        """Return a request as it is sent at a time in monotonic seconds."""
+        """Return the wire form of a request, sent at a time in monotonic seconds."""
         accepted = tracked.accepted
         call = accepted.call
         return cls(
@@ -64,16 +64,16 @@
 
     @property
     def request_id(self) -> RequestId:
-        """The request's id."""
+        """Id of the request."""
         return self.call.request_id
 
     @property
     def size(self) -> int:
-        """Roughly how many bytes it takes."""
+        """Approximate size in bytes."""
         return len(self.body) + sum(map(len, self.events))
 
     def unpack_accepted(self, now: float) -> AcceptedRequest:
-        """Return the request as received at a time in monotonic seconds."""
+        """Return the request, received at a time in monotonic seconds."""
         call = self.call
         received = replace(
             call, arrived=now - call.arrived, deadline=now + call.deadline
@@ -86,7 +86,7 @@
 
 
 class CapacityQuery(PeerMessage):
-    """Asks a peer how much it could take over."""
+    """Asks a peer how many requests it can take over."""
 
     kind: ClassVar[str] = 'hand-over-offer'
 
@@ -95,8 +95,9 @@
 
 
 class CapacityReply(PeerMessage):
-    """Tells how much a peer could take over now.
+    """Reports how much a peer can take over now.
 
+    :param requests: number of requests.
     :param size: bytes of requests and answers.
     """
 
@@ -107,7 +108,7 @@
 
 
 class Transfer(PeerMessage):
-    """Gives a peer requests to keep, not yet to go on with."""
+    """Sends requests that a peer stores but does not answer until confirmed."""
 
     kind: ClassVar[str] = 'hand-over-transfer'
 
@@ -115,7 +116,7 @@
 
 
 class TransferReply(PeerMessage):
-    """Tells which requests a peer keeps; it has no room for the others."""
+    """Lists the requests that a peer stored; it has no capacity for the others."""
 
     kind: ClassVar[str] = 'hand-over-kept'
 
@@ -123,7 +124,7 @@
 
 
 class Confirm(PeerMessage):
-    """Has a peer go on with requests that it keeps."""
+    """Makes a peer answer requests that were transferred to it."""
 
     kind: ClassVar[str] = 'hand-over-confirm'
 
@@ -131,7 +132,7 @@
 
 
 class ConfirmReply(PeerMessage):
-    """Tells which requests a peer answers now."""
+    """Lists the requests that a peer answers now."""
 
     kind: ClassVar[str] = 'hand-over-taken'
 
@@ -139,7 +140,7 @@
 
 
 class Withdraw(PeerMessage):
-    """Has a peer forget requests that it keeps, as they ended or went elsewhere."""
+    """Makes a peer discard transferred requests that ended or moved elsewhere."""
 
     kind: ClassVar[str] = 'hand-over-withdraw'
 
@@ -147,7 +148,7 @@
 
 
 class Location(_WireModel):
-    """Who answers a request; the higher generation is right."""
+    """The daemon that answers a request; the highest generation is current."""
 
     request_id: RequestId
     daemon_id: DaemonId
@@ -155,7 +156,7 @@
 
 
 class LocationUpdate(PeerMessage):
-    """Tells who answers requests from now on."""
+    """Announces which daemon answers requests from now on."""
 
     kind: ClassVar[str] = 'request-located'
 
@@ -163,7 +164,7 @@
 
 
 class LocationQuery(PeerMessage):
-    """Asks who answers some requests."""
+    """Asks which daemons answer some requests."""
 
     kind: ClassVar[str] = 'request-locate'
 
@@ -171,7 +172,7 @@
 
 
 class LocationReply(PeerMessage):
-    """Tells who answers which request, as far as the asked one knows."""
+    """Lists the locations that the queried daemon has on record."""
 
     kind: ClassVar[str] = 'request-locations'
 
--- a/libs/recovery/fireflyhitch_recovery/reception.py
+++ b/libs/recovery/fireflyhitch_recovery/reception.py
@@ -1,4 +1,4 @@
-"""Requests that peers hand over to this daemon."""
+"""Receiver for requests that peers hand over to this daemon."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -37,13 +37,14 @@
 
 
 class Reception:
-    """Keeps what peers transfer, and goes on with it when told or alone.
+    """Stores transferred requests and continues them once they are confirmed.
 
-    Bounded: what is kept and what was taken over count against one limit, and
-    a peer that gets a refusal turns to the next daemon.
+    It also continues them if their sender is gone. Stored and taken-over
+    requests count against the same limits; a peer that is refused tries the
+    next daemon.
 
-    :param take_over: has the daemon go on with a request; must not block.
-    :param read_capacity: how many more streams the daemon can carry.
+    :param take_over: continues a request on this daemon; must not block.
+    :param read_capacity: returns how many more streams the daemon can serve.
     """
 
     def __init__(
@@ -74,10 +75,11 @@
         messenger.handle(Withdraw, self._handle_withdraw)
 
     def check_senders(self) -> None:
-        """Go on with what a sender left unconfirmed and is not answering itself.
+        """Continue unconfirmed requests that their sender no longer answers.
 
-        Call it once a second. A sender that died after its transfer is thus
-        made up for within seconds, and before its callers are told to give up.
+        Call it once a second. Requests of a sender that crashed after its
+        transfer are then continued within seconds, before their callers get an
+        error.
         """
         now = self._clock.monotonic()
         overdue = self._list_overdue(now)
@@ -88,17 +90,20 @@
             self._check_sender(sender, from_sender)
 
     def list_kept(self) -> tuple[RequestId, ...]:
-        """Return the requests that wait for confirmation."""
+        """Return the ids of the requests that wait for confirmation."""
         with self._lock:
             return tuple(self._unconfirmed)
 
     def count_unconfirmed(self) -> int:
-        """Return how many requests wait for confirmation."""
+        """Return the number of requests that wait for confirmation."""
         with self._lock:
             return len(self._unconfirmed)
 
     def count_bytes(self) -> int:
-        """Return how many bytes kept and taken-over requests were in all."""
+        """Return the total size in bytes of stored and taken-over requests.
+
+        Sizes are those at their transfer.
+        """
         with self._lock:
             return self._count_bytes()
 
@@ -119,7 +124,7 @@
                 self._discard((request_id,))
             else:
                 logger.bind(step=Step.HAND_OVER.value, peer=sender).warning(
-                    'went on without confirmation'
+                    'request continued without confirmation'
                 )
                 self._start((request_id,))
 
@@ -159,7 +164,8 @@
     def _store(self, unconfirmed: _UnconfirmedRequest) -> bool:
         request = unconfirmed.request
         if request.request_id in self._unconfirmed:
-            # A newer copy. A daemon that leaves meanwhile sends it elsewhere.
+            # A newer copy. It is refused if this daemon is leaving, so that the
+            # sender transfers it to another peer.
             fits = self._read_capacity() > 0
         else:
             fits = (
@@ -236,7 +242,7 @@
             )
 
     def _count_free_requests(self) -> int:
-        # What was taken over is among the daemon's streams already.
+        # ``_read_capacity`` already counts the streams of taken-over requests.
         allowed = self._settings.max_requests - len(self._taken_over)
         return max(0, min(allowed, self._read_capacity()) - len(self._unconfirmed))
 
--- a/libs/recovery/fireflyhitch_recovery/reclaim.py
+++ b/libs/recovery/fireflyhitch_recovery/reclaim.py
@@ -1,4 +1,4 @@
-"""What to do with requests in progress when their machine is taken back."""
+"""Plan for in-flight requests when their machine is reclaimed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,17 +7,18 @@
 from fireflyhitch_model.ids import RequestId
 from fireflyhitch_model.states import Priority
 
-# Below this, an estimate of the rest is not worth betting an answer on.
+# The estimate of the remaining time is uncertain: a request stays only if its
+# estimate times this factor fits.
 SAFETY_FACTOR = 1.5
 MARGIN_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RequestProgress:
-    """How far a request is.
+    """Progress of a request.
 
-    :param remaining_tokens: at the most, from its limit and what it has.
-    :param token_time: time between its tokens of late.
+    :param remaining_tokens: upper bound: its token limit less its tokens so far.
+    :param token_time: recent time between its tokens.
     """
 
     request_id: RequestId
@@ -27,13 +28,13 @@
 
     @property
     def remaining(self) -> timedelta:
-        """How long its answer may still take."""
+        """Upper bound of the time that its answer still takes."""
         return self.remaining_tokens * self.token_time
 
 
 @dataclass(frozen=True, slots=True)
 class ReclaimPlan:
-    """Which requests stay and which are moved, in order."""
+    """The requests that finish here and those to move, in order."""
 
     finish: tuple[RequestId, ...]
     move: tuple[RequestId, ...]
@@ -42,12 +43,12 @@
 def plan_reclaim(
     time_left: timedelta, requests: Iterable[RequestProgress]
 ) -> ReclaimPlan:
-    """Choose what can finish in time, and move the rest.
+    """Choose the requests that can finish in time, and move the rest.
 
-    Urgent ones are moved first, and among equals the longest: it is the most
-    certain not to finish, and has the most to lose.
+    Urgent requests are moved first, and the longest first among equals: it is
+    the least likely to finish and has the most to lose.
 
-    :param time_left: until the machine goes.
+    :param time_left: time until the machine is reclaimed.
     """
     margin = timedelta(seconds=MARGIN_SECONDS)
     usable = max(timedelta(), time_left - margin) / SAFETY_FACTOR
--- a/libs/recovery/fireflyhitch_recovery/requests.py
+++ b/libs/recovery/fireflyhitch_recovery/requests.py
@@ -1,4 +1,4 @@
-"""Requests in progress and where each is being answered."""
+"""In-flight requests and the engine streams that answer them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class CompletionKind(StrEnum):
-    """The form of a model request."""
+    """API format of a model request."""
 
     CHAT = 'chat'
     TEXT = 'text'
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True)
 class AcceptedRequest:
-    """A request as it was accepted.
+    """A request as received from the caller.
 
-    :param body: as the caller sent it.
+    :param body: the unmodified request body.
     :param streaming: whether the caller reads server-sent events.
     """
 
@@ -32,17 +32,17 @@
 
     @cached_property
     def content(self) -> ContentId:
-        """Return what it has in common with its repeats."""
+        """Return the content id that the request shares with its repeats."""
         return identify_content(self.call.customer, 'POST', self.kind.value, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The engine's stream that an answer comes from.
+    """The engine stream that an answer is read from.
 
     :param address: ``host:port`` of the engine.
-    :param engine_attempt: the id under which the engine knows the stream.
-    :param offset: how many of the answer's events came before this stream.
+    :param engine_attempt: id of the stream at the engine.
+    :param offset: number of the answer's events that precede this stream.
     """
 
     server_id: BackendServerId
@@ -53,11 +53,11 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """A request in progress.
+    """An in-flight request and its answer.
 
-    :param placement: set by whoever dispatches it, before the first event.
-    :param generation: how often it has been handed over; of two daemons that
-        hold a request, the higher generation has it.
+    :param placement: set by the dispatcher before the first event.
+    :param generation: raised by each hand-over; of two daemons that hold a
+        request, the one with the higher generation answers it.
     """
 
     accepted: AcceptedRequest
--- a/libs/recovery/fireflyhitch_recovery/resume.py
+++ b/libs/recovery/fireflyhitch_recovery/resume.py
@@ -1,10 +1,10 @@
-"""How an answer goes on after its stream was lost: whatever costs least."""
+"""Choice of the cheapest way to resume an answer whose stream was lost."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum
 
-# Until an engine's own speed is known: a small model on one accelerator.
+# Defaults until an engine's speed is known: a small model on one accelerator.
 PREFILL_TOKENS_PER_SECOND = 4000.0
 KV_BYTES_PER_TOKEN = 131072
 KV_BYTES_PER_SECOND = 1e9
@@ -12,7 +12,7 @@
 
 
 class ResumeKind(Enum):
-    """The ways in which an answer can go on."""
+    """Methods of resuming an answer."""
 
     ENGINE_STREAM = 'engine-stream'
     KV_IMPORT = 'kv-import'
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeCosts:
-    """What computing and moving tokens costs.
+    """Costs of computing and moving tokens.
 
-    :param kv_bytes_per_token: of an exported KV cache.
-    :param kv_bytes_per_second: between two engines, through this daemon.
-    :param call_time: of one call to an engine, answer included.
+    :param kv_bytes_per_token: size of an exported KV cache per token.
+    :param kv_bytes_per_second: transfer rate between two engines through this
+        daemon.
+    :param call_time: duration of one engine call, including the response.
     """
 
     prefill_tokens_per_second: float = PREFILL_TOKENS_PER_SECOND
@@ -40,17 +41,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeFacts:
-    """What is known when a stream is lost.
-
-    :param prompt_tokens: of the request.
-    :param generated_tokens: that the answer has so far.
-    :param stream_reachable: whether the engine that had the stream still
-        answers, and has it. So after a take-over also of an engine that leaves
-        or has cancelled it: the caller may hold events that the copy lacks, and
-        only the stream still has those. Take it for gone once it has ended.
-    :param kv_tokens: how many tokens' KV cache that engine can still export.
-    :param cached_tokens: of the prompt, at the engine that would go on.
-    :param continuable: whether the request's form allows a generated prefix.
+    """State of a request when its stream is lost.
+
+    :param prompt_tokens: tokens of the prompt.
+    :param generated_tokens: tokens of the answer so far.
+    :param stream_reachable: whether the engine that had the stream responds and
+        still has it. After a take-over this also holds for an engine that is
+        leaving or has cancelled the stream: the caller may have events that the
+        copy lacks, and only the stream has those. False once it has ended.
+    :param kv_tokens: number of tokens whose KV cache that engine can export.
+    :param cached_tokens: prompt tokens cached at the engine that would continue.
+    :param continuable: whether the request can be continued from its text.
     """
 
     prompt_tokens: int
@@ -63,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumePlan:
-    """The way chosen.
+    """A method of resuming an answer, with its costs.
 
     :param recomputed_tokens: tokens that are computed a second time.
-    :param estimated: time until the next token.
+    :param estimated: estimated time until the next token.
     """
 
     kind: ResumeKind
@@ -78,10 +79,10 @@
 
 
 def plan_resume(context: ResumeFacts, costs: ResumeCosts = DEFAULT_COSTS) -> ResumePlan:
-    """Choose how an answer goes on.
+    """Choose how to resume an answer.
 
-    When the way chosen fails, take the fact away that it rested on and ask
-    again: each answer leads to a cheaper or a surer way, and to an end.
+    If the chosen method fails, clear the field that allowed it and call this
+    again. Each call excludes one more method, so that the retries end.
 
     :returns: ``IMPOSSIBLE`` if the answer can only end with an error.
     """
@@ -89,7 +90,7 @@
 
 
 def list_plans(context: ResumeFacts, costs: ResumeCosts) -> list[ResumePlan]:
-    """Return all the ways that the facts allow, with what each costs."""
+    """Return all possible plans with their costs."""
     plans = []
     if context.stream_reachable:
         plans.append(ResumePlan(ResumeKind.ENGINE_STREAM, 0, costs.call_time))
@@ -108,7 +109,7 @@
     missing = max(0, total - context.kv_tokens)
     size = context.kv_tokens * costs.kv_bytes_per_token
     moving = timedelta(seconds=size / costs.kv_bytes_per_second)
-    # Export, import, and the call that goes on.
+    # Export, import, and the call that continues the answer.
     calls = 3 * costs.call_time
     estimated = calls + moving + _estimate_prefill(missing, costs)
     return ResumePlan(ResumeKind.KV_IMPORT, missing, estimated)
--- a/libs/recovery/fireflyhitch_recovery/settings.py
+++ b/libs/recovery/fireflyhitch_recovery/settings.py
@@ -1,4 +1,4 @@
-"""Bounds of hand-overs: sizes, rates and patience."""
+"""Limits of hand-overs: sizes, rates and timeouts."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,20 +17,25 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverSettings:
-    """How much passes between daemons, and how fast.
+    """Limits of hand-overs between daemons.
 
-    :param max_requests: how many taken-over requests a daemon holds at once.
-    :param max_total_bytes: how much memory those may take in all.
-    :param max_request_bytes: a request with its answer that is larger than this
-        stays; a message on a peer link may have 1.25 MB.
+    :param max_requests: maximum number of requests that a daemon holds for peers
+        or has taken over, at once.
+    :param max_total_bytes: maximum memory of those requests together.
+    :param max_request_bytes: a request that is larger than this, with its
+        answer, is not moved; a message on a peer link may have 1.25 MB.
     :param batch_requests: requests in one transfer; they are held meanwhile.
-    :param bytes_per_second: at which one daemon sends.
-    :param ask_timeout: how long a peer may take to answer.
-    :param retry_interval: before all peers are tried again.
-    :param confirm_timeout: after which a receiver that has no confirmation
-        finds out what became of the sender.
-    :param max_offers: how many peers are compared for room.
-    :param directory_size: how many daemons know where a moved request is.
+    :param batch_bytes: maximum bytes in one transfer, unless one request is
+        larger.
+    :param bytes_per_second: rate at which one daemon sends.
+    :param ask_timeout: time that a peer has to reply.
+    :param retry_interval: delay before all peers are tried again.
+    :param confirm_timeout: time after which a receiver without a confirmation
+        checks whether the sender still answers the request.
+    :param max_offers: number of peers whose free capacity is compared.
+    :param directory_size: number of daemons that store a moved request's location.
+    :param max_locations: number of locations that a daemon stores.
+    :param location_ttl: lifetime of a stored location.
     """
 
     max_requests: int = MAX_REQUESTS
--- a/libs/recovery/fireflyhitch_recovery/transfer_batches.py
+++ b/libs/recovery/fireflyhitch_recovery/transfer_batches.py
@@ -1,4 +1,4 @@
-"""Requests on their way to a peer, in batches."""
+"""Batches of requests for transfer to a peer."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -13,10 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverReport:
-    """What became of the requests that were to be handed over.
+    """Result of a hand-over.
 
-    :param moved: taken by a peer.
-    :param left: nobody took them in time; they are still answered here.
+    :param moved: requests that a peer has taken over.
+    :param left: requests that no peer took over in time; they are still answered
+        here.
     """
 
     moved: tuple[RequestId, ...]
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class MovedRequest:
-    """A request that a peer has, and what it was held as here."""
+    """A request that a peer has taken over, with its state at the hand-over."""
 
     tracked: TrackedRequest
     peer: DaemonId
@@ -33,14 +34,14 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What one transfer carries; its size in bytes."""
+    """The requests of one transfer and their size in bytes."""
 
     requests: list[TrackedRequest] = field(default_factory=list)
     size: int = 0
 
 
 def pop_batch(pending: deque[TrackedRequest], settings: HandOverSettings) -> Batch:
-    """Take the next requests that go into one transfer."""
+    """Remove and return the next requests that fit into one transfer."""
     batch = Batch()
     while pending and len(batch.requests) < settings.batch_requests:
         size = measure_request(pending[0])
@@ -52,17 +53,17 @@
 
 
 def is_active(tracked: TrackedRequest) -> bool:
-    """Tell whether a request is still answered."""
+    """Return whether a request has not finished."""
     return tracked.finished is None
 
 
 def is_taken_over(tracked: TrackedRequest, confirmed: Iterable[RequestId]) -> bool:
-    """Tell whether a peer has a request."""
-    # The peer's word that it has the request may also come before its answer
-    # to the confirmation, or in place of it.
+    """Return whether a peer has taken a request over."""
+    # The peer's location update may arrive before its reply to the confirmation,
+    # or the reply may be lost.
     return get_request_id(tracked) in confirmed or tracked.log.state is LogState.MOVED
 
 
 def get_request_id(tracked: TrackedRequest) -> RequestId:
-    """Return a request's id."""
+    """Return the id of a request."""
     return tracked.accepted.call.request_id
--- a/libs/recovery/tests/conftest.py
+++ b/libs/recovery/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Daemons that hand requests over to each other, in passed time."""
+"""Fixtures: daemons that hand requests over to each other, on a manual clock."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -24,7 +24,7 @@
 
 
 class Node:
-    """A daemon's part in recovery."""
+    """The recovery components of one daemon."""
 
     def __init__(self, cluster, name, domain):
         self.name = DaemonId(name)
--- a/libs/recovery/tests/test_answers.py
+++ b/libs/recovery/tests/test_answers.py
@@ -38,23 +38,23 @@
 
 
 class TestEventIds:
-    """Ids as callers see them."""
+    """Event ids in ``Last-Event-ID``."""
 
     @pytest.mark.parametrize('text', ['0', '12', '7.2-1a2b'])
-    def test_ids_survive_the_way_to_the_caller_and_back(self, text):
+    def test_ids_round_trip(self, text):
         event = parse_event_id(text)
         assert format_event_id(event.number, event.attempt) == text
 
-    def test_foreign_id_is_refused(self):
+    def test_malformed_id_is_rejected(self):
         with pytest.raises(RequestError) as caught:
             parse_event_id('x9')
         assert caught.value.status == 400
 
 
 class TestHold:
-    """Holding, lifting and moving an answer."""
+    """Holding, releasing and moving an answer."""
 
-    def test_held_events_wait_until_the_hold_is_lifted(self, log):
+    def test_held_events_wait_until_the_hold_is_released(self, log):
         stream = log.current()
         assert stream.append(b'1')
         copy = log.hold()
@@ -64,7 +64,7 @@
         assert read(log) == (b'1', b'2')
         assert stream.append(b'3')
 
-    def test_moved_answer_stays_as_it_was_given_away(self, log):
+    def test_moved_answer_does_not_change(self, log):
         log.current().append(b'1')
         log.hold()
         log.move()
@@ -74,7 +74,7 @@
         assert read(log) == (b'1',)
         assert log.open_attempt() is None
 
-    def test_end_behind_a_hold_is_not_shown(self, log):
+    def test_end_after_a_hold_is_not_reported(self, log):
         stream = log.current()
         stream.append(b'1')
         log.hold()
@@ -84,11 +84,11 @@
         log.release_hold()
         assert log.read_after(0).end is AnswerEnd.COMPLETE
 
-    def test_hold_against_a_busy_writer_neither_loses_nor_repeats(self, log):
-        """One thread appends without a lock while another holds and lifts.
+    def test_hold_with_a_concurrent_writer_neither_loses_nor_repeats(self, log):
+        """One thread appends without a lock while another holds and releases.
 
-        What the writer was told it may relay lies before the hold's cut; in
-        the end each event is there once, in order.
+        Events that the writer may relay precede the hold, so a held answer must
+        not grow. In the end each event must be present once, in order.
         """
         stream = log.current()
         total = 20000
@@ -112,9 +112,9 @@
 
 
 class TestAttempts:
-    """An answer that a second stream goes on with."""
+    """Answers that a second attempt continues."""
 
-    def test_late_event_of_the_old_attempt_is_dropped(self, log):
+    def test_late_event_of_the_previous_attempt_is_dropped(self, log):
         old = log.current()
         old.append(b'1')
         new = log.open_attempt()
@@ -123,11 +123,11 @@
         assert read(log) == (b'1', b'2')
         assert log.lineage[-1].first == 2
 
-    def test_caller_with_another_continuation_is_refused(self, log):
-        """Two daemons went on with one answer while cut off from each other.
+    def test_caller_with_another_continuation_is_rejected(self, log):
+        """Two daemons continued one answer during a network partition.
 
-        The caller read events 2 and 3 from one and asks the other for the
-        rest. It is told that its part is lost instead of a mixed answer.
+        The caller read events 2 and 3 from one and requests the rest from the
+        other. It must get an error instead of a mixed answer.
         """
         log.current().append(b'1')
         log.open_attempt().extend([b'2', b'3', b'4'])
@@ -139,11 +139,11 @@
         same = EventId(3, log.lineage[-1].attempt)
         assert other.wait_after(same, ManualClock(), NOW).events == (b'4',)
 
-    def test_caller_ahead_of_a_copy_waits_for_it(self, log):
+    def test_caller_ahead_of_a_copy_gets_no_events(self, log):
         log.current().append(b'1')
         assert not log.wait_after(EventId(5), ManualClock(), NOW).events
 
-    def test_copy_with_a_gap_is_refused(self):
+    def test_copy_with_a_gap_violates_the_invariant(self):
         with pytest.raises(InvariantError):
             AnswerLog(
                 DaemonId('gent'),
@@ -154,7 +154,7 @@
 
 
 class TestReaders:
-    """Callers that wait for more."""
+    """Readers that wait for events."""
 
     def test_waiting_reader_is_woken_by_the_next_event(self, log):
         reader = AnswerReader(log, START)
--- a/libs/recovery/tests/test_choices.py
+++ b/libs/recovery/tests/test_choices.py
@@ -1,4 +1,4 @@
-"""Tests of the pure choices: how to resume, what to move, how to continue."""
+"""Tests of resume plans, reclaim plans, continuation requests and drain."""
 
 import json
 from datetime import timedelta
@@ -27,9 +27,9 @@
 
 
 class TestPlanResume:
-    """The way that costs least."""
+    """The cheapest method of resuming is chosen."""
 
-    def test_engine_stream_computes_nothing_again(self):
+    def test_engine_stream_recomputes_nothing(self):
         context = ResumeFacts(1000, 50, stream_reachable=True, kv_tokens=1050)
         plan = plan_resume(context)
         assert (plan.kind, plan.recomputed_tokens) == (ResumeKind.ENGINE_STREAM, 0)
@@ -44,24 +44,24 @@
         assert plan.kind is ResumeKind.GENERATED_PREFIX
         assert plan.recomputed_tokens == 50
 
-    def test_slow_link_makes_the_import_dear(self):
+    def test_slow_link_makes_prefix_cheaper_than_import(self):
         slow = ResumeCosts(kv_bytes_per_second=1e6)
         plan = plan_resume(ResumeFacts(1000, 50, kv_tokens=1050), slow)
         assert plan.kind is ResumeKind.GENERATED_PREFIX
 
-    def test_answer_that_cannot_be_continued_ends(self):
+    def test_answer_that_cannot_be_continued_is_impossible_to_resume(self):
         context = ResumeFacts(1000, 50, kv_tokens=1050, continuable=False)
         assert plan_resume(context).kind is ResumeKind.IMPOSSIBLE
 
-    def test_answer_without_events_starts_anew_even_so(self):
+    def test_uncontinuable_answer_without_events_is_restarted(self):
         plan = plan_resume(ResumeFacts(1000, 0, continuable=False))
         assert plan.kind is ResumeKind.GENERATED_PREFIX
 
 
 class TestPlanReclaim:
-    """What stays and what moves."""
+    """Which requests stay and which move."""
 
-    def test_moves_what_cannot_finish_urgent_and_longest_first(self):
+    def test_requests_that_cannot_finish_move_urgent_and_longest_first(self):
         def progress(name, priority, tokens):
             return RequestProgress(
                 RequestId(name), priority, tokens, timedelta(milliseconds=50)
@@ -79,7 +79,7 @@
         assert plan.finish == ('short',)
         assert plan.move == ('urgent', 'longer', 'long')
 
-    def test_no_time_left_moves_all(self):
+    def test_without_time_left_all_requests_move(self):
         request = RequestProgress(RequestId('a'), Priority.NORMAL, 1, timedelta(1))
         assert plan_reclaim(timedelta(), [request]).move == ('a',)
 
@@ -89,9 +89,9 @@
 
 
 class TestContinuation:
-    """The request that goes on, and its events."""
+    """Continuation requests and their events."""
 
-    def test_chat_goes_on_with_its_last_message(self):
+    def test_chat_continues_its_last_message(self):
         body = json.dumps(
             {'messages': [{'role': 'user', 'content': 'hi'}], 'max_tokens': 10}
         ).encode()
@@ -108,7 +108,7 @@
         )
         assert request['max_tokens'] == 8
 
-    def test_continuation_of_a_continuation_has_one_last_message(self):
+    def test_continuing_twice_keeps_one_last_message(self):
         messages = [{'role': 'assistant', 'content': 'a'}]
         body = json.dumps(
             {'messages': messages, 'continue_final_message': True}
@@ -117,21 +117,21 @@
         request = json.loads(build_continuation(CompletionKind.CHAT, body, generated))
         assert request['messages'] == [{'role': 'assistant', 'content': 'a b'}]
 
-    def test_completion_goes_on_behind_its_prompt(self):
+    def test_text_completion_continues_its_prompt(self):
         body = json.dumps({'prompt': 'x', 'max_tokens': 3}).encode()
         generated = read_generated([chunk(text=' y')])
         request = json.loads(build_continuation(CompletionKind.TEXT, body, generated))
         assert request == {'prompt': 'x y', 'max_tokens': 2}
 
     @pytest.mark.parametrize('extra', [{'n': 2}, {'tools': [1]}])
-    def test_answers_that_are_more_than_text_are_not_continued(self, extra):
+    def test_answer_with_state_beyond_its_text_is_not_continuable(self, extra):
         assert not is_continuable(json.dumps({'prompt': 'x', **extra}).encode())
 
-    def test_remaining_tokens_follow_the_request_or_the_default(self):
+    def test_remaining_tokens_use_the_request_limit_or_the_default(self):
         assert count_remaining(b'{"max_tokens": 10}', 4, 99) == 6
         assert count_remaining(b'{}', 4, 99) == 95
 
-    def test_continued_events_are_of_the_whole_answer(self):
+    def test_continued_events_get_id_and_usage_of_the_whole_answer(self):
         event = json.dumps(
             {
                 'id': 'new',
@@ -143,12 +143,12 @@
         assert adapted['id'] == 'x'
         assert adapted['usage'] == {'prompt_tokens': 10, 'completion_tokens': 5}
 
-    def test_finish_is_noticed(self):
+    def test_finish_reason_marks_the_text_finished(self):
         assert read_generated([chunk(text='', finish_reason='stop')]).finished
 
 
 class TestDrain:
-    """A daemon's way out."""
+    """Drain states and deadlines."""
 
     def test_graceful_stop_waits_for_the_last_request(self):
         drain = Drain(ManualClock())
@@ -157,7 +157,7 @@
         assert drain.read_time_left() is None
         assert drain.stop_if_done(0) and drain.state is DrainState.STOPPED
 
-    def test_sooner_end_counts(self):
+    def test_earliest_deadline_applies(self):
         clock = ManualClock()
         drain = Drain(clock)
         drain.start(timedelta(seconds=30))
--- a/libs/recovery/tests/test_handover.py
+++ b/libs/recovery/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of hand-overs between daemons and of what goes wrong in them."""
+"""Tests of hand-overs between daemons, with and without faults."""
 
 import cbor2
 import pytest
@@ -10,7 +10,7 @@
 
 
 class DaemonKilled(Exception):
-    """Ends a daemon in the middle of its work."""
+    """Stops a daemon in the middle of a hand-over."""
 
 
 def ids(*tracked):
@@ -18,7 +18,7 @@
 
 
 class TestHandOver:
-    """A hand-over without faults."""
+    """Hand-overs without faults."""
 
     def test_request_moves_to_another_failure_domain_with_its_answer(self, cluster):
         tracked = cluster.accept()
@@ -31,7 +31,7 @@
         assert taken_over.placement == tracked.placement
         assert tracked.log.state is LogState.MOVED
 
-    def test_caller_reads_nothing_that_the_peer_was_not_given(self, cluster):
+    def test_caller_reads_no_event_that_the_peer_did_not_receive(self, cluster):
         tracked = cluster.accept()
         real_ask = cluster.network.messengers['a1'].ask
         relayed = []
@@ -57,10 +57,9 @@
             assert node.locate(tracked) == holder
 
     def test_request_that_stays_with_a_leaving_daemon_is_found(self, cluster):
-        """A daemon leaves, and finishes a request that fits into its notice.
+        """A leaving daemon finishes a request, and its peers no longer list it as live.
 
-        The others do not count it as live any more. A caller who comes back
-        through one of them is still sent to it.
+        A caller that reconnects through a peer must still be directed to it.
         """
         tracked = cluster.accept()
         for messenger in cluster.network.messengers.values():
@@ -71,13 +70,13 @@
         for name in ('a2', 'b1', 'c1'):
             assert cluster.nodes[name].locate(tracked) == 'a1'
 
-    def test_other_customers_do_not_find_it(self, cluster):
+    def test_other_customers_do_not_find_a_request(self, cluster):
         tracked = cluster.accept()
         find = cluster.nodes['a1'].in_flight.find_for
         assert find(*ids(tracked), CustomerId('customer')) is tracked
         assert find(*ids(tracked), CustomerId('other')) is None
 
-    def test_requests_spread_over_the_peers_with_room(self, make_cluster):
+    def test_requests_spread_over_peers_with_capacity(self, make_cluster):
         cluster = make_cluster(batch_requests=2)
         for name in ('b1', 'c1'):
             cluster.nodes[name].capacity = 5
@@ -100,14 +99,14 @@
         assert cluster.nodes['b1'].hand_over.reception.count_bytes() == 0
         assert len(cluster.nodes['a1'].move(*left).moved) == 2
 
-    def test_request_too_large_for_a_message_stays(self, make_cluster):
+    def test_request_above_the_message_size_limit_is_not_moved(self, make_cluster):
         cluster = make_cluster(max_request_bytes=5000)
         large = cluster.accept(body=bytes(6000))
         small = cluster.accept()
         report = cluster.nodes['a1'].move(large, small)
         assert (report.moved, report.left) == (ids(small), ids(large))
 
-    def test_second_notice_moves_a_request_on(self, cluster):
+    def test_request_can_be_handed_over_twice(self, cluster):
         tracked = cluster.accept()
         cluster.nodes['a1'].move(tracked)
         holder = cluster.holder(tracked)
@@ -116,36 +115,36 @@
         assert second != holder
         assert cluster.nodes['a2'].locate(tracked) == second
 
-    def test_messages_survive_the_wire(self, cluster):
+    def test_messages_round_trip(self, cluster):
         tracked = cluster.accept(events=(b'\xff',))
         wire = WireRequest.pack(tracked, tracked.log.copy(), 3, 5.0)
         message = Transfer(requests=(wire,))
         decoded = cbor2.loads(cbor2.dumps(message.model_dump()))
         assert Transfer.model_validate(decoded) == message
 
-    def test_clock_of_the_receiver_is_used(self, cluster):
+    def test_times_are_converted_to_the_receivers_clock(self, cluster):
         tracked = cluster.accept()
         wire = WireRequest.pack(tracked, tracked.log.copy(), 1, 10.0)
         call = wire.unpack_accepted(1000.0).call
         assert (call.arrived, call.deadline) == (990.0, 1050.0)
 
-    def test_second_registration_breaks_the_invariant(self, cluster):
+    def test_second_registration_violates_the_invariant(self, cluster):
         tracked = cluster.accept()
         with pytest.raises(InvariantError):
             cluster.nodes['a1'].in_flight.register(tracked.accepted)
 
-    def test_peer_of_the_same_failure_domain_is_better_than_none(self, cluster):
+    def test_peer_of_the_same_failure_domain_is_the_fallback(self, cluster):
         for peer in ('b1', 'c1'):
             cluster.nodes[peer].capacity = 0
         tracked = cluster.accept()
         cluster.nodes['a1'].move(tracked)
         assert cluster.holder(tracked) == 'a2'
 
-    def test_answer_that_ends_while_it_is_handed_over_is_the_peers(self, cluster):
-        """The last event comes while the request is held, then the peer has it.
+    def test_answer_that_ends_during_its_hand_over_is_the_peers(self, cluster):
+        """The last event is appended while the request is held for the hand-over.
 
-        The caller has not read that event here and is sent to the peer; this
-        daemon must not answer for it any more.
+        The caller has not read that event and is directed to the peer, so this
+        daemon must no longer count as the request's location.
         """
         tracked = cluster.accept()
         real_ask = cluster.network.messengers['a1'].ask
@@ -162,18 +161,19 @@
 
 
 class TestFaults:
-    """Hand-overs in which somebody dies or is cut off."""
+    """Hand-overs in which a daemon crashes or a link fails."""
 
-    def test_peer_that_does_not_answer_is_passed_over(self, cluster):
+    def test_unresponsive_peer_is_skipped(self, cluster):
         tracked = cluster.accept()
         cluster.network.separate('a1', 'b1')
         cluster.nodes['a1'].move(tracked)
         assert cluster.holders(tracked) == ['c1']
 
-    def test_nobody_in_reach_leaves_the_request_here(self, cluster):
-        """All peers are cut off until the time is over.
+    def test_request_stays_if_no_peer_is_reachable(self, cluster):
+        """All peers are unreachable until the hand-over times out.
 
-        The answer goes on here, with the events that came while it was held.
+        The answer must continue here, including the events appended during the
+        hold.
         """
         tracked = cluster.accept()
         for peer in ('a2', 'b1', 'c1'):
@@ -183,10 +183,10 @@
         assert tracked.log.current().append(b'3')
 
     def test_lost_confirmation_leaves_one_answer(self, cluster):
-        """A peer takes a request over, and its answers are lost.
+        """A peer takes a request over, but its replies are lost.
 
-        The sender goes on and gives the request to another peer. The first
-        learns that it was passed over, and gives its copy up.
+        The sender continues and moves the request to another peer. The first
+        peer must receive the new location and release its copy.
         """
         tracked = cluster.accept()
         real_ask = cluster.network.messengers['a1'].ask
@@ -206,21 +206,21 @@
         dropped = cluster.nodes[confirms[0]].taken_over[-1]
         assert dropped.log.state is LogState.MOVED
 
-    def test_sender_that_dies_after_its_transfer_is_made_up_for(self, cluster):
-        """The sender is killed between transfer and confirmation.
+    def test_peer_continues_if_the_sender_crashes_after_its_transfer(self, cluster):
+        """The sender crashes between transfer and confirmation.
 
-        The peer waits for the confirmation, finds the sender gone, and goes on
-        by itself from what the caller can have read.
+        After the confirmation timeout the peer finds the sender gone and must
+        continue the request from what the caller can have read.
         """
         tracked = cluster.accept()
         real_ask = cluster.network.messengers['a1'].ask
 
-        def die_before_confirming(peer, message, timeout):
+        def crash_before_confirming(peer, message, timeout):
             if isinstance(message, Confirm):
                 raise DaemonKilled
             return real_ask(peer, message, timeout)
 
-        cluster.network.messengers['a1'].ask = die_before_confirming
+        cluster.network.messengers['a1'].ask = crash_before_confirming
         with pytest.raises(DaemonKilled):
             cluster.nodes['a1'].move(tracked)
         cluster.kill('a1')
@@ -231,10 +231,10 @@
         holder = cluster.holder(tracked)
         assert cluster.nodes['a2'].locate(tracked) == holder
 
-    def test_peer_that_dies_after_taking_over_is_made_up_for(self, cluster):
-        """The peer is killed while the sender is still there.
+    def test_request_moves_again_if_the_peer_crashes(self, cluster):
+        """The peer crashes while the sender is still running.
 
-        The sender notices, and hands the request to a second peer.
+        The sender must detect this and hand the request over to a second peer.
         """
         tracked = cluster.accept()
         cluster.nodes['a1'].move(tracked)
@@ -248,11 +248,11 @@
             b'2',
         )
 
-    def test_request_that_came_back_is_not_taken_back_again(self, cluster):
-        """A peer hands a request back to the daemon that it had it from.
+    def test_returned_request_is_not_restored_again(self, cluster):
+        """A peer hands a request back to its sender and crashes later.
 
-        When that peer dies later, the daemon has the request itself and must
-        not set a second answer beside the one under way.
+        The sender answers the request already and must not start a second
+        answer to it.
         """
         tracked = cluster.accept()
         cluster.nodes['c1'].capacity = 0
@@ -265,7 +265,7 @@
         assert cluster.holder(tracked) == 'a1'
         assert len(cluster.nodes['a1'].taken_over) == 1
 
-    def test_request_is_answered_here_if_no_second_peer_is_left(self, cluster):
+    def test_request_is_answered_here_if_no_peer_is_left(self, cluster):
         tracked = cluster.accept()
         cluster.nodes['a1'].move(tracked)
         for name in ('a2', 'b1', 'c1'):
@@ -274,10 +274,10 @@
         assert cluster.holders(tracked) == ['a1']
         assert cluster.nodes['a1'].taken_over
 
-    def test_protected_request_survives_an_early_death(self, cluster):
-        """A request could finish in time, but its daemon dies sooner.
+    def test_replicated_request_survives_an_early_crash(self, cluster):
+        """A request could finish in time, but its daemon crashes first.
 
-        A peer has a copy, notices that the daemon is gone, and goes on.
+        The peer with the replica must detect the crash and continue the request.
         """
         tracked = cluster.accept()
         assert cluster.nodes['a1'].hand_over.protect(ids(tracked)) == ids(tracked)
@@ -292,11 +292,11 @@
             survivor.check()
         assert len(cluster.holders(tracked)) == 1
 
-    def test_protecting_copy_follows_the_request_to_another_engine(self, cluster):
-        """The engine of a protected request is lost, and later its daemon.
+    def test_replica_is_refreshed_after_a_change_of_engine(self, cluster):
+        """A replicated request changes its engine, and then its daemon crashes.
 
-        The peer goes on from the newer copy; with the first one it would lack
-        what the caller has read from the second engine.
+        The peer must continue from the newer replica: the first one lacks the
+        events that the caller has read from the second engine.
         """
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
@@ -309,10 +309,10 @@
         holder = cluster.nodes[cluster.holder(tracked)]
         assert holder.find(tracked).log.read_after(0).events == (b'1', b'2', b'3')
 
-    def test_protecting_copy_leaves_a_peer_that_leaves(self, cluster):
-        """The peer that keeps a copy gets a notice of its own.
+    def test_replica_moves_away_from_a_leaving_peer(self, cluster):
+        """The peer that holds a replica starts to leave, too.
 
-        It refuses the next copy, which goes to another peer.
+        It refuses the next copy, which must go to another peer.
         """
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
@@ -330,7 +330,7 @@
             node.check()
         assert cluster.holder(tracked) != with_replica[0].name
 
-    def test_protecting_copy_goes_when_the_request_ends(self, cluster):
+    def test_replica_is_withdrawn_when_the_request_ends(self, cluster):
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
         cluster.nodes['a1'].in_flight.finish(tracked, AnswerEnd.COMPLETE)
@@ -347,7 +347,7 @@
 
 
 class TestRetention:
-    """Finished answers for callers who come back."""
+    """Retention of finished answers."""
 
     def test_finished_answer_is_kept_for_a_while(self, cluster):
         tracked = cluster.accept()
--- a/libs/recovery/tests/test_recovery_machine.py
+++ b/libs/recovery/tests/test_recovery_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of daemons that hand over, die and are cut off at any time."""
+"""A state machine of daemons that hand over, crash and lose links at any time."""
 
 from datetime import timedelta
 
@@ -22,7 +22,7 @@
 
 
 class MachineCaller:
-    """Reads one answer and checks that it stays one answer."""
+    """Reads one answer and checks that it never mixes two continuations."""
 
     def __init__(self, tracked):
         self.request_id = tracked.accepted.call.request_id
@@ -51,11 +51,11 @@
         self.received += part.events
         whole = self.log.read_after(0).events
         shared = min(len(self.received), len(whole))
-        assert self.received[:shared] == whole[:shared], 'mixed up'
+        assert self.received[:shared] == whole[:shared], 'mixed answers'
 
 
 class RecoveryMachine(RuleBasedStateMachine):
-    """Each take-over goes on with other words, so that a mixture would show."""
+    """Each continuation generates different events, so that a mix is detected."""
 
     def __init__(self, make_cluster):
         super().__init__()
@@ -160,10 +160,10 @@
 
 
 class TestRecoveryMachine:
-    """Random runs of the machine, the same ones each time."""
+    """Random but reproducible runs of the machine."""
 
     def test_answers_are_never_mixed(self, make_cluster):
-        # Without shrinking, which takes minutes here, a failure is shown at once.
+        # No shrinking: it takes minutes here and delays the failure report.
         bounds = settings(
             max_examples=100,
             stateful_step_count=30,
