--- a/libs/ledger/fireflyhitch_ledger/committer.py
+++ b/libs/ledger/fireflyhitch_ledger/committer.py
@@ -153,7 +153,7 @@
 
     def _build_timeout(self, outcome: Outcome) -> PlatformError:
         return PlatformError(
-            'store request timed out', step=Step.STORE_WRITE, outcome=outcome
+            'store request too slow', step=Step.STORE_WRITE, outcome=outcome
         )
 
     def _wait_for_write_slot(self) -> None:
@@ -208,7 +208,9 @@
                 # The cached record may be stale; read it again.
                 self._record = None
         raise PlatformError(
-            'too many write conflicts', step=Step.STORE_WRITE, outcome=Outcome.NOT_RUN
+            'lost too many write conflicts',
+            step=Step.STORE_WRITE,
+            outcome=Outcome.NOT_RUN,
         )
 
     def _apply(
--- a/libs/recovery/fireflyhitch_recovery/handover.py
+++ b/libs/recovery/fireflyhitch_recovery/handover.py
@@ -123,7 +123,7 @@
         left = tuple(one for one in wanted if one not in moved and self._is_active(one))
         if left:
             logger.bind(step=Step.HAND_OVER.value).warning(
-                '{} requests moved, {} not moved', len(moved), len(left)
+                '{} requests moved, {} left on this daemon', len(moved), len(left)
             )
         return HandOverReport(tuple(moved), left)
 
@@ -407,7 +407,7 @@
             return self._messenger.ask(peer, message, self._settings.ask_timeout)
         except PeerError as error:
             logger.bind(step=Step.HAND_OVER.value, peer=error.peer).debug(
-                'no reply to {}', message.kind
+                'no answer to {}', message.kind
             )
             self._failed_peers.add(peer)
             return None
