--- a/libs/ledger/fireflyhitch_ledger/committer.py
+++ b/libs/ledger/fireflyhitch_ledger/committer.py
@@ -125,11 +125,11 @@
             self._queue.clear()
         if batch:
             self._commit_batch(batch)
-        self._pass_lead()
+        self._pass_leadership()
         for ticket in batch:
             ticket.finish(ticket)
 
-    def _pass_lead(self) -> None:
+    def _pass_leadership(self) -> None:
         with self._lock:
             successor = self._queue[0] if self._queue else None
             self._has_leader = successor is not None
@@ -146,14 +146,14 @@
         if queued and ticket.leading:
             # It became the leader while timing out; without a successor the
             # shard's queue would hang.
-            self._pass_lead()
+            self._pass_leadership()
         if ticket.result is not None:
             return ticket.result
         raise self._build_timeout(Outcome.NOT_RUN if queued else Outcome.UNKNOWN)
 
     def _build_timeout(self, outcome: Outcome) -> PlatformError:
         return PlatformError(
-            'store request too slow', step=Step.STORE_WRITE, outcome=outcome
+            'store too slow, request timed out', step=Step.STORE_WRITE, outcome=outcome
         )
 
     def _wait_for_write_slot(self) -> None:
@@ -178,7 +178,7 @@
     def _commit_operations(
         self, operations: tuple[Operation, ...]
     ) -> tuple[OperationResult, ...]:
-        attempt = _BatchState(operations)
+        batch_state = _BatchState(operations)
         retrying = Retrying(
             stop=stop_after_attempt(MAX_STORE_ATTEMPTS),
             wait=wait_random_exponential(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS),
@@ -187,22 +187,22 @@
             reraise=True,
         )
         try:
-            return retrying(self._try_commit, attempt)
+            return retrying(self._try_commit, batch_state)
         except PlatformError as error:
             self._record = None
             error.outcome = (
-                Outcome.UNKNOWN if attempt.may_be_written else Outcome.NOT_RUN
+                Outcome.UNKNOWN if batch_state.may_be_written else Outcome.NOT_RUN
             )
             raise
 
-    def _try_commit(self, attempt: '_BatchState') -> tuple[OperationResult, ...]:
+    def _try_commit(self, batch_state: '_BatchState') -> tuple[OperationResult, ...]:
         for _ in range(MAX_CONFLICTS):
-            record = self._record or self._read(attempt)
-            applied = self._apply(attempt.operations, record)
+            record = self._record or self._read(batch_state)
+            applied = self._apply(batch_state.operations, record)
             if applied.changed:
-                if self._write(applied, attempt):
+                if self._write(applied, batch_state):
                     return applied.results
-            elif attempt.fresh or applied.is_final:
+            elif batch_state.fresh or applied.is_final:
                 return applied.results
             else:
                 # The cached record may be stale; read it again.
@@ -219,12 +219,12 @@
         now = self._clock.now().timestamp()
         return apply_operations(operations, record, now, self._settings)
 
-    def _read(self, attempt: '_BatchState') -> ShardRecord:
+    def _read(self, batch_state: '_BatchState') -> ShardRecord:
         record = self._cache(self._store.get(self._key))
-        attempt.fresh = True
+        batch_state.fresh = True
         return record
 
-    def _write(self, applied: ApplyResult, attempt: '_BatchState') -> bool:
+    def _write(self, applied: ApplyResult, batch_state: '_BatchState') -> bool:
         encoded = encode_record(applied.record)
         try:
             written = self._store.put_if(self._key, encoded, self._revision)
@@ -232,11 +232,11 @@
             # The write may have taken effect. The next try reads the record,
             # where the attempt ids show whether it did.
             self._record = None
-            attempt.may_be_written |= error.outcome is not Outcome.NOT_RUN
+            batch_state.may_be_written |= error.outcome is not Outcome.NOT_RUN
             raise
         if isinstance(written, Conflict):
             self._cache(written.current)
-            attempt.fresh = True
+            batch_state.fresh = True
             return False
         self._record = applied.record
         self._revision = written.revision
--- a/libs/recovery/fireflyhitch_recovery/handover.py
+++ b/libs/recovery/fireflyhitch_recovery/handover.py
@@ -89,7 +89,7 @@
         self._failed_peers: set[DaemonId] = set()
         self._leaving = False
         self._handled: set[RequestId] = set()
-        in_flight.observe(self._withdraw_copy)
+        in_flight.observe(self._withdraw_replica)
 
     def hand_over(
         self, request_ids: Iterable[RequestId], time_left: timedelta
@@ -232,34 +232,35 @@
         same_domain = [
             peer.daemon_id for peer in peers if peer.failure_domain == own_domain
         ]
-        return self._find_most_capacity(
+        return self._choose_by_capacity(
             other_domain, pending
-        ) or self._find_most_capacity(same_domain, pending)
+        ) or self._choose_by_capacity(same_domain, pending)
 
-    def _find_most_capacity(
+    def _choose_by_capacity(
         self, candidates: list[DaemonId], pending: Iterable[TrackedRequest]
     ) -> DaemonId | None:
-        """Query peers until ``max_offers`` of them report free capacity.
+        """Return the peer with the most capacity, or ``None`` if all are full.
 
-        Each daemon queries in another order. Otherwise all daemons of a failure
-        domain that leave together would fill the same peer first.
+        Peers are queried until ``max_compared_peers`` of them have capacity. Each
+        daemon queries in another order. Otherwise all daemons of a failure domain
+        that leave together would fill the same peer first.
         """
         sizes = [len(tracked.accepted.body) for tracked in pending]
-        offer = CapacityQuery(requests=len(sizes), size=sum(sizes))
+        query = CapacityQuery(requests=len(sizes), size=sum(sizes))
         best: DaemonId | None = None
         max_capacity = 0
-        with_capacity = 0
+        num_with_capacity = 0
         for candidate in rank_by_hash(self._daemon.daemon_id, candidates):
-            capacity = self._request_capacity(candidate, offer)
+            capacity = self._request_capacity(candidate, query)
             if capacity > max_capacity:
                 best, max_capacity = candidate, capacity
-            with_capacity += capacity > 0
-            if with_capacity >= self._settings.max_offers:
+            num_with_capacity += capacity > 0
+            if num_with_capacity >= self._settings.max_compared_peers:
                 break
         return best
 
-    def _request_capacity(self, peer: DaemonId, offer: CapacityQuery) -> int:
-        reply = self._ask(peer, offer)
+    def _request_capacity(self, peer: DaemonId, query: CapacityQuery) -> int:
+        reply = self._ask(peer, query)
         if not isinstance(reply, CapacityReply) or not reply.size:
             return 0
         return reply.requests
@@ -392,7 +393,7 @@
         with self._lock:
             self._replicas.update((request_id, peer) for request_id in kept)
 
-    def _withdraw_copy(self, request_id: RequestId) -> None:
+    def _withdraw_replica(self, request_id: RequestId) -> None:
         with self._lock:
             peer = self._replicas.pop(request_id, None)
         if peer is not None:
--- a/libs/recovery/fireflyhitch_recovery/settings.py
+++ b/libs/recovery/fireflyhitch_recovery/settings.py
@@ -32,7 +32,7 @@
     :param retry_interval: delay before all peers are tried again.
     :param confirm_timeout: time after which a receiver without a confirmation
         checks whether the sender still answers the request.
-    :param max_offers: number of peers whose free capacity is compared.
+    :param max_compared_peers: number of peers whose free capacity is compared.
     :param directory_size: number of daemons that store a moved request's location.
     :param max_locations: number of locations that a daemon stores.
     :param location_ttl: lifetime of a stored location.
@@ -47,7 +47,7 @@
     ask_timeout: timedelta = timedelta(seconds=ASK_TIMEOUT_SECONDS)
     retry_interval: timedelta = timedelta(seconds=RETRY_INTERVAL_SECONDS)
     confirm_timeout: timedelta = timedelta(seconds=CONFIRM_TIMEOUT_SECONDS)
-    max_offers: int = 2
+    max_compared_peers: int = 2
     directory_size: int = 3
     max_locations: int = 65536
     location_ttl: timedelta = timedelta(minutes=LOCATION_TTL_MINUTES)
--- a/libs/recovery/tests/conftest.py
+++ b/libs/recovery/tests/conftest.py
@@ -106,7 +106,7 @@
         self.network.dead.add(name)
         self.nodes.pop(name)
 
-    def lose_answers(self, sender, receiver):
+    def drop_replies(self, sender, receiver):
         self.network.cut.add((receiver, sender))
 
 
--- a/libs/recovery/tests/test_handover.py
+++ b/libs/recovery/tests/test_handover.py
@@ -196,7 +196,7 @@
             if isinstance(message, Confirm) and not confirms:
                 confirms.append(peer)
             if confirms and peer == confirms[0]:
-                cluster.lose_answers('a1', peer)
+                cluster.drop_replies('a1', peer)
             return real_ask(peer, message, timeout)
 
         cluster.network.messengers['a1'].ask = lose_first_confirmation
@@ -316,19 +316,19 @@
         """
         tracked = cluster.accept()
         cluster.nodes['a1'].hand_over.protect(ids(tracked))
-        with_replica = [
+        replica_holders = [
             node
             for node in cluster.nodes.values()
             if node.hand_over.reception.count_unconfirmed()
         ]
-        with_replica[0].capacity = 0
+        replica_holders[0].capacity = 0
         cluster.nodes['a1'].check()
-        assert not with_replica[0].hand_over.reception.count_unconfirmed()
+        assert not replica_holders[0].hand_over.reception.count_unconfirmed()
         cluster.kill('a1')
         cluster.advance(3)
         for node in list(cluster.nodes.values()):
             node.check()
-        assert cluster.holder(tracked) != with_replica[0].name
+        assert cluster.holder(tracked) != replica_holders[0].name
 
     def test_replica_is_withdrawn_when_the_request_ends(self, cluster):
         tracked = cluster.accept()
