--- a/libs/ledger/fireflyhitch_ledger/committer.py
+++ b/libs/ledger/fireflyhitch_ledger/committer.py
@@ -1,4 +1,4 @@
-"""Group commit of one shard by compare-and-swap."""
+"""Group commit of a shard with compare-and-swap."""
 
 import threading
 from collections import deque
@@ -13,7 +13,6 @@
 )
 
 from fireflyhitch_ledger.operations import Operation, OperationResult
-from fireflyhitch_ledger.pace import WritePace
 from fireflyhitch_ledger.records import (
     EMPTY_RECORD,
     ShardRecord,
@@ -21,25 +20,27 @@
     encode_record,
 )
 from fireflyhitch_ledger.settings import LedgerSettings
-from fireflyhitch_ledger.transitions import Applied, apply_operations
+from fireflyhitch_ledger.transitions import ApplyResult, apply_operations
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError
 from fireflyhitch_model.ids import ABSENT, Revision
 from fireflyhitch_model.states import Outcome, Step
 from fireflyhitch_platform.keyvalue import Conflict, KeyValue, KeyValueStore
 
-STORE_TRIES = 3
-FIRST_WAIT_SECONDS = 0.02
-LONGEST_WAIT_SECONDS = 0.2
-# Each lost race means that another daemon's write took effect; so many in a
-# row only happen if membership disagrees widely.
+MAX_STORE_ATTEMPTS = 3
+MIN_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 0.2
+# Each conflict means that another daemon's write took effect. This many in a row
+# only happen if the daemons' membership views differ widely.
 MAX_CONFLICTS = 32
 
 
 class Ticket:
     """An operation that waits for its commit.
 
-    :param lead: called when it is this ticket's turn to have the shard committed.
+    :param lead: called when this ticket becomes the leader, which must call
+        ``ShardCommitter.commit``.
     :param finish: called once the ticket has its result or its error.
     """
 
@@ -58,15 +59,15 @@
 
     @property
     def finished(self) -> bool:
-        """Whether it has its result or its error."""
+        """Whether the ticket has its result or its error."""
         return self.result is not None or self.error is not None
 
 
 class ShardCommitter:
-    """Commits all waiting operations of one shard in one write.
+    """Commits all queued operations of one shard in one write.
 
-    One thread at a time leads: it takes what has queued up and writes it, while
-    the next batch gathers. So batches grow with the load and no timer is needed.
+    One thread at a time is the leader: it writes the queued operations while the
+    next batch queues up. Batches thus grow with the load, without a timer.
     """
 
     def __init__(
@@ -74,31 +75,31 @@
         key: str,
         store: KeyValueStore,
         clock: Clock,
-        pace: WritePace,
+        write_limiter: WriteRateLimiter,
         settings: LedgerSettings,
     ) -> None:
         self._key = key
         self._store = store
         self._clock = clock
-        self._pace = pace
+        self._write_limiter = write_limiter
         self._settings = settings
         self._lock = threading.Lock()
         self._queue: deque[Ticket] = deque()
-        self._led = False
+        self._has_leader = False
         self._record: ShardRecord | None = None
         self._revision = ABSENT
 
     def run(self, operation: Operation) -> OperationResult:
-        """Commit an operation and return its result, on the caller's thread.
+        """Commit an operation on the caller's thread and return its result.
 
-        :raises PlatformError: if the store does not answer; its outcome tells
-            whether the operation may have had an effect.
+        :raises PlatformError: if the store does not reply; the error's outcome
+            says whether the operation may have taken effect.
         """
         signal = threading.Event()
         ticket = Ticket(operation, signal.set, lambda _: signal.set())
         self.enqueue(ticket)
         while not ticket.finished:
-            if not self._clock.wait(signal, self._settings.claim_patience):
+            if not self._clock.wait(signal, self._settings.claim_timeout):
                 return self._give_up(ticket)
             signal.clear()
             if ticket.leading and not ticket.finished:
@@ -108,30 +109,30 @@
         return ticket.result
 
     def enqueue(self, ticket: Ticket) -> None:
-        """Add an operation to the next batch; its callbacks do the rest."""
+        """Add an operation to the next batch; completion is reported by callback."""
         with self._lock:
             self._queue.append(ticket)
-            ticket.leading = not self._led
-            self._led = True
+            ticket.leading = not self._has_leader
+            self._has_leader = True
         if ticket.leading:
             ticket.lead()
 
     def commit(self) -> None:
-        """Commit the waiting batch; only for whom ``lead`` was called."""
-        self._wait_for_pace()
+        """Commit the queued batch; call it only after ``lead`` was called."""
+        self._wait_for_write_slot()
         with self._lock:
             batch = tuple(self._queue)
             self._queue.clear()
         if batch:
             self._commit_batch(batch)
-        self._pass_lead()
+        self._pass_leadership()
         for ticket in batch:
             ticket.finish(ticket)
 
-    def _pass_lead(self) -> None:
+    def _pass_leadership(self) -> None:
         with self._lock:
             successor = self._queue[0] if self._queue else None
-            self._led = successor is not None
+            self._has_leader = successor is not None
             if successor is not None:
                 successor.leading = True
         if successor is not None:
@@ -143,19 +144,20 @@
             if queued:
                 self._queue.remove(ticket)
         if queued and ticket.leading:
-            # Its turn came as it gave up; else the shard would wait for ever.
-            self._pass_lead()
+            # It became the leader while timing out; without a successor the
+            # shard's queue would hang.
+            self._pass_leadership()
         if ticket.result is not None:
             return ticket.result
         raise self._build_timeout(Outcome.NOT_RUN if queued else Outcome.UNKNOWN)
 
     def _build_timeout(self, outcome: Outcome) -> PlatformError:
         return PlatformError(
-            'the store is too slow', step=Step.STORE_WRITE, outcome=outcome
+            'store too slow, request timed out', step=Step.STORE_WRITE, outcome=outcome
         )
 
-    def _wait_for_pace(self) -> None:
-        delay = self._pace.reserve()
+    def _wait_for_write_slot(self) -> None:
+        delay = self._write_limiter.reserve()
         if delay > 0:
             self._sleep(delay)
 
@@ -164,9 +166,9 @@
         try:
             results = self._commit_operations(operations)
         except Exception as error:
-            # Also what no store should raise: a leader that died of it would
-            # leave the shard's queue without one, and its callers hanging.
-            failure = _describe_failure(error)
+            # Catch unexpected errors, too: if one ended the leader, the shard's
+            # queue would have no leader and its callers would hang.
+            failure = _to_platform_error(error)
             for ticket in batch:
                 ticket.error = failure
             return
@@ -176,65 +178,71 @@
     def _commit_operations(
         self, operations: tuple[Operation, ...]
     ) -> tuple[OperationResult, ...]:
-        attempt = _Commit(operations)
+        batch_state = _BatchState(operations)
         retrying = Retrying(
-            stop=stop_after_attempt(STORE_TRIES),
-            wait=wait_random_exponential(FIRST_WAIT_SECONDS, LONGEST_WAIT_SECONDS),
+            stop=stop_after_attempt(MAX_STORE_ATTEMPTS),
+            wait=wait_random_exponential(MIN_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS),
             retry=retry_if_exception_type(PlatformError),
             sleep=self._sleep,
             reraise=True,
         )
         try:
-            return retrying(self._try_commit, attempt)
+            return retrying(self._try_commit, batch_state)
         except PlatformError as error:
             self._record = None
-            error.outcome = Outcome.UNKNOWN if attempt.uncertain else Outcome.NOT_RUN
+            error.outcome = (
+                Outcome.UNKNOWN if batch_state.may_be_written else Outcome.NOT_RUN
+            )
             raise
 
-    def _try_commit(self, attempt: '_Commit') -> tuple[OperationResult, ...]:
+    def _try_commit(self, batch_state: '_BatchState') -> tuple[OperationResult, ...]:
         for _ in range(MAX_CONFLICTS):
-            record = self._record or self._read(attempt)
-            applied = self._apply(attempt.operations, record)
+            record = self._record or self._read(batch_state)
+            applied = self._apply(batch_state.operations, record)
             if applied.changed:
-                if self._write(applied, attempt):
+                if self._write(applied, batch_state):
                     return applied.results
-            elif attempt.fresh or applied.certain:
+            elif batch_state.fresh or applied.is_final:
                 return applied.results
             else:
-                # The cache may be behind what another daemon has written.
+                # The cached record may be stale; read it again.
                 self._record = None
         raise PlatformError(
-            'lost too many races', step=Step.STORE_WRITE, outcome=Outcome.NOT_RUN
+            'lost too many write conflicts',
+            step=Step.STORE_WRITE,
+            outcome=Outcome.NOT_RUN,
         )
 
-    def _apply(self, operations: tuple[Operation, ...], record: ShardRecord) -> Applied:
+    def _apply(
+        self, operations: tuple[Operation, ...], record: ShardRecord
+    ) -> ApplyResult:
         now = self._clock.now().timestamp()
         return apply_operations(operations, record, now, self._settings)
 
-    def _read(self, attempt: '_Commit') -> ShardRecord:
-        record = self._remember(self._store.get(self._key))
-        attempt.fresh = True
+    def _read(self, batch_state: '_BatchState') -> ShardRecord:
+        record = self._cache(self._store.get(self._key))
+        batch_state.fresh = True
         return record
 
-    def _write(self, applied: Applied, attempt: '_Commit') -> bool:
+    def _write(self, applied: ApplyResult, batch_state: '_BatchState') -> bool:
         encoded = encode_record(applied.record)
         try:
             written = self._store.put_if(self._key, encoded, self._revision)
         except PlatformError as error:
-            # The write may have taken effect. The next try reads the record
-            # back, where the attempts' ids tell whether it did.
+            # The write may have taken effect. The next try reads the record,
+            # where the attempt ids show whether it did.
             self._record = None
-            attempt.uncertain |= error.outcome is not Outcome.NOT_RUN
+            batch_state.may_be_written |= error.outcome is not Outcome.NOT_RUN
             raise
         if isinstance(written, Conflict):
-            self._remember(written.current)
-            attempt.fresh = True
+            self._cache(written.current)
+            batch_state.fresh = True
             return False
         self._record = applied.record
         self._revision = written.revision
         return True
 
-    def _remember(self, stored: KeyValue | None) -> ShardRecord:
+    def _cache(self, stored: KeyValue | None) -> ShardRecord:
         if stored is None:
             self._record = EMPTY_RECORD
             self._revision = ABSENT
@@ -247,20 +255,20 @@
         self._clock.wait(threading.Event(), timedelta(seconds=seconds))
 
 
-def _describe_failure(error: Exception) -> PlatformError:
+def _to_platform_error(error: Exception) -> PlatformError:
     if isinstance(error, PlatformError):
         return error
     return PlatformError(repr(error), step=Step.STORE_WRITE)
 
 
-class _Commit:
-    """One batch on its way to the store.
+class _BatchState:
+    """State of a batch during its commit.
 
-    :ivar uncertain: whether a write was tried whose answer was lost.
-    :ivar fresh: whether the record in hand was read for this batch.
+    :ivar may_be_written: whether the result of a write was lost.
+    :ivar fresh: whether the record was read from the store for this batch.
     """
 
     def __init__(self, operations: tuple[Operation, ...]) -> None:
         self.operations = operations
-        self.uncertain = False
+        self.may_be_written = False
         self.fresh = False
--- a/libs/ledger/fireflyhitch_ledger/ledger.py
+++ b/libs/ledger/fireflyhitch_ledger/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of calls that may not be repeated."""
+"""The ledger of non-repeatable calls."""
 
 import threading
 import uuid
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from fireflyhitch_ledger.attempts import Attempts
+from fireflyhitch_ledger.attempts import AttemptRegistry
 from fireflyhitch_ledger.committer import ShardCommitter, Ticket
 from fireflyhitch_ledger.keys import (
     BodyDigest,
@@ -26,8 +26,7 @@
     OperationResult,
     ResultKind,
 )
-from fireflyhitch_ledger.owners import ShardOwners
-from fireflyhitch_ledger.pace import WritePace
+from fireflyhitch_ledger.pending_records import PendingRecords
 from fireflyhitch_ledger.results import (
     Attempt,
     Claimed,
@@ -40,8 +39,9 @@
     build_unavailable,
 )
 from fireflyhitch_ledger.settings import DEFAULT_SETTINGS, LedgerSettings
-from fireflyhitch_ledger.unsettled import Unsettled
+from fireflyhitch_ledger.shard_owners import ShardOwners
 from fireflyhitch_ledger.workers import Workers
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.calls import Call
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.errors import PlatformError, RequestError
@@ -55,19 +55,20 @@
 
 
 def make_attempt_id() -> AttemptId:
-    """Return an id that no other attempt has."""
+    """Return a unique attempt id."""
     return AttemptId(uuid.uuid4().hex)
 
 
 class Ledger:
-    """Sees to it that a call with an idempotency key is sent at most once.
+    """Ensures that a call with an idempotency key is sent at most once.
 
-    A call is claimed in the key-value service before its first byte leaves.
-    A claim passes to another attempt only once the first has recorded that it
-    was not run; a claim that lapses without a record counts as unknown for
-    good. Safe to call from any thread.
+    A call is claimed in the key-value store before its first byte is sent. The
+    claim is granted to another attempt only once the first has recorded that
+    the call was not run. A claim that expires without a recorded outcome counts
+    as unknown for good, unless its own attempt still records one. Safe to call
+    from any thread.
 
-    :param daemon_id: this daemon, as ``messenger.live()`` names it.
+    :param daemon_id: id of this daemon in ``messenger.live()``.
     """
 
     def __init__(
@@ -83,42 +84,45 @@
         self._clock = clock
         self._settings = settings
         self._new_attempt = new_attempt
-        pace = WritePace(clock, settings.writes_per_second, settings.write_burst)
+        write_limiter = WriteRateLimiter(
+            clock, settings.writes_per_second, settings.write_burst
+        )
         self._committers = tuple(
-            ShardCommitter(f'{PREFIX}{shard}', store, clock, pace, settings)
+            ShardCommitter(f'{PREFIX}{shard}', store, clock, write_limiter, settings)
             for shard in range(settings.shards)
         )
-        self._owners = ShardOwners(daemon_id, messenger, clock, pace, settings)
-        self._attempts = Attempts(clock)
-        self._unsettled = Unsettled(settings.max_unsettled)
+        self._owners = ShardOwners(daemon_id, messenger, clock, write_limiter, settings)
+        self._attempts = AttemptRegistry(clock)
+        self._pending = PendingRecords(settings.max_pending)
         self._workers = Workers(settings.workers, clock)
-        self._numbers = count(1)
-        self._waiting: dict[int, _Reply] = {}
-        messenger.handle(CommitRequest, self._take_request)
-        messenger.handle(CommitReply, self._take_reply)
+        self._request_numbers = count(1)
+        self._pending_replies: dict[int, _PendingReply] = {}
+        messenger.handle(CommitRequest, self._handle_request)
+        messenger.handle(CommitReply, self._handle_reply)
 
     def start(self) -> None:
-        """Start the threads that commit for peers and settle what is left.
+        """Start the threads that commit for peers and write pending records.
 
-        Before that, a peer's request is committed on the thread that brings it.
+        Before that, a peer's request is committed on the receiving thread.
         """
         self._workers.start(self.settle, self._settings.settle_interval)
 
     def stop(self) -> None:
-        """Settle once more and end the threads."""
+        """Stop the threads and write the pending records once more."""
         self._workers.stop()
         self.settle()
 
     def claim(self, key: CallKey, body_digest: BodyDigest, call: Call) -> ClaimResult:
         """Claim a call before it is sent.
 
-        :param body_digest: of method, path and body, from ``digest_body``.
-        :param call: its deadline bounds how long the claim counts as running.
-        :returns: ``Claimed`` if the call is to be sent now; else why not.
-        :raises RequestError: ``not-run`` if the store cannot be reached in
-            time, or has no room for the key.
+        :param body_digest: digest of method, path and body; see ``digest_body``.
+        :param call: its deadline limits how long the claim counts as running.
+        :returns: ``Claimed`` if the call may be sent now, otherwise the reason
+            why not.
+        :raises RequestError: ``not-run`` if the store cannot be reached in time
+            or the key's shard is full.
         """
-        if self._is_too_old(key):
+        if self._is_expired(key):
             return Expired(Outcome.UNKNOWN)
         attempt = self._build_attempt(key, body_digest, call)
         operation = Operation(
@@ -131,30 +135,30 @@
         try:
             result = self._execute(operation)
         except PlatformError as error:
-            self._abandon(attempt, error)
+            self._withdraw_claim(attempt, error)
             raise build_unavailable('the call could not be claimed', error.peer)
         if result.kind is ResultKind.CLAIMED:
             self._attempts.add(attempt)
         return _convert_result(result, attempt)
 
     def mark_sent(self, attempt: Attempt) -> None:
-        """Ask for leave to send, right before the first byte goes out.
+        """Mark a call as sent, right before its first byte is sent.
 
-        :raises RequestError: ``not-run`` if the claim has lapsed; this is
+        :raises RequestError: ``not-run`` if the claim has expired; this is
             recorded, so that the caller can claim the call again.
         :raises InvariantError: if the attempt was sent before.
         """
         try:
             self._attempts.send(attempt)
         except RequestError:
-            self._unsettled.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
+            self._pending.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
             raise
 
     def record_ran(self, attempt: Attempt, answer: Answer) -> bool:
         """Record that the call ran; its repeats get the answer.
 
-        :returns: whether the store has it already; if not, it is tried again
-            in the background, and the caller can have its answer all the same.
+        :returns: whether the record is written. If not, the write is retried in
+            the background, and the caller can get its answer all the same.
         """
         self._attempts.close(attempt)
         return self._record(_build_record(attempt, OperationKind.RECORD_RAN, answer))
@@ -162,14 +166,14 @@
     def record_not_run(self, attempt: Attempt, *, refused: bool = False) -> bool:
         """Record that the call was not run, so that it can be claimed again.
 
-        :param refused: whether the backend server said that it refused the
-            call before execution; without that it must not have been sent.
-        :returns: whether the store has it already.
+        :param refused: whether the backend server reported that it refused the
+            call before execution; otherwise it must not have been sent.
+        :returns: whether the record is written.
         :raises InvariantError: if the call was sent and not refused.
         """
         sent = self._attempts.close(attempt)
         if sent and not refused:
-            self._unsettled.add(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
+            self._pending.add(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
         invariant(
             refused or not sent,
             Invariant.NOT_RUN_IS_CERTAIN,
@@ -181,39 +185,39 @@
     def record_unknown(self, attempt: Attempt) -> bool:
         """Record that the call was sent and its answer lost.
 
-        :returns: whether the store has it already.
+        :returns: whether the record is written.
         """
         self._attempts.close(attempt)
         return self._record(_build_record(attempt, OperationKind.RECORD_UNKNOWN))
 
     def settle(self) -> None:
-        """Try once more to record what the store has not taken."""
-        for operation in self._unsettled.list():
+        """Retry writing the pending records to the store."""
+        for operation in self._pending.list():
             try:
                 result = self._execute(operation)
             except PlatformError as error:
                 logger.bind(step=error.step.value, peer=error.peer).warning(
-                    'ledger records wait for the store'
+                    'store unavailable, ledger records still pending'
                 )
                 return
-            self._unsettled.remove(operation)
+            self._pending.remove(operation)
             self._check_record(operation, result)
 
-    def count_unsettled(self) -> int:
-        """Return how many records the store has not taken yet."""
-        return len(self._unsettled.list())
+    def count_pending(self) -> int:
+        """Return the number of records not yet written to the store."""
+        return len(self._pending.list())
 
-    def _is_too_old(self, key: CallKey) -> bool:
-        made = read_key_time(key.key)
-        if made is None:
+    def _is_expired(self, key: CallKey) -> bool:
+        created_at = read_key_time(key.key)
+        if created_at is None:
             return False
-        return self._clock.now() - made > self._settings.retention
+        return self._clock.now() - created_at > self._settings.retention
 
     def _build_attempt(
         self, key: CallKey, body_digest: BodyDigest, call: Call
     ) -> Attempt:
-        # Both times count from before the store is asked, so that the time the
-        # claim takes is not given to it twice.
+        # Both times are measured from before the store request, so that its
+        # duration does not extend them.
         now = self._clock.monotonic()
         send_within = self._settings.send_within.total_seconds()
         margin = self._settings.record_margin.total_seconds()
@@ -226,18 +230,18 @@
             lapses_at=wall + max(0, call.deadline - now) + margin,
         )
 
-    def _abandon(self, attempt: Attempt, error: PlatformError) -> None:
+    def _withdraw_claim(self, attempt: Attempt, error: PlatformError) -> None:
         if error.outcome is Outcome.NOT_RUN:
             return
-        # The claim may be in the store without an owner; until it is taken
-        # back, the caller's next try would be told that the call is running.
-        self._unsettled.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
+        # The claim may be in the store although no attempt uses it. Until it is
+        # withdrawn, the caller's next try would get ``InProgress``.
+        self._pending.add(_build_record(attempt, OperationKind.RECORD_NOT_RUN))
 
     def _record(self, operation: Operation) -> bool:
         try:
             result = self._execute(operation)
         except PlatformError:
-            self._unsettled.add(operation)
+            self._pending.add(operation)
             return False
         self._check_record(operation, result)
         return True
@@ -261,29 +265,29 @@
         try:
             return self._committers[shard].run(operation)
         except PlatformError as error:
-            # The owner may still commit what it was told.
+            # The owner may still commit the request that it received.
             error.outcome = Outcome.UNKNOWN
             raise
 
     def _ask_owner(
         self, owner: DaemonId, shard: int, operation: Operation
     ) -> OperationResult | None:
-        number = next(self._numbers)
-        reply = _Reply()
-        self._waiting[number] = reply
+        number = next(self._request_numbers)
+        reply = _PendingReply()
+        self._pending_replies[number] = reply
         request = CommitRequest(number=number, shard=shard, operation=operation)
         self._messenger.tell(owner, request)
-        answered = self._clock.wait(reply.arrived, self._settings.owner_patience)
-        self._waiting.pop(number, None)
+        answered = self._clock.wait(reply.received, self._settings.owner_timeout)
+        self._pending_replies.pop(number, None)
         if not answered or reply.result is None:
-            self._owners.distrust(owner)
+            self._owners.mark_unresponsive(owner)
         return reply.result
 
-    def _take_request(self, sender: DaemonId, request: CommitRequest) -> None:
+    def _handle_request(self, sender: DaemonId, request: CommitRequest) -> None:
         committer = self._committers[request.shard]
         ticket = Ticket(
             request.operation,
-            lead=lambda: self._workers.defer(committer.commit),
+            lead=lambda: self._workers.submit(committer.commit),
             finish=partial(self._reply, sender, request.number),
         )
         committer.enqueue(ticket)
@@ -291,18 +295,18 @@
     def _reply(self, sender: DaemonId, number: int, ticket: Ticket) -> None:
         self._messenger.tell(sender, CommitReply(number=number, result=ticket.result))
 
-    def _take_reply(self, sender: DaemonId, message: CommitReply) -> None:
-        reply = self._waiting.get(message.number)
+    def _handle_reply(self, sender: DaemonId, message: CommitReply) -> None:
+        reply = self._pending_replies.get(message.number)
         if reply is not None:
             reply.result = message.result
-            reply.arrived.set()
+            reply.received.set()
 
 
-class _Reply:
-    """A reply that is waited for."""
+class _PendingReply:
+    """A reply that a caller waits for."""
 
     def __init__(self) -> None:
-        self.arrived = threading.Event()
+        self.received = threading.Event()
         self.result: OperationResult | None = None
 
 
--- a/libs/ledger/fireflyhitch_ledger/results.py
+++ b/libs/ledger/fireflyhitch_ledger/results.py
@@ -1,4 +1,4 @@
-"""What a claim may come to, and how it is told to the caller."""
+"""Results of a claim and the errors that callers get for them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -13,15 +13,15 @@
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 BAD_REQUEST = 400
-REPEAT_AFTER = timedelta(seconds=1)
+RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """The right to send one call once.
+    """The permission to send one call once.
 
-    :param send_by: monotonic seconds after which it may not be sent any more.
-    :param lapses_at: wall time in seconds since 1970; see ``Operation``.
+    :param send_by: monotonic time in seconds after which it must not be sent.
+    :param lapses_at: wall clock time in seconds since 1970; see ``Operation``.
     """
 
     attempt_id: AttemptId
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The call is this daemon's to send, once."""
+    """This daemon may send the call once."""
 
     attempt: Attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The call ran before.
+    """The call has run before.
 
-    :param answer: ``None`` if it was too large to keep.
+    :param answer: ``None`` if it was too large to store.
     """
 
     answer: Answer | None
@@ -50,24 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """Another attempt at the call is under way."""
+    """Another attempt at the call is in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """An earlier attempt was cut off; nobody knows whether the call ran."""
+    """An earlier attempt was interrupted; whether the call ran is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """The key was used before, for a call with another body."""
+    """The key was used before for a call with another body."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The key is too old for its answer to be kept.
+    """The key is older than the retention of its answer.
 
-    :param outcome: what is still known of the call.
+    :param outcome: recorded outcome of the call.
     """
 
     outcome: Outcome
@@ -78,59 +78,61 @@
 
 
 def build_refusal(refusal: Refusal) -> RequestError:
-    """Return the error that tells a caller why its call is not sent.
+    """Return the error for a call that is not sent.
 
-    ``not-run`` is said of a mismatch, whose own body was never sent. It is not
-    said of the others, as the call itself may have run under this key.
+    A mismatch is reported as ``not-run``, as its own body was never sent. The
+    others are not, as the call itself may have run under this key.
     """
     if isinstance(refusal, InProgress):
-        return _refuse('the call is in progress', CONFLICT, 'request_in_progress')
+        return _build_conflict(
+            'the call is in progress', CONFLICT, 'request_in_progress'
+        )
     if isinstance(refusal, UnknownOutcome):
-        return _refuse(
+        return _build_conflict(
             'an earlier attempt was cut off; the call may have run',
             CONFLICT,
             'outcome_unknown',
-            repeat=False,
+            retryable=False,
         )
     if isinstance(refusal, Mismatch):
-        return _refuse(
+        return _build_conflict(
             'the idempotency key was used for another request',
             UNPROCESSABLE,
             'idempotency_key_reused',
             outcome=Outcome.NOT_RUN,
-            repeat=False,
+            retryable=False,
         )
-    return _refuse(
+    return _build_conflict(
         'the idempotency key has expired',
         CONFLICT,
         'idempotency_key_expired',
         outcome=refusal.outcome,
-        repeat=False,
+        retryable=False,
     )
 
 
 def build_too_large() -> RequestError:
-    """Return the error for a call that ran but whose answer was not kept."""
-    return _refuse(
+    """Return the error for a call that ran but whose answer was not stored."""
+    return _build_conflict(
         'the call ran; its answer was too large to keep',
         CONFLICT,
         'answer_not_kept',
         outcome=Outcome.RAN,
-        repeat=False,
+        retryable=False,
     )
 
 
 def build_missing_key() -> RequestError:
-    """Return the error for a call that needs a key and has none.
+    """Return the error for a call that lacks its idempotency key.
 
-    It is refused, as nothing could tell its repeat from a second booking.
+    Without a key, a repeat could not be told from a second booking.
     """
-    return _refuse(
+    return _build_conflict(
         'this method needs an Idempotency-Key header of 1 to 255 characters',
         BAD_REQUEST,
         'idempotency_key_required',
         outcome=Outcome.NOT_RUN,
-        repeat=False,
+        retryable=False,
     )
 
 
@@ -143,17 +145,17 @@
         code='ledger_unavailable',
         outcome=Outcome.NOT_RUN,
         peer=peer,
-        retry_after=REPEAT_AFTER,
+        retry_after=RETRY_AFTER,
     )
 
 
-def _refuse(
+def _build_conflict(
     message: str,
     status: int,
     code: str,
     *,
     outcome: Outcome = Outcome.UNKNOWN,
-    repeat: bool = True,
+    retryable: bool = True,
 ) -> RequestError:
     return RequestError(
         message,
@@ -161,5 +163,5 @@
         status=status,
         code=code,
         outcome=outcome,
-        retry_after=REPEAT_AFTER if repeat else None,
+        retry_after=RETRY_AFTER if retryable else None,
     )
--- a/libs/ledger/fireflyhitch_ledger/owners.py
+++ b/libs/ledger/fireflyhitch_ledger/shard_owners.py
@@ -1,25 +1,25 @@
-"""Which daemon commits a shard for the others."""
+"""Assignment of shards to the daemons that commit them."""
 
 from threading import Lock
 
 from cachetools import TTLCache
 
 from fireflyhitch_ledger.keys import Shard
-from fireflyhitch_ledger.pace import WritePace
 from fireflyhitch_ledger.settings import LedgerSettings
+from fireflyhitch_ledger.write_limiter import WriteRateLimiter
 from fireflyhitch_model.clock import Clock
 from fireflyhitch_model.hashing import rank_by_hash
 from fireflyhitch_model.ids import DaemonId
 from fireflyhitch_model.peers import PeerMessenger
 
-MAX_DISTRUSTED = 1024
+MAX_UNRESPONSIVE = 1024
 
 
 class ShardOwners:
-    """Each shard's owner: the first by hash among the live daemons.
+    """Owner of each shard: the first live daemon in hash order.
 
-    Daemons may disagree on who is live. Then two of them write one shard, one
-    of the writes conflicts, and all that is lost is efficiency.
+    Daemons may disagree on which daemons are live. Then two of them write to one
+    shard and one of the writes conflicts, which costs only efficiency.
     """
 
     def __init__(
@@ -27,44 +27,45 @@
         daemon_id: DaemonId,
         messenger: PeerMessenger,
         clock: Clock,
-        pace: WritePace,
+        write_limiter: WriteRateLimiter,
         settings: LedgerSettings,
     ) -> None:
         self._daemon_id = daemon_id
         self._messenger = messenger
-        self._pace = pace
+        self._write_limiter = write_limiter
         self._settings = settings
         self._lock = Lock()
         self._live: frozenset[DaemonId] = frozenset()
         self._owners: tuple[DaemonId, ...] = ()
-        self._distrusted: TTLCache[DaemonId, bool] = TTLCache(
-            MAX_DISTRUSTED,
-            settings.owner_distrust.total_seconds(),
+        self._unresponsive: TTLCache[DaemonId, bool] = TTLCache(
+            MAX_UNRESPONSIVE,
+            settings.unresponsive_time.total_seconds(),
             clock.monotonic,
         )
 
     def find(self, shard: Shard) -> DaemonId | None:
-        """Return the daemon to ask.
+        """Return the daemon that commits a shard.
 
-        :returns: ``None`` if this daemon is to commit by itself, as the owner
-            or because the owner was out of reach a moment ago.
+        :returns: ``None`` if this daemon commits it, as the owner or because the
+            owner was unresponsive recently.
         """
         live = frozenset(daemon.daemon_id for daemon in self._messenger.live())
         with self._lock:
             if live != self._live or not self._owners:
                 self._assign(live)
             owner = self._owners[shard]
-            if owner == self._daemon_id or owner in self._distrusted:
+            if owner == self._daemon_id or owner in self._unresponsive:
                 return None
             return owner
 
-    def distrust(self, owner: DaemonId) -> None:
-        """Pass over an owner for a while.
+    def mark_unresponsive(self, owner: DaemonId) -> None:
+        """Skip an owner for ``unresponsive_time``.
 
-        Else each call would wait for a dead owner until membership finds out.
+        Otherwise each call would wait for a crashed owner until membership
+        detects the crash.
         """
         with self._lock:
-            self._distrusted[owner] = True
+            self._unresponsive[owner] = True
 
     def _assign(self, live: frozenset[DaemonId]) -> None:
         members = sorted(live | {self._daemon_id})
@@ -74,6 +75,6 @@
         )
         self._live = live
         owned = max(1, self._owners.count(self._daemon_id))
-        self._pace.set_rate(
+        self._write_limiter.set_rate(
             self._settings.writes_per_second * owned / self._settings.shards
         )
--- a/libs/ledger/fireflyhitch_ledger/workers.py
+++ b/libs/ledger/fireflyhitch_ledger/workers.py
@@ -1,4 +1,4 @@
-"""Threads that commit for other daemons and settle what is left over."""
+"""Threads that commit for other daemons and write pending records."""
 
 import threading
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Workers:
-    """A few threads for the ledger's work that no caller waits in."""
+    """A thread pool for the ledger's background work."""
 
     def __init__(self, count: int, clock: Clock) -> None:
         self._count = count
@@ -26,14 +26,14 @@
     def start(self, settle: Callable[[], None], interval: timedelta) -> None:
         """Start the threads.
 
-        :param settle: is called each interval.
+        :param settle: called once per interval.
         """
         for _ in range(self._count):
-            self._spawn(self._serve)
-        self._spawn(lambda: self._repeat(settle, interval))
+            self._spawn(self._run_queue)
+        self._spawn(lambda: self._run_periodically(settle, interval))
 
     def stop(self) -> None:
-        """Finish the work at hand and end the threads."""
+        """Finish the queued work and stop the threads."""
         self._stopping.set()
         for _ in range(self._count):
             self._work.put(None)
@@ -41,8 +41,8 @@
             thread.join(STOP_SECONDS)
         self._threads.clear()
 
-    def defer(self, work: Callable[[], None]) -> None:
-        """Do work on one of the threads, or at once if none was started."""
+    def submit(self, work: Callable[[], None]) -> None:
+        """Run work on one of the threads, or synchronously if none was started."""
         if self._threads:
             self._work.put(work)
         else:
@@ -53,14 +53,16 @@
         self._threads.append(thread)
         thread.start()
 
-    def _serve(self) -> None:
+    def _run_queue(self) -> None:
         while True:
             work = self._work.get()
             if work is None:
                 return
             _run_guarded(work)
 
-    def _repeat(self, settle: Callable[[], None], interval: timedelta) -> None:
+    def _run_periodically(
+        self, settle: Callable[[], None], interval: timedelta
+    ) -> None:
         while not self._clock.wait(self._stopping, interval):
             _run_guarded(settle)
 
@@ -69,6 +71,6 @@
     try:
         work()
     except Exception:
-        # An error that ended the thread would leave the other calls of its
-        # shards waiting, and records unsettled until the daemon is restarted.
+        # If an error ended the thread, the other calls of its shards would hang
+        # and records would stay pending until the daemon is restarted.
         logger.bind(step=Step.RECORD.value).exception('ledger work failed')
--- a/libs/ledger/tests/conftest.py
+++ b/libs/ledger/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Ledgers of three daemons over one store, in passed time."""
+"""Fixtures: ledgers of three daemons with one store, on a manual clock."""
 
 from dataclasses import replace
 
@@ -17,8 +17,8 @@
 from fireflyhitch_standins.peers import MemoryPeerNetwork
 
 
-class World:
-    """Three daemons, their store and their clock."""
+class LedgerCluster:
+    """Ledgers of three daemons with their store, network and clock."""
 
     body = digest_body('POST', '/services/bookings/visits', b'{"van": 1}')
     other_body = digest_body('POST', '/services/bookings/visits', b'{"van": 2}')
@@ -60,10 +60,10 @@
 
 
 @pytest.fixture
-def world():
-    return World()
+def cluster():
+    return LedgerCluster()
 
 
 @pytest.fixture
-def make_world():
-    return World
+def make_cluster():
+    return LedgerCluster
--- a/libs/recovery/fireflyhitch_recovery/answers.py
+++ b/libs/recovery/fireflyhitch_recovery/answers.py
@@ -1,4 +1,4 @@
-"""The events of one answer, in order, while attempts and readers come and go."""
+"""Ordered event log of one answer, shared by its attempts and readers."""
 
 import threading
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 from fireflyhitch_recovery.events import (
     FIRST_LINEAGE,
     AttemptTag,
-    Cut,
     EventId,
     Lineage,
+    LineageEntry,
     check_lineage,
     find_attempt,
     make_attempt_tag,
@@ -23,14 +23,14 @@
 
 
 class AnswerEnd(StrEnum):
-    """How an answer ended."""
+    """Final state of an answer."""
 
     COMPLETE = 'complete'
     FAILED = 'failed'
 
 
 class LogState(Enum):
-    """Whether an answer's events can be relayed here."""
+    """Whether this daemon may relay an answer's events."""
 
     OPEN = 'open'
     HELD = 'held'
@@ -45,12 +45,12 @@
 
 
 class AttemptStream:
-    """What one attempt adds to an answer; one thread appends to it.
+    """Events that one attempt appends to an answer, from a single thread.
 
-    Appending takes no lock. The list itself is the order: a hold is an element
-    of it, events before it are of the answer, and events behind it wait or are
-    dropped. ``list.append`` and ``del list[i]`` are single steps under the
-    interpreter's lock, so that there is no gap between check and append.
+    Appending takes no lock. A hold is a marker in the event list: events before
+    it belong to the answer, events after it wait or are dropped. ``list.append``
+    and ``del list[i]`` are atomic under the GIL, so that no event can slip in
+    between a check and an append.
     """
 
     __slots__ = ('_log', 'end', 'events', 'held', 'tag')
@@ -65,13 +65,13 @@
         self.end: AnswerEnd | None = None
 
     def append(self, event: bytes) -> bool:
-        """Add an event.
+        """Append an event.
 
-        ``held`` is set before the mark is appended: whoever finds it unset
-        after its own append stands before the mark.
+        ``held`` is set before the marker is appended. If it is still unset after
+        an append, that event precedes the marker.
 
-        :returns: whether it may be relayed now; if not, ask ``AnswerLog.state``
-            and read on from the last event relayed.
+        :returns: whether the event may be relayed now; if not, check
+            ``AnswerLog.state`` and read on after the last relayed event.
         """
         self.events.append(event)
         if self.held:
@@ -81,7 +81,7 @@
         return True
 
     def extend(self, events: list[bytes]) -> bool:
-        """Add the events that came in one read; as ``append``."""
+        """Append the events of one read; see ``append``."""
         self.events.extend(events)
         if self.held:
             return False
@@ -90,16 +90,16 @@
         return True
 
     def finish(self, end: AnswerEnd) -> None:
-        """Mark the answer's end; nothing is appended behind it."""
+        """Set how the answer ended; nothing may be appended afterwards."""
         self.end = end
         self._log.wake()
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerPart:
-    """The events behind one that a reader holds.
+    """The events after the last one that a reader has.
 
-    :param first: the number of the first of the events.
+    :param first: number of the first of these events.
     :param end: how the answer ended, if these are its last events.
     """
 
@@ -110,13 +110,13 @@
 
     @property
     def last(self) -> int:
-        """The number of the last event read so far."""
+        """Number of the last event read so far."""
         return self.first + len(self.events) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCopy:
-    """An answer so far, for a peer to go on with."""
+    """A partial answer that a peer can continue."""
 
     events: tuple[bytes, ...]
     lineage: Lineage
@@ -128,7 +128,7 @@
 
 
 class AnswerLog:
-    """One answer: its current attempt, its readers, and whether it is held."""
+    """One answer with its current attempt, its readers and its hold."""
 
     def __init__(self, daemon: DaemonId, copy: AnswerCopy = EMPTY_COPY) -> None:
         self.waiters: list[threading.Event] = []
@@ -137,7 +137,7 @@
         self._attempts = copy.attempts
         self._lineage = copy.lineage
         self._state = LogState.OPEN
-        self._held_at = 0
+        self._hold_index = 0
         newest = copy.lineage[-1]
         invariant(
             newest.first <= len(copy.events) + 1,
@@ -151,12 +151,12 @@
 
     @property
     def state(self) -> LogState:
-        """Whether events can be relayed from here."""
+        """Whether this daemon may relay events."""
         return self._state
 
     @property
     def lineage(self) -> Lineage:
-        """Which attempt each part of the answer is of."""
+        """The attempts that generated the answer, with the first event of each."""
         return self._lineage
 
     @property
@@ -165,7 +165,7 @@
         return self._stream.end
 
     def current(self) -> AttemptStream:
-        """Return the current attempt, as for going on with an engine's stream."""
+        """Return the current attempt, for example to continue an engine stream."""
         return self._stream
 
     def count(self) -> int:
@@ -173,12 +173,13 @@
         return len(self.read_after(0).events)
 
     def open_attempt(self) -> AttemptStream | None:
-        """Start an attempt that goes on behind the events so far.
+        """Start an attempt that continues after the events so far.
 
-        The old attempt's late events land behind its hold and reach nobody.
+        Late events of the previous attempt are appended after its hold marker
+        and are not relayed.
 
         :returns: ``None`` while the answer is held or once it has moved, since
-            a peer may be going on from the same place.
+            a peer may be continuing it from the same event.
         """
         with self._lock:
             if self._state is not LogState.OPEN:
@@ -186,14 +187,14 @@
             events = self._hold_stream()
             self._attempts += 1
             tag = make_attempt_tag(self._daemon, self._attempts)
-            self._lineage = (*self._lineage, Cut(len(events) + 1, tag))
+            self._lineage = (*self._lineage, LineageEntry(len(events) + 1, tag))
             self._stream = AttemptStream(self, tag, list(events))
             self._state = LogState.OPEN
         self.wake()
         return self._stream
 
     def hold(self) -> AnswerCopy:
-        """Stop relaying and return the answer up to here."""
+        """Stop relaying and return the partial answer."""
         with self._lock:
             events = self._hold_stream()
             if self._state is LogState.OPEN:
@@ -202,32 +203,32 @@
                 events, self._lineage, self._attempts, self._find_held_end()
             )
 
-    def lift(self) -> None:
-        """Relay again, with what came meanwhile."""
+    def release_hold(self) -> None:
+        """Resume relaying, including events appended since the hold."""
         with self._lock:
             if self._state is not LogState.HELD:
                 return
-            del self._stream.events[self._held_at]
+            del self._stream.events[self._hold_index]
             self._stream.held = False
             self._state = LogState.OPEN
         self.wake()
 
     def move(self) -> None:
-        """Leave a held answer to the peer that has it now."""
+        """Stop relaying for good, as a peer has taken the answer over."""
         with self._lock:
             self._hold_stream()
             self._state = LogState.MOVED
         self.wake()
 
     def copy(self) -> AnswerCopy:
-        """Return the answer so far without holding it."""
+        """Return the partial answer without holding it."""
         part = self.read_after(0)
         return AnswerCopy(part.events, self._lineage, self._attempts, part.end)
 
     def read_after(self, number: int) -> AnswerPart:
-        """Return the events behind an event, without waiting."""
+        """Return the events after an event, without waiting."""
         stream = self._stream
-        # The end first: events are complete once it is set.
+        # Read ``end`` first: once it is set, no more events are appended.
         end = stream.end
         events = stream.events[number:]
         if _HOLD in events:
@@ -236,14 +237,12 @@
         readable = tuple(event for event in events if event is not _HOLD)
         return AnswerPart(number + 1, readable, self._state, end)
 
-    def wait_after(
-        self, last: EventId, clock: Clock, patience: timedelta
-    ) -> AnswerPart:
-        """Return the events behind an event, waiting until there is one.
+    def wait_after(self, last: EventId, clock: Clock, timeout: timedelta) -> AnswerPart:
+        """Return the events after an event; wait until there is one.
 
-        :returns: a part without events if nothing came in time, the answer has
-            ended, or it has moved.
-        :raises RequestError: if the event is not of this answer.
+        :returns: a part without events on a timeout, or if the answer has ended
+            or moved.
+        :raises RequestError: if the event does not belong to this answer.
         """
         check_lineage(self._lineage, last)
         signal = threading.Event()
@@ -251,18 +250,18 @@
             self.waiters.append(signal)
         try:
             part = self.read_after(last.number)
-            if not _is_worth_returning(part):
-                clock.wait(signal, patience)
+            if not _should_return(part):
+                clock.wait(signal, timeout)
                 part = self.read_after(last.number)
         finally:
             with self._lock:
                 self.waiters.remove(signal)
-        # An attempt may have started while this waited.
+        # An attempt may have started during the wait.
         check_lineage(self._lineage, last)
         return part
 
     def wake(self) -> None:
-        """Wake the readers that wait for an event."""
+        """Wake the waiting readers."""
         for signal in tuple(self.waiters):
             signal.set()
 
@@ -271,19 +270,19 @@
         if not stream.held:
             stream.held = True
             stream.events.append(_HOLD)
-            self._held_at = stream.events.index(_HOLD)
-        before = stream.events[: self._held_at]
+            self._hold_index = stream.events.index(_HOLD)
+        before = stream.events[: self._hold_index]
         return tuple(event for event in before if event is not _HOLD)
 
     def _find_held_end(self) -> AnswerEnd | None:
-        behind = len(self._stream.events) > self._held_at + 1
-        return None if behind else self._stream.end
+        has_later_events = len(self._stream.events) > self._hold_index + 1
+        return None if has_later_events else self._stream.end
 
 
 class AnswerReader:
-    """One caller's place in an answer.
+    """One caller's read position in an answer.
 
-    :param last: the last event that the caller has.
+    :param last: the last event that the caller has received.
     """
 
     def __init__(self, log: AnswerLog, last: EventId) -> None:
@@ -292,15 +291,15 @@
 
     @property
     def last(self) -> EventId:
-        """The last event that was read."""
+        """Id of the last event read."""
         return self._last
 
-    def read(self, clock: Clock, patience: timedelta) -> AnswerPart:
+    def read(self, clock: Clock, timeout: timedelta) -> AnswerPart:
         """Return the next events; see ``AnswerLog.wait_after``.
 
-        :raises InvariantError: if they do not follow on the last ones.
+        :raises InvariantError: if they do not follow the last event read.
         """
-        part = self._log.wait_after(self._last, clock, patience)
+        part = self._log.wait_after(self._last, clock, timeout)
         invariant(
             part.first == self._last.number + 1,
             Invariant.ANSWER_ORDER,
@@ -312,5 +311,5 @@
         return part
 
 
-def _is_worth_returning(part: AnswerPart) -> bool:
+def _should_return(part: AnswerPart) -> bool:
     return bool(part.events) or part.end is not None or part.state is LogState.MOVED
--- a/libs/recovery/fireflyhitch_recovery/handover.py
+++ b/libs/recovery/fireflyhitch_recovery/handover.py
@@ -1,4 +1,4 @@
-"""Handing requests in progress over to peers before this daemon goes."""
+"""Hand-over of in-flight requests to peers before this daemon stops."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -14,23 +14,15 @@
 from fireflyhitch_model.peers import Daemon, PeerMessage, PeerMessenger
 from fireflyhitch_model.states import Step
 from fireflyhitch_recovery.answers import AnswerCopy, LogState
-from fireflyhitch_recovery.batches import (
-    HandOverReport,
-    MovedRequest,
-    is_done,
-    is_open,
-    read_id,
-    take_batch,
-)
 from fireflyhitch_recovery.inflight import InFlight, measure_request
 from fireflyhitch_recovery.locations import Locations
 from fireflyhitch_recovery.messages import (
+    CapacityQuery,
+    CapacityReply,
     Confirm,
     ConfirmReply,
-    Located,
     Location,
-    Offer,
-    OfferReply,
+    LocationUpdate,
     Transfer,
     TransferReply,
     WireRequest,
@@ -39,19 +31,27 @@
 from fireflyhitch_recovery.reception import Reception, TakeOver
 from fireflyhitch_recovery.requests import TrackedRequest
 from fireflyhitch_recovery.settings import DEFAULT_SETTINGS, HandOverSettings
+from fireflyhitch_recovery.transfer_batches import (
+    HandOverReport,
+    MovedRequest,
+    get_request_id,
+    is_active,
+    is_taken_over,
+    pop_batch,
+)
 
-CONFIRM_TRIES = 2
+MAX_CONFIRM_ATTEMPTS = 2
 
 
 class HandOver:
-    """Moves requests to peers in other failure domains, and takes theirs.
+    """Moves requests to peers in other failure domains, and receives theirs.
 
-    A request is held while it is transferred, so that its caller cannot have
-    read more than the peer was given; it is let go only once the peer says
-    that it answers it.
+    A request is held during its transfer, so that its caller cannot have read
+    more than the peer received. It is released only once the peer confirms that
+    it answers the request.
 
-    :param take_over: has the daemon go on with a request; must not block.
-    :param read_room: how many more streams the daemon can carry.
+    :param take_over: continues a request on this daemon; must not block.
+    :param read_capacity: returns how many more streams the daemon can serve.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         clock: Clock,
         in_flight: InFlight,
         take_over: TakeOver,
-        read_room: Callable[[], int],
+        read_capacity: Callable[[], int],
         settings: HandOverSettings = DEFAULT_SETTINGS,
     ) -> None:
         self._daemon = daemon
@@ -80,96 +80,97 @@
             in_flight,
             self.locations,
             take_over,
-            read_room,
+            read_capacity,
             settings,
         )
         self._lock = Lock()
         self._moved: dict[RequestId, MovedRequest] = {}
-        self._protected: dict[RequestId, DaemonId] = {}
-        self._failed: set[DaemonId] = set()
+        self._replicas: dict[RequestId, DaemonId] = {}
+        self._failed_peers: set[DaemonId] = set()
         self._leaving = False
-        self._seen_to: set[RequestId] = set()
-        in_flight.observe(self._withdraw_copy)
+        self._handled: set[RequestId] = set()
+        in_flight.observe(self._withdraw_replica)
 
     def hand_over(
         self, request_ids: Iterable[RequestId], time_left: timedelta
     ) -> HandOverReport:
-        """Move requests to peers, in the order given; blocks until done.
+        """Move requests to peers in the given order; block until done.
 
-        Call it on a thread of its own. The engine connections of moved requests
-        must stay open until the process ends, as engines cancel what is closed.
+        Call it on a dedicated thread. The engine connections of moved requests
+        must stay open until the process exits, because engines cancel a stream
+        whose connection closes.
 
-        :param time_left: after which it is given up.
+        :param time_left: time limit; the rest stays here.
         """
-        ends = self._clock.monotonic() + time_left.total_seconds()
+        deadline = self._clock.monotonic() + time_left.total_seconds()
         wanted = tuple(request_ids)
-        self._seen_to.update(wanted)
+        self._handled.update(wanted)
         self.announce()
-        waiting = deque(self._find_all(wanted))
+        pending = deque(self._find_movable(wanted))
         moved: list[RequestId] = []
-        while waiting and self._clock.monotonic() < ends:
-            peer = self._choose_peer(waiting)
+        while pending and self._clock.monotonic() < deadline:
+            peer = self._choose_peer(pending)
             if peer is None:
-                self._failed.clear()
-                self._clock.wait(Event(), self._settings.pause)
+                self._failed_peers.clear()
+                self._clock.wait(Event(), self._settings.retry_interval)
                 continue
-            batch = take_batch(waiting, self._settings)
+            batch = pop_batch(pending, self._settings)
             done = self._move_batch(peer, batch.requests)
-            moved.extend(read_id(tracked) for tracked in done)
+            moved.extend(get_request_id(tracked) for tracked in done)
             rest = [tracked for tracked in batch.requests if tracked not in done]
-            waiting.extendleft(reversed(list(filter(is_open, rest))))
-            self._wait_for_pace(batch.size)
-        left = tuple(one for one in wanted if one not in moved and self._has(one))
+            pending.extendleft(reversed(list(filter(is_active, rest))))
+            self._limit_send_rate(batch.size)
+        left = tuple(one for one in wanted if one not in moved and self._is_active(one))
         if left:
             logger.bind(step=Step.HAND_OVER.value).warning(
-                '{} requests moved, {} left here', len(moved), len(left)
+                '{} requests moved, {} left on this daemon', len(moved), len(left)
             )
         return HandOverReport(tuple(moved), left)
 
     def protect(self, request_ids: Iterable[RequestId]) -> tuple[RequestId, ...]:
-        """Leave copies of requests with a peer while they finish here.
+        """Replicate requests to a peer while they finish here.
 
-        Should this daemon die before its time, the peer goes on with them. The
-        copies are withdrawn as the requests end.
+        If this daemon crashes first, the peer continues them. A replica is
+        withdrawn when its request ends.
 
-        :returns: the requests that a peer keeps copies of.
+        :returns: the requests that a peer has replicas of.
         """
         self.announce()
-        waiting = deque(self._find_all(request_ids))
-        protected: list[RequestId] = []
-        while waiting:
-            peer = self._choose_peer(waiting)
+        pending = deque(self._find_movable(request_ids))
+        replicas: list[RequestId] = []
+        while pending:
+            peer = self._choose_peer(pending)
             if peer is None:
                 break
-            batch = take_batch(waiting, self._settings).requests
+            batch = pop_batch(pending, self._settings).requests
             copies = [(tracked, tracked.log.copy()) for tracked in batch]
             kept = self._transfer(peer, copies)
-            self._note_protected(peer, kept)
-            protected.extend(kept)
+            self._record_replicas(peer, kept)
+            replicas.extend(kept)
             if len(kept) < len(batch):
-                self._failed.add(peer)
-        self._failed.clear()
-        self._seen_to.update(protected)
-        return tuple(protected)
+                self._failed_peers.add(peer)
+        self._failed_peers.clear()
+        self._handled.update(replicas)
+        return tuple(replicas)
 
     def announce(self) -> None:
-        """Tell where this daemon's requests are, once it is leaving.
+        """Publish the locations of this daemon's requests when it starts to leave.
 
-        The others do not count a leaving daemon among the live ones, by which
-        they find it from a request's id. Callers who come back through them
-        would be told that their request is lost.
+        Peers no longer count a leaving daemon as live and cannot find it from
+        a request's id. Without this, callers that reconnect through a peer
+        would get an error that their request is lost.
         """
         self._leaving = True
         self.locations.publish(map(self._describe, self._in_flight.list()))
 
     def check_peers(self) -> HandOverReport:
-        """Mend what became of copies and moved requests, once a second.
+        """Recover requests lost with a peer and refresh replicas; call it every second.
 
-        What went to a peer that has died since is handed over once more, and
-        the copies of what is finished here are brought up to date.
+        Requests that were moved to a peer that has crashed since are handed over
+        again. Replicas of requests that finish here are brought up to date.
         """
-        self._protect_latecomers()
-        self._refresh_copies()
+        self._replicate_new()
+        self._refresh_replicas()
         live = {daemon.daemon_id for daemon in self._messenger.live()}
         with self._lock:
             suspects = [
@@ -177,83 +178,90 @@
                 for request_id, move in self._moved.items()
                 if move.peer not in live and self._in_flight.find(request_id) is None
             ]
-        answered = {found.request_id for found in self._find_answered(suspects)}
+        answered = {found.request_id for found in self._find_active_elsewhere(suspects)}
         lost = [one for one in suspects if one not in answered]
         if not lost:
             return HandOverReport((), ())
         for request_id in lost:
-            self._take_back(request_id)
-        report = self.hand_over(lost, self._settings.confirm_patience)
+            self._restore_moved(request_id)
+        report = self.hand_over(lost, self._settings.confirm_timeout)
         for left in map(self._in_flight.find, report.left):
             if left is not None:
                 self._take_over(left)
         return report
 
-    def _protect_latecomers(self) -> None:
-        """Protect what became this daemon's own after it began to leave.
+    def _replicate_new(self) -> None:
+        """Replicate requests that this daemon got after it started to leave.
 
-        A copy that it kept for a peer is its own once that peer has died. It was
-        not among what was handed over or protected at the notice, and callers
-        would lose it with this daemon. One that no peer took is tried again.
+        A replica held for a peer becomes this daemon's request when that peer
+        crashes. It was not handed over or replicated at the notice, so it would
+        be lost with this daemon. A request that no peer accepted is retried.
         """
         if not self._leaving:
             return
-        active = map(read_id, self._in_flight.list())
-        late = [request_id for request_id in active if request_id not in self._seen_to]
+        active = map(get_request_id, self._in_flight.list())
+        late = [request_id for request_id in active if request_id not in self._handled]
         if late:
             self.protect(late)
 
-    def _find_all(self, request_ids: Iterable[RequestId]) -> list[TrackedRequest]:
+    def _find_movable(self, request_ids: Iterable[RequestId]) -> list[TrackedRequest]:
         found = map(self._in_flight.find, request_ids)
         return [tracked for tracked in found if tracked and self._is_movable(tracked)]
 
-    def _has(self, request_id: RequestId) -> bool:
+    def _is_active(self, request_id: RequestId) -> bool:
         tracked = self._in_flight.find(request_id)
-        return tracked is not None and is_open(tracked)
+        return tracked is not None and is_active(tracked)
 
     def _is_movable(self, tracked: TrackedRequest) -> bool:
-        # A message that is too large for a peer link would break the link.
+        # A message above the size limit of a peer link breaks the link.
         fits = measure_request(tracked) <= self._settings.max_request_bytes
         return fits and tracked.finished is None
 
-    def _choose_peer(self, waiting: Iterable[TrackedRequest]) -> DaemonId | None:
-        """Return the peer with the most room, in another failure domain if any."""
+    def _choose_peer(self, pending: Iterable[TrackedRequest]) -> DaemonId | None:
+        """Return the peer with the most capacity, preferably in another domain."""
         peers = [
             daemon
             for daemon in self._messenger.live()
-            if daemon.daemon_id not in self._failed
+            if daemon.daemon_id not in self._failed_peers
             and daemon.daemon_id != self._daemon.daemon_id
         ]
-        ours = self._daemon.failure_domain
-        far = [peer.daemon_id for peer in peers if peer.failure_domain != ours]
-        near = [peer.daemon_id for peer in peers if peer.failure_domain == ours]
-        return self._compare_room(far, waiting) or self._compare_room(near, waiting)
+        own_domain = self._daemon.failure_domain
+        other_domain = [
+            peer.daemon_id for peer in peers if peer.failure_domain != own_domain
+        ]
+        same_domain = [
+            peer.daemon_id for peer in peers if peer.failure_domain == own_domain
+        ]
+        return self._choose_by_capacity(
+            other_domain, pending
+        ) or self._choose_by_capacity(same_domain, pending)
 
-    def _compare_room(
-        self, candidates: list[DaemonId], waiting: Iterable[TrackedRequest]
+    def _choose_by_capacity(
+        self, candidates: list[DaemonId], pending: Iterable[TrackedRequest]
     ) -> DaemonId | None:
-        """Ask peers for their room, until a few have some.
+        """Return the peer with the most capacity, or ``None`` if all are full.
 
-        Each daemon starts at another place of the list. With a failure domain
-        leaving at once, all would else fill the same peer first.
+        Peers are queried until ``max_compared_peers`` of them have capacity. Each
+        daemon queries in another order. Otherwise all daemons of a failure domain
+        that leave together would fill the same peer first.
         """
-        sizes = [len(tracked.accepted.body) for tracked in waiting]
-        offer = Offer(requests=len(sizes), size=sum(sizes))
+        sizes = [len(tracked.accepted.body) for tracked in pending]
+        query = CapacityQuery(requests=len(sizes), size=sum(sizes))
         best: DaemonId | None = None
-        most = 0
-        asked = 0
+        max_capacity = 0
+        num_with_capacity = 0
         for candidate in rank_by_hash(self._daemon.daemon_id, candidates):
-            room = self._ask_room(candidate, offer)
-            if room > most:
-                best, most = candidate, room
-            asked += room > 0
-            if asked >= self._settings.offers:
+            capacity = self._request_capacity(candidate, query)
+            if capacity > max_capacity:
+                best, max_capacity = candidate, capacity
+            num_with_capacity += capacity > 0
+            if num_with_capacity >= self._settings.max_compared_peers:
                 break
         return best
 
-    def _ask_room(self, peer: DaemonId, offer: Offer) -> int:
-        reply = self._ask(peer, offer)
-        if not isinstance(reply, OfferReply) or not reply.size:
+    def _request_capacity(self, peer: DaemonId, query: CapacityQuery) -> int:
+        reply = self._ask(peer, query)
+        if not isinstance(reply, CapacityReply) or not reply.size:
             return 0
         return reply.requests
 
@@ -262,33 +270,34 @@
     ) -> list[TrackedRequest]:
         copies = [(tracked, tracked.log.hold()) for tracked in batch]
         kept = self._transfer(peer, copies)
-        taken = self._confirm(peer, kept) if kept else ()
-        done = [tracked for tracked in batch if is_done(tracked, taken)]
+        confirmed = self._confirm(peer, kept) if kept else ()
+        done = [tracked for tracked in batch if is_taken_over(tracked, confirmed)]
         for moved in done:
-            self._let_go(moved, peer)
+            self._release(moved, peer)
         rest = [tracked for tracked in batch if tracked not in done]
         if rest:
-            self._failed.add(peer)
-            self._keep_here(rest, peer)
+            self._failed_peers.add(peer)
+            self._keep_local(rest, peer)
         return done
 
-    def _keep_here(self, rest: Iterable[TrackedRequest], peer: DaemonId) -> None:
-        """Go on with requests that a peer did not say it took.
+    def _keep_local(self, rest: Iterable[TrackedRequest], peer: DaemonId) -> None:
+        """Continue requests here that a peer did not confirm.
 
-        It may have taken them, with its answer lost. The generation goes above
-        the one it was given, so that it lets go once it hears of it.
+        The peer may have taken them over and its reply been lost. The generation
+        is raised above the one it received, so that it releases them when it
+        receives the new location.
         """
         for tracked in rest:
             tracked.generation += 2
-            tracked.log.lift()
-        request_ids = tuple(map(read_id, rest))
+            tracked.log.release_hold()
+        request_ids = tuple(map(get_request_id, rest))
         self._messenger.tell(peer, Withdraw(requests=request_ids))
         locations = tuple(map(self._describe, rest))
-        self._messenger.tell(peer, Located(locations=locations))
+        self._messenger.tell(peer, LocationUpdate(locations=locations))
 
     def _describe(self, tracked: TrackedRequest) -> Location:
         return Location(
-            request_id=read_id(tracked),
+            request_id=get_request_id(tracked),
             daemon_id=self._daemon.daemon_id,
             generation=tracked.generation,
         )
@@ -307,17 +316,17 @@
     def _confirm(
         self, peer: DaemonId, request_ids: tuple[RequestId, ...]
     ) -> tuple[RequestId, ...]:
-        for _ in range(CONFIRM_TRIES):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             reply = self._ask(peer, Confirm(requests=request_ids))
             if isinstance(reply, ConfirmReply):
                 return reply.requests
         return ()
 
-    def _let_go(self, tracked: TrackedRequest, peer: DaemonId) -> None:
-        request_id = read_id(tracked)
+    def _release(self, tracked: TrackedRequest, peer: DaemonId) -> None:
+        request_id = get_request_id(tracked)
         with self._lock:
             self._moved[request_id] = MovedRequest(tracked, peer)
-            self._protected.pop(request_id, None)
+            self._replicas.pop(request_id, None)
         self._in_flight.leave(tracked)
         self.locations.publish(
             (
@@ -329,36 +338,36 @@
             )
         )
 
-    def _refresh_copies(self) -> None:
-        # A copy that names an engine's stream which was lost meanwhile would
-        # have the peer go on from further back than the caller has read.
+    def _refresh_replicas(self) -> None:
+        # With a replica whose engine stream was lost since, the peer would
+        # continue from a point before what the caller has already read.
         with self._lock:
-            protected = tuple(self._protected.items())
-        for peer in sorted({holder for _, holder in protected}):
-            held = [request_id for request_id, holder in protected if holder == peer]
+            replicas = tuple(self._replicas.items())
+        for peer in sorted({holder for _, holder in replicas}):
+            held = [request_id for request_id, holder in replicas if holder == peer]
             copies = [
                 (tracked, tracked.log.copy())
-                for tracked in self._find_all(held)
+                for tracked in self._find_movable(held)
                 if tracked.log.state is LogState.OPEN
             ]
             for start in range(0, len(copies), self._settings.batch_requests):
                 batch = copies[start : start + self._settings.batch_requests]
-                self._protect_elsewhere(batch, self._transfer(peer, batch))
+                self._replicate_rejected(batch, self._transfer(peer, batch))
 
-    def _protect_elsewhere(
+    def _replicate_rejected(
         self,
         copies: list[tuple[TrackedRequest, AnswerCopy]],
         kept: tuple[RequestId, ...],
     ) -> None:
-        refused = [one for one, _ in copies if read_id(one) not in kept]
+        refused = [one for one, _ in copies if get_request_id(one) not in kept]
         for tracked in refused:
-            # Above the copy that may be left at a peer out of reach.
+            # Supersedes a replica that may remain at an unreachable peer.
             tracked.generation += 1
         if refused:
-            self.protect(map(read_id, refused))
+            self.protect(map(get_request_id, refused))
 
-    def _find_answered(self, request_ids: list[RequestId]) -> list[Location]:
-        """Return where requests are, by the word of who answers them."""
+    def _find_active_elsewhere(self, request_ids: list[RequestId]) -> list[Location]:
+        """Return the locations that are confirmed by the daemons they name."""
         holders: dict[DaemonId, list[RequestId]] = {}
         for location in self.locations.find_all(request_ids):
             if location.daemon_id == self._daemon.daemon_id:
@@ -366,40 +375,40 @@
             holders.setdefault(location.daemon_id, []).append(location.request_id)
         answered: list[Location] = []
         for holder, held in holders.items():
-            said = self.locations.ask(holder, held)
-            answered.extend(one for one in said if one.daemon_id == holder)
+            reported = self.locations.ask(holder, held)
+            answered.extend(one for one in reported if one.daemon_id == holder)
         return answered
 
-    def _take_back(self, request_id: RequestId) -> None:
+    def _restore_moved(self, request_id: RequestId) -> None:
         with self._lock:
             move = self._moved.pop(request_id)
         held = move.tracked
-        known = self.locations.find_here(request_id)
-        newest = max(known.generation if known else 0, held.generation + 1)
-        # Above what the lost peer had, so that its copy loses if it comes back.
+        recorded = self.locations.find_local(request_id)
+        newest = max(recorded.generation if recorded else 0, held.generation + 1)
+        # Supersedes the lost peer's copy in case that peer comes back.
         tracked = self._in_flight.register(held.accepted, held.log.hold(), newest + 1)
         tracked.placement = held.placement
 
-    def _note_protected(self, peer: DaemonId, kept: Iterable[RequestId]) -> None:
+    def _record_replicas(self, peer: DaemonId, kept: Iterable[RequestId]) -> None:
         with self._lock:
-            self._protected.update((request_id, peer) for request_id in kept)
+            self._replicas.update((request_id, peer) for request_id in kept)
 
-    def _withdraw_copy(self, request_id: RequestId) -> None:
+    def _withdraw_replica(self, request_id: RequestId) -> None:
         with self._lock:
-            peer = self._protected.pop(request_id, None)
+            peer = self._replicas.pop(request_id, None)
         if peer is not None:
             self._messenger.tell(peer, Withdraw(requests=(request_id,)))
 
-    def _wait_for_pace(self, size: int) -> None:
+    def _limit_send_rate(self, size: int) -> None:
         seconds = size / self._settings.bytes_per_second
         self._clock.wait(Event(), timedelta(seconds=seconds))
 
     def _ask(self, peer: DaemonId, message: PeerMessage) -> PeerMessage | None:
         try:
-            return self._messenger.ask(peer, message, self._settings.ask_patience)
+            return self._messenger.ask(peer, message, self._settings.ask_timeout)
         except PeerError as error:
             logger.bind(step=Step.HAND_OVER.value, peer=error.peer).debug(
                 'no answer to {}', message.kind
             )
-            self._failed.add(peer)
+            self._failed_peers.add(peer)
             return None
--- a/libs/recovery/fireflyhitch_recovery/messages.py
+++ b/libs/recovery/fireflyhitch_recovery/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which requests in progress pass from one daemon to another."""
+"""Peer messages that hand in-flight requests over between daemons."""
 
 from dataclasses import replace
 from typing import ClassVar, Self
@@ -9,7 +9,7 @@
 from fireflyhitch_model.ids import DaemonId, RequestId
 from fireflyhitch_model.peers import PeerMessage
 from fireflyhitch_recovery.answers import AnswerCopy, AnswerEnd
-from fireflyhitch_recovery.events import Cut
+from fireflyhitch_recovery.events import LineageEntry
 from fireflyhitch_recovery.requests import (
     AcceptedRequest,
     CompletionKind,
@@ -18,15 +18,15 @@
 )
 
 
-class _Part(BaseModel):
+class _WireModel(BaseModel):
     model_config = ConfigDict(frozen=True, extra='ignore')
 
 
-class WireRequest(_Part):
-    """A request with its answer so far.
+class WireRequest(_WireModel):
+    """A request with its partial answer, as sent to a peer.
 
-    :param call: its arrival is told as its age, and its deadline as the time
-        left, since monotonic clocks differ between daemons.
+    :param call: with its age in place of the arrival and the time left in place
+        of the deadline, since monotonic clocks differ between daemons.
     """
 
     call: Call
@@ -34,7 +34,7 @@
     body: bytes
     streaming: bool
     events: tuple[bytes, ...]
-    lineage: tuple[Cut, ...]
+    lineage: tuple[LineageEntry, ...]
     attempts: int
     end: AnswerEnd | None = None
     placement: Placement | None = None
@@ -44,7 +44,7 @@
     def pack(
         cls, tracked: TrackedRequest, copy: AnswerCopy, generation: int, now: float
     ) -> Self:
-        """Return a request as it is sent at a time in monotonic seconds."""
+        """Return the wire form of a request, sent at a time in monotonic seconds."""
         accepted = tracked.accepted
         call = accepted.call
         return cls(
@@ -64,16 +64,16 @@
 
     @property
     def request_id(self) -> RequestId:
-        """The request's id."""
+        """Id of the request."""
         return self.call.request_id
 
     @property
     def size(self) -> int:
-        """Roughly how many bytes it takes."""
+        """Approximate size in bytes."""
         return len(self.body) + sum(map(len, self.events))
 
     def unpack_accepted(self, now: float) -> AcceptedRequest:
-        """Return the request as received at a time in monotonic seconds."""
+        """Return the request, received at a time in monotonic seconds."""
         call = self.call
         received = replace(
             call, arrived=now - call.arrived, deadline=now + call.deadline
@@ -85,8 +85,8 @@
         return AnswerCopy(self.events, self.lineage, self.attempts, self.end)
 
 
-class Offer(PeerMessage):
-    """Asks a peer how much it could take over."""
+class CapacityQuery(PeerMessage):
+    """Asks a peer how many requests it can take over."""
 
     kind: ClassVar[str] = 'hand-over-offer'
 
@@ -94,9 +94,10 @@
     size: int
 
 
-class OfferReply(PeerMessage):
-    """Tells how much a peer could take over now.
+class CapacityReply(PeerMessage):
+    """Reports how much a peer can take over now.
 
+    :param requests: number of requests.
     :param size: bytes of requests and answers.
     """
 
@@ -107,7 +108,7 @@
 
 
 class Transfer(PeerMessage):
-    """Gives a peer requests to keep, not yet to go on with."""
+    """Sends requests that a peer stores but does not answer until confirmed."""
 
     kind: ClassVar[str] = 'hand-over-transfer'
 
@@ -115,7 +116,7 @@
 
 
 class TransferReply(PeerMessage):
-    """Tells which requests a peer keeps; it has no room for the others."""
+    """Lists the requests that a peer stored; it has no capacity for the others."""
 
     kind: ClassVar[str] = 'hand-over-kept'
 
@@ -123,7 +124,7 @@
 
 
 class Confirm(PeerMessage):
-    """Has a peer go on with requests that it keeps."""
+    """Makes a peer answer requests that were transferred to it."""
 
     kind: ClassVar[str] = 'hand-over-confirm'
 
@@ -131,7 +132,7 @@
 
 
 class ConfirmReply(PeerMessage):
-    """Tells which requests a peer answers now."""
+    """Lists the requests that a peer answers now."""
 
     kind: ClassVar[str] = 'hand-over-taken'
 
@@ -139,39 +140,39 @@
 
 
 class Withdraw(PeerMessage):
-    """Has a peer forget requests that it keeps, as they ended or went elsewhere."""
+    """Makes a peer discard transferred requests that ended or moved elsewhere."""
 
     kind: ClassVar[str] = 'hand-over-withdraw'
 
     requests: tuple[RequestId, ...]
 
 
-class Location(_Part):
-    """Who answers a request; the higher generation is right."""
+class Location(_WireModel):
+    """The daemon that answers a request; the highest generation is current."""
 
     request_id: RequestId
     daemon_id: DaemonId
     generation: int
 
 
-class Located(PeerMessage):
-    """Tells who answers requests from now on."""
+class LocationUpdate(PeerMessage):
+    """Announces which daemon answers requests from now on."""
 
     kind: ClassVar[str] = 'request-located'
 
     locations: tuple[Location, ...]
 
 
-class Locate(PeerMessage):
-    """Asks who answers some requests."""
+class LocationQuery(PeerMessage):
+    """Asks which daemons answer some requests."""
 
     kind: ClassVar[str] = 'request-locate'
 
     requests: tuple[RequestId, ...]
 
 
-class LocateReply(PeerMessage):
-    """Tells who answers which request, as far as the asked one knows."""
+class LocationReply(PeerMessage):
+    """Lists the locations that the queried daemon has on record."""
 
     kind: ClassVar[str] = 'request-locations'
 
--- a/libs/recovery/tests/test_answers.py
+++ b/libs/recovery/tests/test_answers.py
@@ -19,8 +19,8 @@
 )
 from fireflyhitch_recovery.events import (
     START,
-    Cut,
     EventId,
+    LineageEntry,
     format_event_id,
     parse_event_id,
 )
@@ -38,66 +38,66 @@
 
 
 class TestEventIds:
-    """Ids as callers see them."""
+    """Event ids in ``Last-Event-ID``."""
 
     @pytest.mark.parametrize('text', ['0', '12', '7.2-1a2b'])
-    def test_ids_survive_the_way_to_the_caller_and_back(self, text):
+    def test_ids_round_trip(self, text):
         event = parse_event_id(text)
         assert format_event_id(event.number, event.attempt) == text
 
-    def test_foreign_id_is_refused(self):
+    def test_malformed_id_is_rejected(self):
         with pytest.raises(RequestError) as caught:
             parse_event_id('x9')
         assert caught.value.status == 400
 
 
 class TestHold:
-    """Holding, lifting and moving an answer."""
+    """Holding, releasing and moving an answer."""
 
-    def test_held_events_wait_until_the_hold_is_lifted(self, log):
+    def test_held_events_wait_until_the_hold_is_released(self, log):
         stream = log.current()
         assert stream.append(b'1')
         copy = log.hold()
         assert not stream.append(b'2')
         assert (copy.events, read(log)) == ((b'1',), (b'1',))
-        log.lift()
+        log.release_hold()
         assert read(log) == (b'1', b'2')
         assert stream.append(b'3')
 
-    def test_moved_answer_stays_as_it_was_given_away(self, log):
+    def test_moved_answer_does_not_change(self, log):
         log.current().append(b'1')
         log.hold()
         log.move()
-        log.lift()
+        log.release_hold()
         assert not log.current().append(b'2')
         assert log.state is LogState.MOVED
         assert read(log) == (b'1',)
         assert log.open_attempt() is None
 
-    def test_end_behind_a_hold_is_not_shown(self, log):
+    def test_end_after_a_hold_is_not_reported(self, log):
         stream = log.current()
         stream.append(b'1')
         log.hold()
         stream.append(b'2')
         stream.finish(AnswerEnd.COMPLETE)
         assert log.read_after(0).end is None
-        log.lift()
+        log.release_hold()
         assert log.read_after(0).end is AnswerEnd.COMPLETE
 
-    def test_hold_against_a_busy_writer_neither_loses_nor_repeats(self, log):
-        """One thread appends without a lock while another holds and lifts.
+    def test_hold_with_a_concurrent_writer_neither_loses_nor_repeats(self, log):
+        """One thread appends without a lock while another holds and releases.
 
-        What the writer was told it may relay lies before the hold's cut; in
-        the end each event is there once, in order.
+        Events that the writer may relay precede the hold, so a held answer must
+        not grow. In the end each event must be present once, in order.
         """
         stream = log.current()
         total = 20000
-        late = []
+        not_relayed = []
 
         def write():
             for number in range(total):
                 if not stream.append(b'%d' % number):
-                    late.append(number)
+                    not_relayed.append(number)
 
         writer = threading.Thread(target=write)
         writer.start()
@@ -105,16 +105,16 @@
         while writer.is_alive():
             cuts.append(len(log.hold().events))
             assert len(read(log)) == cuts[-1]
-            log.lift()
+            log.release_hold()
         writer.join()
         assert cuts == sorted(cuts)
         assert read(log) == tuple(b'%d' % number for number in range(total))
 
 
 class TestAttempts:
-    """An answer that a second stream goes on with."""
+    """Answers that a second attempt continues."""
 
-    def test_late_event_of_the_old_attempt_is_dropped(self, log):
+    def test_late_event_of_the_previous_attempt_is_dropped(self, log):
         old = log.current()
         old.append(b'1')
         new = log.open_attempt()
@@ -123,49 +123,53 @@
         assert read(log) == (b'1', b'2')
         assert log.lineage[-1].first == 2
 
-    def test_caller_with_another_continuation_is_refused(self, log):
-        """Two daemons went on with one answer while cut off from each other.
+    def test_caller_with_another_continuation_is_rejected(self, log):
+        """Two daemons continued one answer during a network partition.
 
-        The caller read events 2 and 3 from one and asks the other for the
-        rest. It is told that its part is lost instead of a mixed answer.
+        The caller read events 2 and 3 from one and requests the rest from the
+        other. It must get an error instead of a mixed answer.
         """
         log.current().append(b'1')
         log.open_attempt().extend([b'2', b'3', b'4'])
         other = AnswerLog(DaemonId('aalst'), log.copy())
-        elsewhere = EventId(3, Cut(2, '2-ffff').attempt)
+        elsewhere = EventId(3, LineageEntry(2, '2-ffff').attempt)
         with pytest.raises(RequestError) as caught:
             other.wait_after(elsewhere, ManualClock(), NOW)
         assert caught.value.code == 'answer_diverged'
         same = EventId(3, log.lineage[-1].attempt)
         assert other.wait_after(same, ManualClock(), NOW).events == (b'4',)
 
-    def test_caller_ahead_of_a_copy_waits_for_it(self, log):
+    def test_caller_ahead_of_a_copy_gets_no_events(self, log):
         log.current().append(b'1')
         assert not log.wait_after(EventId(5), ManualClock(), NOW).events
 
-    def test_copy_with_a_gap_is_refused(self):
+    def test_copy_with_a_gap_violates_the_invariant(self):
         with pytest.raises(InvariantError):
             AnswerLog(
                 DaemonId('gent'),
-                AnswerCopy((b'1',), (Cut(1, ''), Cut(9, 'x')), 2, None),
+                AnswerCopy(
+                    (b'1',), (LineageEntry(1, ''), LineageEntry(9, 'x')), 2, None
+                ),
             )
 
 
 class TestReaders:
-    """Callers that wait for more."""
+    """Readers that wait for events."""
 
     def test_waiting_reader_is_woken_by_the_next_event(self, log):
         reader = AnswerReader(log, START)
-        got = []
-        waits = threading.Thread(
-            target=lambda: got.append(reader.read(SystemClock(), timedelta(seconds=30)))
+        received = []
+        waiter = threading.Thread(
+            target=lambda: received.append(
+                reader.read(SystemClock(), timedelta(seconds=30))
+            )
         )
-        waits.start()
+        waiter.start()
         while not log.waiters:
             threading.Event().wait(0.001)
         log.current().append(b'1')
-        waits.join()
-        assert got[0].events == (b'1',)
+        waiter.join()
+        assert received[0].events == (b'1',)
         assert reader.last == EventId(1)
 
     @settings(max_examples=60, derandomize=True, deadline=None)
@@ -174,18 +178,18 @@
         log = AnswerLog(DaemonId('gent'))
         reader = AnswerReader(log, START)
         streams = [log.current()]
-        got = []
+        received = []
         for number, step in enumerate(steps):
             if step == 'event':
                 streams[-1].append(b'%d' % number)
             elif step == 'hold':
                 log.hold()
             elif step == 'lift':
-                log.lift()
+                log.release_hold()
             elif step == 'attempt':
                 streams.append(log.open_attempt() or streams[-1])
             else:
-                got.extend(reader.read(ManualClock(), NOW).events)
-        log.lift()
-        got.extend(reader.read(ManualClock(), NOW).events)
-        assert tuple(got) == read(log)
+                received.extend(reader.read(ManualClock(), NOW).events)
+        log.release_hold()
+        received.extend(reader.read(ManualClock(), NOW).events)
+        assert tuple(received) == read(log)
