--- a/libs/bench/fireflyhitch_bench/demo_faults.py
+++ b/libs/bench/fireflyhitch_bench/demo_faults.py
@@ -43,8 +43,8 @@
 
 
 def _reclaim(site: Site, instance: str) -> None:
-    wish = {'notice_seconds': NOTICE_SECONDS, 'instances': [instance]}
-    site.call_platform('POST', '/standin/reclaims', wish)
+    reclaim = {'notice_seconds': NOTICE_SECONDS, 'instances': [instance]}
+    site.call_platform('POST', '/standin/reclaims', reclaim)
 
 
 def _cut_store(site: Site, say: Teller) -> None:
--- a/libs/bench/fireflyhitch_bench/moves.py
+++ b/libs/bench/fireflyhitch_bench/moves.py
@@ -29,7 +29,7 @@
 from fireflyhitch_bench.moves_policies import (
     DAEMONS,
     CanaryPolicy,
-    KeeperPolicy,
+    MoveManagerPolicy,
     Policy,
     SteppedPolicy,
 )
@@ -57,7 +57,7 @@
 AFTERWARDS = 30.0
 BOUNDS = Bounds(survive_domain_loss=0.5, min_servers=1, max_servers=64, max_on_demand=8)
 POLICIES: dict[str, Callable[[Case, ManualClock], Policy]] = {
-    'fireflyhitch': KeeperPolicy,
+    'fireflyhitch': MoveManagerPolicy,
     'canary': CanaryPolicy,
     'stepped': SteppedPolicy,
 }
@@ -107,7 +107,7 @@
         self._planned = now
         for need in needs:
             self._fulfil(need, self._case.start_seconds, REFUSED)
-        wanted = {wish.version for wish in needs}
+        wanted = {version_need.version for version_need in needs}
         for server_id, engine in tuple(self._backends.engines.items()):
             if engine.server.version not in wanted:
                 self._backends.stop(server_id)
--- a/libs/bench/fireflyhitch_bench/moves_matrix.py
+++ b/libs/bench/fireflyhitch_bench/moves_matrix.py
@@ -113,7 +113,7 @@
 
 
 def _check_end(world: World, bad: bool, wrong: list[str]) -> str:
-    reports = [report for node in world.nodes for report in node.keeper.moves()]
+    reports = [report for node in world.nodes for report in node.manager.moves()]
     states = {report.state for report in reports}
     if len(states) != 1:
         wrong.append('daemons differ on the end')
--- a/libs/bench/fireflyhitch_bench/moves_policies.py
+++ b/libs/bench/fireflyhitch_bench/moves_policies.py
@@ -84,14 +84,14 @@
         here = Daemon(DaemonId(f'daemon-{number}'), DOMAINS[number], '', '')
         messenger = network.join(here)
         self.duties = DutyManager(store, clock, here.daemon_id, messenger.live)
-        self.book = EvidenceCollector(here, messenger, clock)
+        self.collector = EvidenceCollector(here, messenger, clock)
         self.picker = VersionPicker()
-        self.keeper = MoveManager(
-            here, store, messenger, self.duties, self.book, self.picker, clock
+        self.manager = MoveManager(
+            here, store, messenger, self.duties, self.collector, self.picker, clock
         )
 
 
-class KeeperPolicy:
+class MoveManagerPolicy:
     """The product: two daemons, a store with outages, peers."""
 
     def __init__(self, case: Case, clock: ManualClock) -> None:
@@ -111,8 +111,8 @@
         )
         configuration = Configuration(deployments=(deployment,), customers=())
         for node in self._nodes:
-            node.keeper.configure(configuration, 1)
-            node.duties.set_duties(node.keeper.list_duties())
+            node.manager.configure(configuration, 1)
+            node.duties.set_duties(node.manager.list_duties())
 
     def pick(self, daemon: int, call: Call) -> Picked:
         """Choose as the daemon does."""
@@ -121,7 +121,7 @@
 
     def record(self, ended: Ended) -> None:
         """Record at the daemon that gave the call out."""
-        self._nodes[ended.daemon].book.record(
+        self._nodes[ended.daemon].collector.record(
             ended.call,
             ended.server,
             ok=ended.ok,
@@ -142,9 +142,9 @@
             self._observe(ready)
         leaving = backends.list_leaving()
         for node in self._nodes:
-            node.book.mark_leaving(leaving)
+            node.collector.mark_leaving(leaving)
             node.duties.step()
-            node.keeper.step()
+            node.manager.step()
         self._note_ending(now)
 
     def _observe(self, ready: tuple[BackendServer, ...]) -> None:
@@ -152,11 +152,11 @@
         start_time = timedelta(seconds=self._case.start_seconds)
         supply = Supply(ready, self._case.needed, start_time)
         for node in self._nodes:
-            node.keeper.update_supplies({DEPLOYMENT: supply})
+            node.manager.update_supplies({DEPLOYMENT: supply})
 
     def list_needs(self) -> Sequence[VersionNeed]:
-        """Return what the keeper asks of the fleet."""
-        return self._nodes[0].keeper.list_needs(DEPLOYMENT)
+        """Return what the move manager asks of the fleet."""
+        return self._nodes[0].manager.list_needs(DEPLOYMENT)
 
     def find_ending(self) -> Ending | None:
         """Return the end, once all daemons see one."""
@@ -168,7 +168,7 @@
         shares = [node.picker.find(DEPLOYMENT) for node in self._nodes]
         if all(share is not None and share.new for share in shares):
             return
-        reports = [report for node in self._nodes for report in node.keeper.moves()]
+        reports = [report for node in self._nodes for report in node.manager.moves()]
         ended = [
             report
             for report in reports
--- a/libs/bench/fireflyhitch_bench/moves_world.py
+++ b/libs/bench/fireflyhitch_bench/moves_world.py
@@ -55,7 +55,7 @@
 CALLS_A_STEP = 6
 START_TIME = timedelta(seconds=20)
 WINDOW = timedelta(minutes=6)
-PACE = replace(
+MOVE_POLICY = replace(
     MovePolicy(),
     burst_period=timedelta(seconds=40),
     burst_fraction=0.1,
@@ -204,15 +204,15 @@
         messenger = world.network.join(here)
         self.store = MemoryKeyValueStore(clock) if world.store is None else world.store
         self.duties = DutyManager(self.store, clock, here.daemon_id, messenger.live)
-        self.book = EvidenceCollector(here, messenger, clock)
+        self.collector = EvidenceCollector(here, messenger, clock)
         self.picker = VersionPicker()
-        self.keeper = MoveManager(
-            here, self.store, messenger, self.duties, self.book, self.picker, clock
+        self.manager = MoveManager(
+            here, self.store, messenger, self.duties, self.collector, self.picker, clock
         )
-        self.keeper.policy = PACE
+        self.manager.policy = MOVE_POLICY
         cloud = world.cloud
         self.capacity = CapacityManager(self.duties, cloud, cloud, cloud, clock)
-        self.desk = EngineReconciler(world.engines, self.duties, clock)
+        self.reconciler = EngineReconciler(world.engines, self.duties, clock)
 
 
 class World:
@@ -249,7 +249,7 @@
         self.deployment = self.deployment.model_copy(update={'move': move})
         configuration = Configuration(deployments=(self.deployment,), customers=())
         for node in nodes:
-            node.keeper.configure(configuration, self.revision)
+            node.manager.configure(configuration, self.revision)
 
     def name_move(self) -> None:
         """Name the move to the new version."""
@@ -268,20 +268,22 @@
         self._watch()
 
     def _run(self, node: Node, supply: Supply) -> None:
-        node.keeper.update_supplies({DEPLOYMENT: supply})
-        duties = (*node.keeper.list_duties(), find_capacity_duty(DEPLOYMENT))
+        node.manager.update_supplies({DEPLOYMENT: supply})
+        duties = (*node.manager.list_duties(), find_capacity_duty(DEPLOYMENT))
         node.duties.set_duties(duties)
         node.duties.step()
-        node.keeper.step()
-        versions = node.keeper.list_needs(DEPLOYMENT)
+        node.manager.step()
+        versions = node.manager.list_needs(DEPLOYMENT)
         node.capacity.step([DeploymentNeed(self.deployment, versions, Demand(CALLS))])
         for instance in tuple(self.cloud.instances.values()):
             if instance.server is not None:
-                wish = DesiredState(EngineAction.LOAD_VERSION, instance.server.version)
+                desired = DesiredState(
+                    EngineAction.LOAD_VERSION, instance.server.version
+                )
                 duty = find_capacity_duty(DEPLOYMENT)
-                node.desk.reconcile(duty, instance.server, wish)
+                node.reconciler.reconcile(duty, instance.server, desired)
         self._tell('report')
-        node.keeper.moves()
+        node.manager.moves()
 
     def _serve(self, number: int, node: Node) -> None:
         for _ in range(CALLS_A_STEP):
@@ -294,7 +296,7 @@
             if servers:
                 server = servers[self.calls % len(servers)]
                 ok = not (self.bad and pick.version == NEW and self.calls % 2)
-                node.book.record(call, server, ok=ok, first_token=0.3, load=0.6)
+                node.collector.record(call, server, ok=ok, first_token=0.3, load=0.6)
 
     def _list_ready(self) -> tuple[BackendServer, ...]:
         return tuple(
@@ -310,10 +312,10 @@
             if node.picker.is_withdrawn(DEPLOYMENT, NEW):
                 self._tell('withdraw')
                 self._withdrawn.add(number)
-            judge = node.book.find_test(DEPLOYMENT)
-            if judge is not None and judge.count_new():
+            test = node.collector.find_test(DEPLOYMENT)
+            if test is not None and test.count_new_calls():
                 self._tell('verdict')
-            for report in node.keeper.moves():
+            for report in node.manager.moves():
                 self._tell(STATE_STEPS.get(report.state, ''))
         for name, engine in self.engines.engines.items():
             if engine.taken != sorted(engine.taken):
--- a/libs/daemon/fireflyhitch_daemon/crash_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/crash_guard.py
@@ -123,7 +123,7 @@
         now = self._clock.monotonic()
         with self._lock:
             self._unresolved.extend(unresolved)
-            notes = self._tracker.tell(now, heard=False)
+            notes = self._tracker.build_reports(now, include_received=False)
             self._quarantine.review(now, REPORT_DELAY_SECONDS)
         if notes:
             self._messenger.spread(CrashUpdate(notes=notes), Scope.EVERYWHERE)
@@ -159,7 +159,7 @@
 
     def _apply_update(self, sender: DaemonId, update: CrashUpdate) -> None:
         with self._lock:
-            self._tracker.take(update.notes, self._clock.monotonic())
+            self._tracker.apply_reports(update.notes, self._clock.monotonic())
 
 
 def _probe(address: str) -> None:
--- a/libs/daemon/fireflyhitch_daemon/limit_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/limit_guard.py
@@ -79,13 +79,15 @@
     def step(self) -> None:
         """Broadcast new limits to the other daemons."""
         with self._lock:
-            notes = self._limits.tell(self._clock.monotonic(), heard=False)
+            notes = self._limits.build_reports(
+                self._clock.monotonic(), include_received=False
+            )
         if notes:
             self._messenger.spread(LimitUpdate(notes=notes), Scope.EVERYWHERE)
 
     def _apply_update(self, sender: DaemonId, update: LimitUpdate) -> None:
         with self._lock:
-            self._limits.take(update.notes, self._clock.monotonic())
+            self._limits.apply_reports(update.notes, self._clock.monotonic())
 
     def _list_daemons(self) -> list[str]:
         live = {daemon.daemon_id for daemon in self._messenger.live()}
--- a/libs/rollout/fireflyhitch_rollout/phase_tracker.py
+++ b/libs/rollout/fireflyhitch_rollout/phase_tracker.py
@@ -32,7 +32,7 @@
 
     def count_calls(self, record: MoveRecord, test: SequentialTest | None) -> int:
         """Return the calls of the new version since the phase was first seen."""
-        calls = test.count_new() if test else 0
+        calls = test.count_new_calls() if test else 0
         return calls - int(_find_start(self._start_calls, record, calls))
 
     def is_overdue(self, record: MoveRecord, burst_length: timedelta) -> bool:
--- a/libs/rollout/fireflyhitch_rollout/sequential_test.py
+++ b/libs/rollout/fireflyhitch_rollout/sequential_test.py
@@ -111,7 +111,7 @@
             if other == route and band >= min_band
         )
 
-    def count_new(self) -> int:
+    def count_new_calls(self) -> int:
         """Return the number of calls of the new version."""
         return self._new_calls.total()
 
@@ -129,7 +129,7 @@
         """
         routes = self.list_major_routes()
         loaded = sum(self.count_calls(route, LoadBand.USUAL) for route in routes)
-        if not routes or self.count_new() < min_calls:
+        if not routes or self.count_new_calls() < min_calls:
             return False
         if loaded < min(MIN_ROUTE_CALLS, self.count_old_loaded()):
             return False
@@ -224,7 +224,7 @@
         load = f' at {group.band.name.lower()} load' if group.band is not None else ''
         text = (
             f'{group.signal.value} on {group.route}{load}: likelihood ratio '
-            f'{statistic_value:.1e} after {self.count_new()} calls'
+            f'{statistic_value:.1e} after {self.count_new_calls()} calls'
         )
         self._verdict = Verdict(group.signal, group.route, text)
 
--- a/libs/rollout/tests/test_evidence.py
+++ b/libs/rollout/tests/test_evidence.py
@@ -55,7 +55,9 @@
                 collector.step()
 
     def counts(self):
-        return [collector.find_test(NAME).count_new() for collector in self.collectors]
+        return [
+            collector.find_test(NAME).count_new_calls() for collector in self.collectors
+        ]
 
 
 @pytest.fixture
--- a/libs/rollout/tests/test_moves.py
+++ b/libs/rollout/tests/test_moves.py
@@ -283,7 +283,8 @@
         cluster.move()
         cluster.run(600)
         counts = [
-            node.collector.find_test('answers').count_new() for node in cluster.nodes
+            node.collector.find_test('answers').count_new_calls()
+            for node in cluster.nodes
         ]
         assert max(counts) - min(counts) <= 6
 
--- a/libs/routing/fireflyhitch_routing/crashes.py
+++ b/libs/routing/fireflyhitch_routing/crashes.py
@@ -164,16 +164,18 @@
             suspect.broadcast.mark_local(now)
             self._mark_changed(content, suspect, now)
 
-    def take(self, reports: CrashReports, now: float) -> None:
+    def apply_reports(self, reports: CrashReports, now: float) -> None:
         """Merge the reports of another daemon."""
         for content, report in reports.items():
             self._merge_report(content, report, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ContentId, CrashReport]:
+    def build_reports(
+        self, now: float, *, include_received: bool
+    ) -> dict[ContentId, CrashReport]:
         """Return reports on recent changes, requests with the most crashes first.
 
-        :param heard: whether to include changes received from other daemons, for
-            recipients that those daemons do not reach.
+        :param include_received: whether to include changes received from other
+            daemons, for recipients that those daemons do not reach.
         """
         self._recent = {
             content
@@ -183,7 +185,9 @@
         due = [
             (content, self._suspects[content])
             for content in self._recent
-            if self._suspects[content].broadcast.is_due(now, include_received=heard)
+            if self._suspects[content].broadcast.is_due(
+                now, include_received=include_received
+            )
         ]
         due.sort(
             key=lambda row: (-len(row[1].crashes), -row[1].broadcast.changed_at, row[0])
--- a/libs/routing/fireflyhitch_routing/server_limits.py
+++ b/libs/routing/fireflyhitch_routing/server_limits.py
@@ -144,7 +144,7 @@
         self._set(process, limit, rate, now, now)
         limit.broadcast.mark_local(now)
 
-    def take(self, reports: LimitReports, now: float) -> None:
+    def apply_reports(self, reports: LimitReports, now: float) -> None:
         """Merge the reports of another daemon; the latest announcement wins."""
         for process, report in reports.items():
             limit = self._limits.get(process)
@@ -154,16 +154,18 @@
             if at > limit.at:
                 self._set(process, limit, report.rate, at, now)
 
-    def tell(self, now: float, *, heard: bool) -> dict[ProcessId, LimitReport]:
+    def build_reports(
+        self, now: float, *, include_received: bool
+    ) -> dict[ProcessId, LimitReport]:
         """Return reports on recent announcements, the latest first.
 
-        :param heard: whether to include those received from other daemons.
+        :param include_received: whether to include those received from other daemons.
         """
         self._drop_expired(now)
         due = [
             (process, limit)
             for process, limit in self._limits.items()
-            if limit.broadcast.is_due(now, include_received=heard)
+            if limit.broadcast.is_due(now, include_received=include_received)
         ]
         due.sort(key=lambda row: row[1].at, reverse=True)
         return {
--- a/libs/routing/tests/test_crashes.py
+++ b/libs/routing/tests/test_crashes.py
@@ -46,10 +46,10 @@
     def exchange(self) -> None:
         """Let each daemon report to all others, then review the holds."""
         for sender in self.trackers:
-            reports = sender.tell(self.now, heard=False)
+            reports = sender.build_reports(self.now, include_received=False)
             for tracker in self.trackers:
                 if tracker is not sender:
-                    tracker.take(reports, self.now)
+                    tracker.apply_reports(reports, self.now)
         for quarantine in self.quarantines:
             quarantine.review(self.now, 0)
 
@@ -211,11 +211,14 @@
             rng.choice(senders).record_crash(
                 CRASHING, ProcessId(number), crash, crash.at
             )
-        received = [sender.tell(1, heard=False) for sender in (*senders, *senders)]
+        received = [
+            sender.build_reports(1, include_received=False)
+            for sender in (*senders, *senders)
+        ]
         rng.shuffle(received)
         tracker = CrashTracker()
         for reports in received:
-            tracker.take(reports, 1)
+            tracker.apply_reports(reports, 1)
         suspect = tracker.find(CRASHING)
         assert suspect is not None
         assert suspect.crashes.keys() == set(range(count))
@@ -225,7 +228,9 @@
         sender, other = CrashTracker(), CrashTracker()
         crash = ServerCrash(10, 9.9)
         sender.record_crash(CRASHING, ProcessId(1), crash, 10 + 3 * BROADCAST_SECONDS)
-        other.take(sender.tell(10 + 3 * BROADCAST_SECONDS, heard=False), 20)
+        other.apply_reports(
+            sender.build_reports(10 + 3 * BROADCAST_SECONDS, include_received=False), 20
+        )
         assert other.find(CRASHING) is not None
 
     def test_reports_end_when_nothing_changes(self) -> None:
@@ -236,7 +241,8 @@
             fleet.now += BROADCAST_SECONDS
             fleet.exchange()
         assert not any(
-            tracker.tell(fleet.now, heard=True) for tracker in fleet.trackers
+            tracker.build_reports(fleet.now, include_received=True)
+            for tracker in fleet.trackers
         )
 
     def test_messages_and_memory_stay_bounded_with_thousands_of_crashes(
@@ -248,7 +254,10 @@
             content = ContentId(f'r{number}')
             fleet.trackers[0].record_crash(content, ProcessId(number), crash, fleet.now)
         assert len(fleet.trackers[0].all()) == MAX_SUSPECTS
-        assert len(fleet.trackers[0].tell(fleet.now, heard=True)) == MAX_REPORTS
+        assert (
+            len(fleet.trackers[0].build_reports(fleet.now, include_received=True))
+            == MAX_REPORTS
+        )
 
 
 class TestRounds:
--- a/libs/routing/tests/test_server_limits.py
+++ b/libs/routing/tests/test_server_limits.py
@@ -161,14 +161,14 @@
     def test_the_latest_announcement_wins_in_any_order_of_reports(self) -> None:
         sender = ServerLimits('a', lambda: ['a', 'b'], float)
         sender.record_response(PROCESS, SERVER, 2.0, 0, 0)
-        early = sender.tell(0.1, heard=False)
+        early = sender.build_reports(0.1, include_received=False)
         sender.record_response(PROCESS, SERVER, None, 1, 1)
-        late = sender.tell(1.1, heard=False)
+        late = sender.build_reports(1.1, include_received=False)
         for reports in ((early, late), (late, early)):
             other = ServerLimits('b', lambda: ['a', 'b'], float)
             for report, at in zip(reports, (1.1, 1.1), strict=True):
                 age = 1.0 if report is early else 0
-                other.take(
+                other.apply_reports(
                     {
                         key: limit._replace(age=limit.age + age)
                         for key, limit in report.items()
@@ -183,7 +183,7 @@
         ended.record_response(PROCESS, SERVER, None, fleet.now + 1, fleet.now + 2)
         assert not ended.has_limits
         assert expired.has_limits
-        expired.tell(fleet.now + 2 * EXPIRY_SECONDS, heard=False)
+        expired.build_reports(fleet.now + 2 * EXPIRY_SECONDS, include_received=False)
         assert not expired.has_limits
 
     def test_broadcasts_stop_and_messages_stay_bounded(self) -> None:
@@ -193,5 +193,7 @@
                 ProcessId(number), SERVER, 1.0, number, number / 1000
             )
         now = MAX_LIMITS / 1000
-        assert len(limits.tell(now, heard=True)) == MAX_REPORTS
-        assert not limits.tell(now + 2 * BROADCAST_SECONDS, heard=True)
+        assert len(limits.build_reports(now, include_received=True)) == MAX_REPORTS
+        assert not limits.build_reports(
+            now + 2 * BROADCAST_SECONDS, include_received=True
+        )
--- a/libs/serving/fireflyhitch_serving/dependencies.py
+++ b/libs/serving/fireflyhitch_serving/dependencies.py
@@ -70,16 +70,16 @@
 class CrashTracking:
     """Tracks server crashes and holds back the requests that cause them."""
 
-    book: CrashTracker
+    tracker: CrashTracker
     quarantine: Quarantine
     detector: CrashDetector
 
 
 def make_crash_tracking(clock: Clock, servers: ServerRegistry) -> CrashTracking:
     """Create the crash tracking components, without records."""
-    book = CrashTracker()
+    tracker = CrashTracker()
     return CrashTracking(
-        book, Quarantine(book), CrashDetector(clock, servers.find, book)
+        tracker, Quarantine(tracker), CrashDetector(clock, servers.find, tracker)
     )
 
 
--- a/libs/serving/fireflyhitch_serving/holds.py
+++ b/libs/serving/fireflyhitch_serving/holds.py
@@ -47,7 +47,7 @@
         self._peers = peers
         self._stored: set[ContentId] = set()
 
-    def take(self, key_suffix: str, value: bytes | None) -> None:
+    def apply_change(self, key_suffix: str, value: bytes | None) -> None:
         """Apply a change of a hold's key.
 
         A deleted key releases nothing: its lease may have expired while the store was
--- a/libs/serving/fireflyhitch_serving/messages.py
+++ b/libs/serving/fireflyhitch_serving/messages.py
@@ -60,7 +60,7 @@
     :param time_left: seconds that the caller will wait, if stated.
     :param last_event: id of the last event received; a stream resumes after it.
     :param parts: parts of the prompt, in order.
-    :param hinted_tokens: the caller's estimate of the response's tokens.
+    :param estimated_answer_tokens: the caller's estimate of the response's tokens.
     """
 
     request_id: RequestId
@@ -73,7 +73,7 @@
     prompt_tokens: int | None
     max_answer_tokens: int | None
     parts: tuple[PromptPart, ...]
-    hinted_tokens: int | None
+    estimated_answer_tokens: int | None
 
     @property
     def tokens(self) -> int | None:
--- a/libs/serving/fireflyhitch_serving/quotas.py
+++ b/libs/serving/fireflyhitch_serving/quotas.py
@@ -230,7 +230,7 @@
         report: QuotaReport,
         now: float,
         *,
-        near: bool = False,
+        same_domain: bool = False,
     ) -> None:
         """Apply a peer process's report.
 
@@ -239,8 +239,8 @@
         meanwhile, and subtracting all of that at once would refuse requests for
         seconds.
 
-        :param near: whether the process is in this failure domain, so that this daemon
-            may have to report its takes to other failure domains.
+        :param same_domain: whether the process is in this failure domain, so that
+            this daemon may have to report its takes to other failure domains.
         """
         totals = self._reported_totals.setdefault(process, {})
         before = totals.get(customer)
@@ -255,14 +255,14 @@
         # The bucket may be older than the first configuration, and the quota may have
         # changed since.
         bucket.quota = self._find_quota(customer) or bucket.quota
-        bucket.peers[process] = _PeerDemand(report.demand, now, near)
+        bucket.peers[process] = _PeerDemand(report.demand, now, same_domain)
         # Refill first: units accrued until now must not offset what is subtracted now.
         self._refill(bucket, now)
         if before is None:
             bucket.left = min(bucket.left, report.left)
         else:
             bucket.left -= report.taken - before.taken
-            bucket.domain_peers_taken += near * (report.taken - before.taken)
+            bucket.domain_peers_taken += same_domain * (report.taken - before.taken)
 
     def _find_max_gap(self) -> float:
         return max(GAP_SECONDS, GAP_ROUNDS * self._propagation_seconds)
--- a/libs/serving/fireflyhitch_serving/registrations.py
+++ b/libs/serving/fireflyhitch_serving/registrations.py
@@ -102,11 +102,11 @@
         since = self._listed_since
         return since is not None and now - since >= DISCOVERY_SECONDS
 
-    def note_listed(self) -> None:
+    def mark_listed(self) -> None:
         """Record that all registrations were read."""
         self._is_loaded = True
 
-    def take(self, daemon: str, value: bytes | None, revision: Revision) -> None:
+    def apply(self, daemon: str, value: bytes | None, revision: Revision) -> None:
         """Apply a daemon's registration, or its removal."""
         if daemon == self._daemon:
             self._apply_own(value, revision)
--- a/libs/serving/fireflyhitch_serving/request_handler.py
+++ b/libs/serving/fireflyhitch_serving/request_handler.py
@@ -231,7 +231,7 @@
                 record, exchange.content, exchange.attempt_started
             )
         elif ending is Ending.GOOD:
-            crashes.book.record_response(exchange.content, self._clock.monotonic())
+            crashes.tracker.record_response(exchange.content, self._clock.monotonic())
 
     def _send_failure(self, exchange: Exchange, failure: AttemptFailure) -> None:
         reply = exchange.reply
--- a/libs/serving/fireflyhitch_serving/shared_state.py
+++ b/libs/serving/fireflyhitch_serving/shared_state.py
@@ -85,7 +85,7 @@
         self._tolerance = QuotaSlack()
         components.peers.hub_members = components.hubs.find_members
         components.peers.find_hub_wall_clock = self._find_hub_wall_clock
-        components.health.is_settled_for_peers = self.is_store_settled_elsewhere
+        components.health.is_settled_for_peers = self.is_store_settled_for_peers
 
     def set_quota_slack(self, tolerance: QuotaSlack) -> None:
         """Set by how much the platform lets customers exceed their limits."""
@@ -118,8 +118,8 @@
             stopping=components.stopping(),
             newest=components.newest(),
             answers=self._collect_answers(),
-            crashes=components.crashes.tell(now, heard=False),
-            limits=components.limits.tell(now, heard=False),
+            crashes=components.crashes.build_reports(now, include_received=False),
+            limits=components.limits.build_reports(now, include_received=False),
         )
         self._own_contribution.remember(state)
         return state
@@ -130,8 +130,8 @@
         components.usage.merge_counts(state.process, state.usage)
         components.moves.update_peer_evidence(state.process, state.evidence)
         now = components.clock.monotonic()
-        components.crashes.take(state.crashes, now)
-        components.limits.take(state.limits, now)
+        components.crashes.apply_reports(state.crashes, now)
+        components.limits.apply_reports(state.limits, now)
         is_local = state.failure_domain == components.peers.own_domain
         if components.peers.uses_summaries() and not (
             is_local and self._uses_direct_state
@@ -142,7 +142,7 @@
         self._apply_answers(state.daemon, state.answers)
         for customer, report in state.customers.items():
             components.quotas.apply_report(
-                state.process, customer, report, now, near=is_local
+                state.process, customer, report, now, same_domain=is_local
             )
 
     def apply_summaries(self, data: bytes) -> bool:
@@ -152,8 +152,8 @@
             return False
         for summary in summaries:
             now = self._components.clock.monotonic()
-            self._components.crashes.take(summary.crashes, now)
-            self._components.limits.take(summary.limits, now)
+            self._components.crashes.apply_reports(summary.crashes, now)
+            self._components.limits.apply_reports(summary.limits, now)
             if summary.domain == self._components.peers.own_domain:
                 self._apply_local_summary(summary)
             elif self._components.summaries.receive(summary):
@@ -171,7 +171,7 @@
         peers = self._components.peers
         return len(peers.responsive_states()) >= peers.count_daemons() - 1
 
-    def is_store_settled_elsewhere(self) -> bool:
+    def is_store_settled_for_peers(self) -> bool:
         """Return whether another daemon has reached the store without interruption."""
         states = self._components.peers.responsive_states().values()
         return any(state.store_settled for state in states) or any(
@@ -203,7 +203,7 @@
             and own in rank_by_hash(domain, candidates)[:ASSISTING_DOMAINS]
         ]
 
-    def find_newest(self, prefix: str) -> Revision:
+    def find_newest_revision(self, prefix: str) -> Revision:
         """Return the newest change below a prefix that any other daemon has received."""
         from_states = [
             state.newest
--- a/libs/serving/fireflyhitch_serving/store_view.py
+++ b/libs/serving/fireflyhitch_serving/store_view.py
@@ -70,13 +70,13 @@
 class PeerReports:
     """What peers report about the store.
 
-    :param find_newest: returns the newest change below a prefix that any peer has
-        received.
+    :param find_newest_revision: returns the newest change below a prefix that any
+        peer has received.
     :param is_following: returns whether a peer has followed the store without
         interruption.
     """
 
-    find_newest: Callable[[str], Revision]
+    find_newest_revision: Callable[[str], Revision]
     is_following: Callable[[], bool] = bool
 
 
@@ -208,7 +208,7 @@
 
     async def _catch_up(self) -> None:
         """Read missed changes: first by a cheap stale read, then by a current one."""
-        reported = self._peers.find_newest(self.prefix)
+        reported = self._peers.find_newest_revision(self.prefix)
         logger.bind(
             prefix=self.prefix, told=reported, known=self._progress.complete
         ).info('catching up')
@@ -236,7 +236,9 @@
         return self._relay is None or self._relay.watches()
 
     def _is_behind(self) -> bool:
-        reported = max(self._peers.find_newest(self.prefix), self._probed_newest)
+        reported = max(
+            self._peers.find_newest_revision(self.prefix), self._probed_newest
+        )
         return self._progress.is_behind(reported)
 
     def _apply_listing(self, listing: Listing, source: Source) -> None:
--- a/libs/serving/fireflyhitch_serving/summary_relay.py
+++ b/libs/serving/fireflyhitch_serving/summary_relay.py
@@ -158,8 +158,12 @@
             store_settled=any(state.store_settled for state in states),
             wall=self._peers.wall(),
             answers=sum_answers(state.answers for state in states),
-            crashes=self._trackers.crashes.tell(self._now(), heard=True),
-            limits=self._trackers.limits.tell(self._now(), heard=True),
+            crashes=self._trackers.crashes.build_reports(
+                self._now(), include_received=True
+            ),
+            limits=self._trackers.limits.build_reports(
+                self._now(), include_received=True
+            ),
         )
 
     def _pick_unmerged(self, states: list[PeerState]) -> list[PeerState]:
--- a/libs/serving/tests/daemons_scene.py
+++ b/libs/serving/tests/daemons_scene.py
@@ -206,7 +206,7 @@
         """Record that a server crashed now, just after a request was sent to it."""
         now = self._clock.monotonic()
         crash = ServerCrash(now, now - 0.05)
-        self.crashes.book.record_crash(content, ProcessId(process), crash, now)
+        self.crashes.tracker.record_crash(content, ProcessId(process), crash, now)
 
     def kill(self) -> None:
         """Stop without notice."""
@@ -224,7 +224,7 @@
             usage=UsageTracker(self._process, USAGE_WINDOW_SECONDS),
             budget=RetryBudget(RetryBounds()),
             moves=MoveTracker(VersionShares(), 0.1),
-            crashes=self.crashes.book,
+            crashes=self.crashes.tracker,
             limits=self.limits,
             fresh_parts=RecentPromptParts(),
             health=self._health,
@@ -256,7 +256,8 @@
             self._rng,
             ViewProgress(self._clock),
             PeerReports(
-                self._shared.find_newest, self._shared.is_store_settled_elsewhere
+                self._shared.find_newest_revision,
+                self._shared.is_store_settled_for_peers,
             ),
             self.relay,
         )
@@ -266,7 +267,7 @@
             self._peers,
             self.hubs,
             self._summaries,
-            RelayedTrackers(Quotas(QuotaSlack()), self.crashes.book, self.limits),
+            RelayedTrackers(Quotas(QuotaSlack()), self.crashes.tracker, self.limits),
             self._clock.monotonic,
             self._channel.send_to,
             self._rng,
@@ -289,15 +290,15 @@
         return [loop.create_task(part.run()) for part in parts]
 
     def _mark_listed(self) -> None:
-        self._registrations.note_listed()
+        self._registrations.mark_listed()
         self._lease.mark_keys_listed()
 
     def _apply_own(self, key: str, value: bytes | None, revision: Revision) -> None:
         if key.startswith(DAEMONS_PREFIX):
             name = key.removeprefix(DAEMONS_PREFIX)
-            self._registrations.take(name, value, revision)
+            self._registrations.apply(name, value, revision)
         elif key.startswith(HOLDS_PREFIX):
-            self._holds.take(key.removeprefix(HOLDS_PREFIX), value)
+            self._holds.apply_change(key.removeprefix(HOLDS_PREFIX), value)
         elif key == LEADER_KEY:
             self._lease.apply_leader(value, revision)
 
@@ -403,6 +404,6 @@
         ]
 
 
-def is_change(data: bytes) -> bool:
+def is_change_message(data: bytes) -> bool:
     """Return whether a datagram carries changes."""
     return decode_changes(data) is not None
--- a/libs/serving/tests/scene.py
+++ b/libs/serving/tests/scene.py
@@ -81,7 +81,7 @@
             prompt_tokens=None,
             max_answer_tokens=None,
             parts=(),
-            hinted_tokens=None,
+            estimated_answer_tokens=None,
         )
 
     def render_request(self, message: CallerRequest, context: AttemptContext) -> bytes:
@@ -174,7 +174,7 @@
 
     def __init__(self, catalog: Catalog | None = None) -> None:
         self.catalog: Catalog | None = catalog or make_catalog()
-        self.book = ServerRegistry()
+        self.registry = ServerRegistry()
         self.quotas = Quotas(QuotaSlack())
         self.budget = RetryBudget(RetryBounds(ratio=0.2, slack=20))
         self.usage = UsageTracker('here', 5)
@@ -184,7 +184,7 @@
         self.clock = SystemClock()
         self.metrics = MetricsEndpoint()
         self.limits = ServerLimits('here', lambda: ['here'], time.time)
-        self.crashes = make_crash_tracking(self.clock, self.book)
+        self.crashes = make_crash_tracking(self.clock, self.registry)
         self.shutdown_deadline: float | None = None
         handler = RequestHandler(
             RequestDependencies(
@@ -192,7 +192,7 @@
                 wall=lambda: 12.0,
                 edge=PlainEdge(),
                 catalog=lambda: self.catalog,
-                servers=self.book,
+                servers=self.registry,
                 quotas=self.quotas,
                 budget=self.budget,
                 usage=self.usage,
@@ -226,7 +226,7 @@
         self._listener.close()
         for server in self.servers:
             server.stop()
-        for record in self.book.all().values():
+        for record in self.registry.all().values():
             record.pool.close()
         await asyncio.sleep(0)
 
@@ -247,7 +247,7 @@
             4,
             True,
         )
-        self.book.put(replace(entry, **changes))  # type: ignore[arg-type]
+        self.registry.put(replace(entry, **changes))  # type: ignore[arg-type]
         return server
 
     async def ask(
--- a/libs/serving/tests/test_crash_detection.py
+++ b/libs/serving/tests/test_crash_detection.py
@@ -30,7 +30,9 @@
 
 def count_crashes(harness: RequestHarness) -> int:
     """Return how many servers have crashed under the only request."""
-    return sum(len(suspect.crashes) for suspect in harness.crashes.book.all().values())
+    return sum(
+        len(suspect.crashes) for suspect in harness.crashes.tracker.all().values()
+    )
 
 
 class TestCrashDetection:
@@ -55,7 +57,7 @@
     def test_the_exit_of_a_leaving_server_is_not_a_crash(self) -> None:
         async def script(harness: RequestHarness) -> None:
             async def leave(request: SeenRequest, writer: asyncio.StreamWriter) -> None:
-                harness.book.remove(BackendServerId('i-1'))
+                harness.registry.remove(BackendServerId('i-1'))
                 harness.servers[-1].stop()
                 writer.close()
 
@@ -71,7 +73,7 @@
             server = await harness.add('i-1', crash_server(harness.servers))
             await harness.ask()
             await asyncio.sleep(DETECTION_SECONDS)
-            content = list(harness.crashes.book.all())[0]
+            content = list(harness.crashes.tracker.all())[0]
             hold = Hold(harness.clock.monotonic() + 30, frozenset())
             harness.crashes.quarantine.add_hold(content, hold)
             response = await harness.ask(request_id='r2')
--- a/libs/serving/tests/test_crashing_requests.py
+++ b/libs/serving/tests/test_crashing_requests.py
@@ -126,7 +126,7 @@
             await cluster.start_all()
             responder = list(cluster.daemons.values())[-1]
             now = asyncio.get_running_loop().time()
-            responder.crashes.book.record_response(HARMLESS, now)
+            responder.crashes.tracker.record_response(HARMLESS, now)
             await crash_three_servers(cluster, CRASHING, HARMLESS)
             for _ in range(50):
                 assert len(find_not_holding(cluster, HARMLESS)) == len(cluster.daemons)
--- a/libs/serving/tests/test_leaving_servers.py
+++ b/libs/serving/tests/test_leaving_servers.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from daemons_scene import Daemons, is_change
+from daemons_scene import Daemons, is_change_message
 from virtual_time import run_virtual
 
 # The shortest drain time of all deployments.
@@ -23,7 +23,9 @@
     """Drop all messages of the change to one daemon, and kill their senders."""
     watchers = cluster.find_watchers('gent')
     missed = next(name for name in cluster.daemons if name not in watchers)
-    cluster.net.should_drop = lambda sender, to, data: to == missed and is_change(data)
+    cluster.net.should_drop = lambda sender, to, data: (
+        to == missed and is_change_message(data)
+    )
     cluster.leave(SERVER)
     await asyncio.sleep(0.1)
     for name in watchers:
--- a/libs/serving/tests/test_named_limits.py
+++ b/libs/serving/tests/test_named_limits.py
@@ -50,7 +50,7 @@
         async def script(harness: RequestHarness) -> None:
             await harness.add('a', close_connection())
             await harness.add('b', ScriptedResponses().answer)
-            limited = harness.book.all()[BackendServerId('b')]
+            limited = harness.registry.all()[BackendServerId('b')]
             now = harness.clock.monotonic()
             server_id = limited.server.server_id
             harness.limits.record_response(limited.process, server_id, 0.0, now, now)
--- a/libs/serving/tests/test_registrations.py
+++ b/libs/serving/tests/test_registrations.py
@@ -67,8 +67,8 @@
             store = VirtualStore()
             written = store.put(f'{DAEMONS_PREFIX}front-1', OWN.encode())
             manager = make_manager(store)
-            manager.take('front-1', OWN.encode(), written)
-            manager.note_listed()
+            manager.apply('front-1', OWN.encode(), written)
+            manager.mark_listed()
             await run_manager(manager, 3)
             assert manager.is_listed
             assert manager.has_discovered_peers()
@@ -85,8 +85,8 @@
             store.put(f'{DAEMONS_PREFIX}front-1', b'10.1.0.9:7600 gent 10')
             manager = make_manager(store)
             if known:
-                manager.take('front-1', b'10.1.0.9:7600 gent 10', known)
-            manager.note_listed()
+                manager.apply('front-1', b'10.1.0.9:7600 gent 10', known)
+            manager.mark_listed()
             await run_manager(manager, 3)
             listed = store.read(DAEMONS_PREFIX, 3).items
             assert [item.value for item in listed] == [OWN.encode()]
@@ -99,10 +99,10 @@
         async def script() -> None:
             store = VirtualStore()
             manager = make_manager(store)
-            manager.note_listed()
+            manager.mark_listed()
             await run_manager(manager, 1)
             deleted = store.put(f'{DAEMONS_PREFIX}front-1', None)
-            manager.take('front-1', None, deleted)
+            manager.apply('front-1', None, deleted)
             await run_manager(manager, 1)
             assert store.read(DAEMONS_PREFIX, 2).items
 
--- a/libs/serving/tests/test_request_handler.py
+++ b/libs/serving/tests/test_request_handler.py
@@ -188,11 +188,11 @@
         async def script(harness: RequestHarness) -> None:
             await harness.add('a', close_connection())
             await harness.add('b', respond())
-            busy = harness.book.all()[BackendServerId('b')]
+            busy = harness.registry.all()[BackendServerId('b')]
             busy.requests = busy.server.slots
             task = asyncio.create_task(harness.ask())
             await asyncio.sleep(WAIT_SECONDS)
-            harness.book.remove(busy.server.server_id)
+            harness.registry.remove(busy.server.server_id)
             response = await task
             assert (response.status, response.headers['x-outcome']) == (502, 'unknown')
 
--- a/libs/serving/tests/test_streams.py
+++ b/libs/serving/tests/test_streams.py
@@ -46,7 +46,7 @@
         async def script(harness: RequestHarness) -> None:
             await harness.add('a', stream(1, whole=False), slots=100)
             await harness.add('b', stream(2))
-            busy = harness.book.all()[BackendServerId('b')]
+            busy = harness.registry.all()[BackendServerId('b')]
             busy.requests = busy.server.slots
             reader, writer = await asyncio.open_connection(
                 harness.address.host, harness.address.port
@@ -56,7 +56,7 @@
                 b'X-Key: %b\r\nContent-Length: 0\r\n\r\n' % KEY.encode()
             )
             await reader.readuntil(b'data: t1')
-            harness.book.remove(busy.server.server_id)
+            harness.registry.remove(busy.server.server_id)
             with suppress(ConnectionError):
                 assert b'HTTP/1.1' not in await reader.read()
             writer.close()
