--- a/libs/daemon/fireflyhitch_daemon/admin.py
+++ b/libs/daemon/fireflyhitch_daemon/admin.py
@@ -235,7 +235,7 @@
         return _answer(merged.model_dump(mode='json'))
 
     def _collect_burn(self) -> BurnSnapshot:
-        """Collect counts from all daemons; name the domains without an answer."""
+        """Sum the counts of all daemons; list the domains that did not answer."""
         network = self._deps.network
         snapshots = [self._deps.burn.snapshot()]
         unreachable: set[FailureDomainId] = set(network.unreachable_domains())
--- a/libs/daemon/fireflyhitch_daemon/call_recorder.py
+++ b/libs/daemon/fireflyhitch_daemon/call_recorder.py
@@ -52,22 +52,22 @@
         self._burn = burn
         self._evidence = evidence
 
-    def record_call(self, ended: FinishedCall) -> None:
+    def record_call(self, finished: FinishedCall) -> None:
         """Record a call that has finished for its caller."""
-        call = ended.call
-        version = ended.server.version if ended.server else NO_VERSION
+        call = finished.call
+        version = finished.server.version if finished.server else NO_VERSION
         self.metrics.record_call(
             CallRecord(
                 customer=call.customer,
                 deployment=call.deployment,
                 version=version,
-                status=ended.status,
-                outcome=ended.outcome,
-                tokens=ended.tokens,
-                attempts=ended.attempts,
-                first_token_seconds=ended.first_token,
-                longest_gap_seconds=ended.longest_gap,
-                seconds=ended.seconds,
+                status=finished.status,
+                outcome=finished.outcome,
+                tokens=finished.tokens,
+                attempts=finished.attempts,
+                first_token_seconds=finished.first_token,
+                longest_gap_seconds=finished.longest_gap,
+                seconds=finished.seconds,
             )
         )
         self._burn.record(
@@ -75,9 +75,9 @@
             call.deployment,
             call.route,
             version,
-            ok=ended.ok,
-            first_token=ended.first_token,
-            between_tokens=ended.between_tokens,
+            ok=finished.ok,
+            first_token=finished.first_token,
+            between_tokens=finished.between_tokens,
         )
         logger.bind(
             request_id=call.request_id,
@@ -85,12 +85,12 @@
             deployment=call.deployment,
             version=version,
             step=Step.ANSWER.value,
-            peer=ended.server.server_id if ended.server else None,
-            status=int(ended.status),
-            outcome=ended.outcome.value,
-            attempts=ended.attempts,
-            tokens=ended.tokens,
-            seconds=round(ended.seconds, 4),
+            peer=finished.server.server_id if finished.server else None,
+            status=int(finished.status),
+            outcome=finished.outcome.value,
+            attempts=finished.attempts,
+            tokens=finished.tokens,
+            seconds=round(finished.seconds, 4),
         ).info('call ended')
 
     def record_attempt(
--- a/libs/daemon/fireflyhitch_daemon/capacity.py
+++ b/libs/daemon/fireflyhitch_daemon/capacity.py
@@ -104,7 +104,7 @@
         """Start and stop instances and order loads; called every ten seconds."""
         if configuration is None:
             return
-        needs = [self._describe(one) for one in configuration.deployments]
+        needs = [self._build_need(one) for one in configuration.deployments]
         plans = self._deps.manager.step(needs)
         for deployment in configuration.deployments:
             if deployment.name in plans and isinstance(deployment, ModelDeployment):
@@ -122,7 +122,7 @@
             }
         )
 
-    def _describe(self, deployment: Deployment) -> DeploymentNeed:
+    def _build_need(self, deployment: Deployment) -> DeploymentNeed:
         demand = Demand(self._deps.reports.sum_load(deployment.name))
         versions = self._deps.moves.list_needs(deployment.name)
         return DeploymentNeed(deployment, versions, demand)
@@ -131,7 +131,7 @@
         self, deployment: Deployment, servers: Iterable[BackendServer]
     ) -> Supply:
         matching = tuple(one for one in servers if one.deployment == deployment.name)
-        need = self._describe(deployment)
+        need = self._build_need(deployment)
         start_time = self._deps.manager.find_start_time(deployment.name)
         needed = max(
             need.count_servers(version, start_time.total_seconds())
--- a/libs/daemon/fireflyhitch_daemon/crash_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/crash_guard.py
@@ -20,13 +20,14 @@
 from fireflyhitch_routing.crashes import CrashReport, CrashTracker, ServerCrash
 from fireflyhitch_routing.quarantine import Quarantine
 
-# Short, since a call's next attempt waits for the probe; a refusal comes at once.
+# Short, since a call's next attempt waits for the probe; a closed port refuses a
+# connection at once.
 PROBE_TIMEOUT_SECONDS = 0.1
-# Within this time an exiting process has closed all its sockets.
+# An exiting process closes its sockets one after the other, within this time.
 EXIT_SECONDS = 0.1
 # A server unresponsive for longer is no longer listed or is partitioned.
 MAX_RECHECK_SECONDS = 6.0
-# Within this time daemons have reported their responses to a call.
+# Within this time daemons have reported whether they got a response to a call.
 REPORT_DELAY_SECONDS = 1.0
 
 
--- a/libs/daemon/fireflyhitch_daemon/directory.py
+++ b/libs/daemon/fireflyhitch_daemon/directory.py
@@ -63,16 +63,16 @@
         """
         leaving = frozenset(instances)
         with self._lock:
-            gone = tuple(
+            removed = tuple(
                 server.server_id
                 for server in self._servers.values()
                 if server.instance in leaving
             )
-            for server_id in gone:
+            for server_id in removed:
                 self._leaving[server_id] = self._servers.pop(server_id)
-        for server_id in gone:
+        for server_id in removed:
             self._router.mark_leaving(server_id)
-        return gone
+        return removed
 
     def list_servers(self) -> tuple[BackendServer, ...]:
         """Return the servers that may receive calls."""
--- a/libs/daemon/fireflyhitch_daemon/dispatch.py
+++ b/libs/daemon/fireflyhitch_daemon/dispatch.py
@@ -43,7 +43,7 @@
         connection.connect()
     except HTTPError as error:
         # urllib3's errors are not OSErrors; unconverted, they would count as an
-        # internal error and fail a call that another server could take.
+        # internal error and fail a call that another server could answer.
         raise ConnectionError(str(error)) from error
     return connection
 
--- a/libs/daemon/fireflyhitch_daemon/engine_reports.py
+++ b/libs/daemon/fireflyhitch_daemon/engine_reports.py
@@ -36,9 +36,9 @@
     def poll(self) -> None:
         """Poll all engines once; those that do not answer are skipped."""
         engines = [server.server_id for server in self._list_engines()]
-        for gone in self._loads.keys() - set(engines):
-            self._loads.pop(gone)
-            self._sequences.pop(gone, None)
+        for unlisted in self._loads.keys() - set(engines):
+            self._loads.pop(unlisted)
+            self._sequences.pop(unlisted, None)
         list(self._pollers.map(self._poll_one, engines))
 
     def sum_load(self, deployment: DeploymentId) -> float:
--- a/libs/daemon/fireflyhitch_daemon/forwarding.py
+++ b/libs/daemon/fireflyhitch_daemon/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards answers of other daemons to callers, byte by byte."""
+"""Forwards answers of other daemons to callers as unparsed bytes."""
 
 import selectors
 import socket
--- a/libs/daemon/fireflyhitch_daemon/http_server.py
+++ b/libs/daemon/fireflyhitch_daemon/http_server.py
@@ -180,8 +180,8 @@
         answer = render_error(error)
         server: DaemonHttpServer = self.server
         header = Header(REQUEST_ID_HEADER, server.make_id())
-        named = Response(answer.status, answer.body, (*answer.headers, header))
-        _write_response(self, named)
+        with_id = Response(answer.status, answer.body, (*answer.headers, header))
+        _write_response(self, with_id)
 
 
 class _SharedContextAdapter(BuiltinSSLAdapter):
--- a/libs/daemon/fireflyhitch_daemon/limit_guard.py
+++ b/libs/daemon/fireflyhitch_daemon/limit_guard.py
@@ -23,7 +23,7 @@
 
 
 class LimitGuard:
-    """Tracks announced limits and this daemon's part of them; thread-safe.
+    """Tracks announced limits and this daemon's share of them; thread-safe.
 
     :param list_servers: returns the servers that may receive calls.
     """
@@ -46,18 +46,18 @@
         messenger.handle(LimitUpdate, self._apply_update)
 
     def record_response(
-        self, server: BackendServer, named: str | None, sent: float
+        self, server: BackendServer, announced: str | None, sent: float
     ) -> None:
         """Record the limit announced in a server's answer.
 
-        :param named: the value of the limit header; ``None`` without one.
+        :param announced: the value of the limit header; ``None`` without one.
         :param sent: monotonic time in seconds at which the call was sent.
         """
         process = _identify(server)
         now = self._clock.monotonic()
         with self._lock:
             self._limits.record_response(
-                process, server.server_id, parse_rate(named), sent, now
+                process, server.server_id, parse_rate(announced), sent, now
             )
 
     def record_sent(self, server: BackendServer) -> None:
--- a/libs/daemon/fireflyhitch_daemon/main.py
+++ b/libs/daemon/fireflyhitch_daemon/main.py
@@ -1,4 +1,4 @@
-"""Run a fireflyhitch daemon."""
+"""The daemon's program."""
 
 import argparse
 import gc
--- a/libs/daemon/fireflyhitch_daemon/periodic_tasks.py
+++ b/libs/daemon/fireflyhitch_daemon/periodic_tasks.py
@@ -74,7 +74,7 @@
             )
         except Exception:
             # An error in one run must not stop later runs: a daemon that no longer
-            # reads reclaim notices would serve until its instance is cut off.
+            # reads reclaim notices would serve until its instance is reclaimed.
             logger.bind(step=task.step.value, task=task.name).exception('task failed')
         finally:
             task.running = False
--- a/libs/daemon/fireflyhitch_daemon/process.py
+++ b/libs/daemon/fireflyhitch_daemon/process.py
@@ -32,7 +32,7 @@
     def __init__(self, settings: DaemonSettings, clock: Clock) -> None:
         self.stop_requested = threading.Event()
         self._stopped = False
-        # The configuration applied by all components, slightly later than in force.
+        # The configuration that all components use; set shortly after it is in force.
         self._applied: Configuration | None = None
         self._clock = clock
         self._components: Components = compose(settings, clock, self.stop_requested.set)
@@ -119,12 +119,12 @@
     def _wait_for_calls(self) -> None:
         serving = self._components.serving
         limit = self._components.settings.limits.drain_seconds
-        ends = self._clock.monotonic() + limit
-        busy = threading.Event()
-        while self._clock.monotonic() < ends:
+        deadline = self._clock.monotonic() + limit
+        never_set = threading.Event()
+        while self._clock.monotonic() < deadline:
             if serving.drain.stop_if_done(serving.count_in_progress()):
                 return
-            busy.wait(DRAIN_POLL_SECONDS)
+            never_set.wait(DRAIN_POLL_SECONDS)
 
     def _list_tasks(self) -> list[Task]:
         control, serving = self._components.control, self._components.serving
@@ -167,7 +167,7 @@
         self._components.capacity.step(self._applied)
 
     def _check_peers(self) -> None:
-        # A stop without a notice hands nothing over: it waits for the last call.
+        # A stop without a reclaim notice hands nothing over; it waits for open calls.
         if self._components.serving.drain.read_time_left() is not None:
             self._components.serving.hand_over.check_peers()
 
--- a/libs/daemon/fireflyhitch_daemon/relay.py
+++ b/libs/daemon/fireflyhitch_daemon/relay.py
@@ -35,7 +35,7 @@
 from fireflyhitch_recovery.continuation import adapt_event
 
 SWEEP_SECONDS = 0.1
-# A backend server that sends nothing for this long in mid answer counts as failed:
+# A backend server that sends nothing for this long during an answer counts as failed:
 # working engines send a token at least every few seconds.
 STALL_SECONDS = 5.0
 # A backend server without a first event by then counts as failed too; routing
@@ -355,7 +355,7 @@
 def _is_role_event(event: bytes) -> bool:
     """Return whether an event only carries the role that starts an answer.
 
-    Engines start each stream with such an event; in mid answer callers would
-    treat it as a second message.
+    Engines start each stream with such an event; in the middle of an answer,
+    callers would treat it as a second message.
     """
     return b'"role"' in event and b'"content": ""' in event
--- a/libs/daemon/fireflyhitch_daemon/request_lookup.py
+++ b/libs/daemon/fireflyhitch_daemon/request_lookup.py
@@ -1,4 +1,4 @@
-"""Remaining events of answers whose callers lost the connection or were moved."""
+"""Returns the rest of an answer to callers that reconnect or were redirected."""
 
 from http import HTTPStatus
 
--- a/libs/daemon/fireflyhitch_daemon/selection.py
+++ b/libs/daemon/fireflyhitch_daemon/selection.py
@@ -30,8 +30,9 @@
         """Choose a server for a call's next attempt.
 
         A call for the new version falls back to the old one if no server of the
-        new version is usable. The reverse is rejected: a version under test must
-        not receive all traffic because the old version's servers are gone.
+        new version is usable. A call for the old version does not fall back to the
+        new one: a version under test must not receive all traffic because the old
+        version's servers are gone.
 
         :raises RequestError: if no server is available.
         """
--- a/libs/daemon/fireflyhitch_daemon/sse.py
+++ b/libs/daemon/fireflyhitch_daemon/sse.py
@@ -39,7 +39,7 @@
 def pop_ending(events: list[bytes]) -> Ending:
     """Remove the events that end a stream, and return how it ended.
 
-    An engine that fails in mid answer sends an error event. It is not relayed,
+    An engine that fails during an answer sends an error event. It is not relayed,
     since it would end an answer that another engine can continue.
     """
     done = events[-1] == DONE
--- a/libs/daemon/tests/conftest.py
+++ b/libs/daemon/tests/conftest.py
@@ -7,14 +7,14 @@
 @pytest.fixture(scope='module')
 def cluster():
     """Provide a cluster shared by the tests of a module."""
-    small = LocalCluster()
-    yield small
-    small.close()
+    created = LocalCluster()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def fresh_cluster():
     """Provide a new cluster, for a test that stops parts of it."""
-    small = LocalCluster()
-    yield small
-    small.close()
+    created = LocalCluster()
+    yield created
+    created.close()
--- a/libs/daemon/tests/local_cluster.py
+++ b/libs/daemon/tests/local_cluster.py
@@ -36,8 +36,8 @@
 
 def wait_until(condition):
     """Wait until a condition returns a true value, and return that value."""
-    ends = time.monotonic() + TIMEOUT_SECONDS
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         found = condition()
         if found:
             return found
--- a/libs/daemon/tests/test_caller_api.py
+++ b/libs/daemon/tests/test_caller_api.py
@@ -37,7 +37,7 @@
         pieces = [chunk.choices[0].delta.content or '' for chunk in stream]
         assert ''.join(pieces) == expected_text('two', 9)
 
-    def test_text_completion(self, cluster):
+    def test_text_completion_has_the_generated_text(self, cluster):
         answer = cluster.client().completions.create(
             model='assistant', prompt='three', max_tokens=4
         )
@@ -54,7 +54,7 @@
         assert stream.headers['Fireflyhitch-Request-Id']
 
     def test_disconnected_caller_cancels_the_stream(self, cluster):
-        """The caller closes its connection in mid answer and does not reconnect.
+        """The caller closes its connection during an answer and does not reconnect.
 
         The daemon keeps the answer for two seconds, then closes its connection
         to the engine, which stops generating.
@@ -112,22 +112,24 @@
             ('/nowhere', '', 404, 'not_found'),
         ],
     )
-    def test_bad_request(self, cluster, path, body, status, code):
+    def test_error_has_status_code_outcome_and_request_id(
+        self, cluster, path, body, status, code
+    ):
         answer = cluster.call(0, 'POST', path, body=body)
         assert answer.status == status
         assert answer.json()['error']['code'] == code
         assert answer.headers['Fireflyhitch-Outcome'] == 'not-run'
         assert answer.headers['Fireflyhitch-Request-Id']
 
-    def test_wrong_key(self, cluster):
+    def test_wrong_api_key_gets_401(self, cluster):
         with pytest.raises(APIStatusError) as caught:
             cluster.client(key='guess').models.list()
         assert caught.value.status_code == 401
 
-    def test_wrong_method(self, cluster):
+    def test_wrong_method_gets_405(self, cluster):
         assert cluster.call(0, 'GET', PATH).status == 405
 
-    def test_deadline_that_is_not_a_number(self, cluster):
+    def test_deadline_that_is_not_a_number_is_rejected(self, cluster):
         headers = {'Fireflyhitch-Deadline-Ms': 'soon'}
         body = json.dumps({'model': 'assistant', 'messages': build_messages('x')})
         answer = cluster.call(0, 'POST', PATH, body=body, headers=headers.items())
--- a/libs/daemon/tests/test_crash_guard.py
+++ b/libs/daemon/tests/test_crash_guard.py
@@ -71,6 +71,8 @@
 
 
 class TestCrashingCalls:
+    """A call that crashes every server it is sent to, repeated at two daemons."""
+
     def test_a_call_that_crashed_three_servers_is_held_by_all_daemons(
         self, fresh_cluster
     ):
--- a/libs/daemon/tests/test_http_server.py
+++ b/libs/daemon/tests/test_http_server.py
@@ -30,7 +30,7 @@
 class TestHttpServer:
     """Reading requests and writing answers."""
 
-    def test_body_is_read_whole(self, address):
+    def test_whole_body_is_read(self, address):
         assert urllib3.request('POST', address, body=b'x' * 1000).data == b'x' * 1000
 
     def test_oversize_body_is_refused_as_not_run(self, address):
--- a/libs/daemon/tests/test_limit_guard.py
+++ b/libs/daemon/tests/test_limit_guard.py
@@ -38,6 +38,8 @@
 
 
 class TestServerLimits:
+    """Servers announce a limit while two daemons send them calls."""
+
     def test_daemons_together_respect_and_use_a_servers_limit(self, fresh_cluster):
         arrivals = record_arrivals(fresh_cluster, LIMIT)
         begin = time.monotonic()
--- a/libs/daemon/tests/test_reclaim_handler.py
+++ b/libs/daemon/tests/test_reclaim_handler.py
@@ -31,7 +31,7 @@
 
 
 class TestLostServer:
-    """A backend server stops in mid answer."""
+    """A backend server stops during an answer."""
 
     def test_answer_continues_without_a_gap_or_a_repeat(self, fresh_cluster):
         """The engine is killed without notice after the first tokens.
@@ -86,7 +86,7 @@
     """Graceful stop and reclaim of a daemon."""
 
     def test_graceful_stop_completes_answers(self, fresh_cluster):
-        """The daemon is stopped in mid answer.
+        """The daemon is stopped during an answer.
 
         It reports not ready at once, completes the answer, and only then stops.
         """
--- a/libs/daemon/tests/test_request_lookup.py
+++ b/libs/daemon/tests/test_request_lookup.py
@@ -37,14 +37,12 @@
         locations = Locations(
             'here', messenger, ManualClock(), in_flight, DEFAULT_SETTINGS
         )
-        asked = []
+        addresses = []
         forwarder = SimpleNamespace(
-            forward=lambda request, address: asked.append(address)
-        )
-        answers = RequestLookup(
-            'here', None, in_flight, locations, messenger, forwarder
+            forward=lambda request, address: addresses.append(address)
         )
+        lookup = RequestLookup('here', None, in_flight, locations, messenger, forwarder)
         path = f'/v1/requests/{make_request_id("there")}'
         request = CallerRequest('GET', path, '', {}, '127.0.0.1', None, 0)
-        assert answers.answer(request, 'customer') is DETACHED
-        assert asked == ['127.0.0.1:2']
+        assert lookup.answer(request, 'customer') is DETACHED
+        assert addresses == ['127.0.0.1:2']
--- a/libs/daemon/tests/test_sse.py
+++ b/libs/daemon/tests/test_sse.py
@@ -32,7 +32,7 @@
             ([b'{"error": {}}', b'[DONE]'], Ending.ERROR, []),
         ],
     )
-    def test_ending(self, events, ending, left):
+    def test_ending_is_returned_and_its_events_are_removed(self, events, ending, left):
         assert pop_ending(events) is ending
         assert events == left
 
@@ -40,6 +40,6 @@
 class TestRenderEvents:
     """Ids are consecutive and have the attempt's tag."""
 
-    def test_ids(self):
+    def test_ids_are_consecutive_with_the_tag(self):
         rendered = render_events([b'a', b'b'], 4, b'.2-x')
         assert rendered == b'id: 4.2-x\ndata: a\n\nid: 5.2-x\ndata: b\n\n'
