--- a/libs/membership/fireflyhitch_membership/configuration.py
+++ b/libs/membership/fireflyhitch_membership/configuration.py
@@ -150,7 +150,9 @@
         )
 
     def follow_store_once(self) -> timedelta:
-        """Read and watch the store if this daemon is a watcher or its poll is due.
+        """Read the store if this daemon is a watcher or its poll is due.
+
+        A watcher also watches the store until the watch's timeout.
 
         :returns: how long to wait before the next round.
         """
--- a/libs/membership/fireflyhitch_membership/heads.py
+++ b/libs/membership/fireflyhitch_membership/heads.py
@@ -1,8 +1,8 @@
 """The watched head of the configuration, with the difference from the previous one.
 
 The whole configuration is stored in a body under a separate key, which is written
-first. A watcher of every change receives about a kilobyte per change, and reads the
-whole only after it missed one.
+first. A watcher receives about a kilobyte per change, and reads the whole
+configuration only after it missed a change.
 """
 
 import base64
--- a/libs/membership/fireflyhitch_membership/members.py
+++ b/libs/membership/fireflyhitch_membership/members.py
@@ -83,7 +83,7 @@
             return tuple(changed)
 
     def suspect(self, daemon_id: DaemonId) -> tuple[MemberRecord, ...]:
-        """Mark a daemon as suspect that answered neither direct nor indirect probes."""
+        """Mark as suspect a daemon that answered neither direct nor indirect probes."""
         with self._lock:
             entry = self._entries.get(daemon_id)
             if entry is None or entry.record.status is not MemberStatus.ALIVE:
--- a/libs/membership/fireflyhitch_membership/messages.py
+++ b/libs/membership/fireflyhitch_membership/messages.py
@@ -20,7 +20,7 @@
 
 
 class MemberStatus(IntEnum):
-    """Liveness of a daemon; it only increases within one incarnation."""
+    """Status of a daemon; it only increases within one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -71,7 +71,7 @@
 class Probe(PeerMessage):
     """A heartbeat that expects an answer, with digests of the sender's state.
 
-    :param members: one digest of the per-domain member digests.
+    :param members: a digest over the member digests of all failure domains.
     :param seen: the incarnation and status that the sender has recorded for the
         receiver, which can thus refute a wrong suspicion.
     """
--- a/libs/membership/fireflyhitch_membership/network.py
+++ b/libs/membership/fireflyhitch_membership/network.py
@@ -43,7 +43,8 @@
 JOIN_SECONDS = 1.5
 # Lets the loop's own timeout expire first.
 ASK_GRACE_SECONDS = 1
-# Leaves room for the numbers of all messages of one process.
+# The low bits of a message number count the messages of one process; the high bits
+# hold its start time.
 EPOCH_BITS = 32
 # The mark number of withdrawn versions, which have no incarnations.
 WITHDRAWN = 1
@@ -166,7 +167,7 @@
         self._add_marks((mark,))
 
     def is_leaving(self, instance: InstanceId, incarnation: Incarnation) -> bool:
-        """Return whether an instance is marked as leaving; cheap."""
+        """Return whether an instance is marked as leaving; a dictionary lookup."""
         return incarnation <= self._marks.number_of(MarkKind.LEAVING, instance)
 
     def leaving(self) -> dict[InstanceId, Incarnation]:
@@ -180,7 +181,7 @@
         self._add_marks((Mark(kind=MarkKind.WITHDRAWN, key=key, number=WITHDRAWN),))
 
     def is_withdrawn(self, deployment: DeploymentId, version: VersionId) -> bool:
-        """Return whether a version is withdrawn; cheap."""
+        """Return whether a version is withdrawn; a dictionary lookup."""
         key = f'{deployment}/{version}'
         return self._marks.number_of(MarkKind.WITHDRAWN, key) > 0
 
--- a/libs/membership/fireflyhitch_membership/relaying.py
+++ b/libs/membership/fireflyhitch_membership/relaying.py
@@ -22,9 +22,9 @@
 class Broadcaster:
     """Broadcasts messages and forwards those of other daemons, each once.
 
-    A message enters another failure domain at its two gateways, so that one may fail.
-    A copy lost further down the tree is not resent; state that must arrive is also
-    compared by digests.
+    A message enters another failure domain at both of its gateways, so that one of them
+    may fail. A copy lost further down the tree is not resent; state that must arrive is
+    also compared by digests.
     """
 
     def __init__(self, exchange: Exchange, members: MemberTable, epoch: int) -> None:
--- a/libs/membership/fireflyhitch_membership/spreading.py
+++ b/libs/membership/fireflyhitch_membership/spreading.py
@@ -37,7 +37,7 @@
 PULL_ATTEMPTS = 2
 STATUS_TIMEOUT = timedelta(seconds=1)
 STATUS_THREADS = 8
-# How long a peer's reported revision counts.
+# Older reports of peers are left out of the status.
 HEARD_SECONDS = 30.0
 
 
--- a/libs/membership/fireflyhitch_membership/storing.py
+++ b/libs/membership/fireflyhitch_membership/storing.py
@@ -271,7 +271,7 @@
         return record
 
     def _load(self, head: Head) -> ConfigurationRecord:
-        """Return a head's record: the one in force, by difference, or from its body."""
+        """Return a head's record; read its body only if the difference does not apply."""
         in_force = self._revisions.record
         if (head.revision, head.content) == (in_force.revision, in_force.content):
             return in_force
--- a/libs/membership/tests/test_configuration.py
+++ b/libs/membership/tests/test_configuration.py
@@ -215,7 +215,7 @@
         assert waits[0] < timedelta(seconds=1) < waits[-1]
         assert max(waits) <= timedelta(seconds=15)
 
-    def test_snapshot_brings_the_configuration(self, site, manager):
+    def test_merged_snapshot_puts_its_configuration_in_force(self, site, manager):
         late = site.add('b')
         late.snapshot_section().merge(manager.snapshot_section().produce())
         assert late.in_force().configuration == make_configuration('three')
@@ -224,11 +224,11 @@
 class TestWatching:
     """Which daemons call the store, and how often."""
 
-    def test_two_of_a_failure_domain_watch(self, site):
+    def test_two_daemons_of_a_failure_domain_watch_the_store(self, site):
         managers = [site.add(f'd{number}') for number in range(9)]
         assert sum(one.is_watcher() for one in managers) == 2
 
-    def test_others_poll_once_and_then_rarely(self, site, manager):
+    def test_other_daemons_poll_once_and_then_rarely(self, site, manager):
         """Head and body are read once and then rarely, to limit the store's load."""
         idle = next(
             one
--- a/libs/membership/tests/test_network.py
+++ b/libs/membership/tests/test_network.py
@@ -21,7 +21,7 @@
 from fireflyhitch_model.peers import Daemon, PeerMessage, Scope
 from fireflyhitch_model.states import InstanceRole, InstanceState, MachineClass
 
-PATIENCE = 20
+TIMEOUT_SECONDS = 20
 SECOND = timedelta(seconds=1)
 
 
@@ -31,7 +31,7 @@
 
 
 def wait_until(holds):
-    ends = time.monotonic() + PATIENCE
+    ends = time.monotonic() + TIMEOUT_SECONDS
     while not holds():
         assert time.monotonic() < ends, 'timed out waiting for condition'
         time.sleep(0.01)
@@ -45,7 +45,7 @@
         self.cut = False
         self.lost = set()
 
-    def let_pass(self, sender, kind):
+    def filter_frame(self, sender, kind):
         if self.cut:
             self.lost.add((sender, kind))
         return not self.cut
@@ -55,7 +55,7 @@
         options = LinkOptions(
             seeds=first if seeds is None else seeds,
             peer_key=key,
-            link_filter=lambda _peer, kind: self.let_pass(name, kind),
+            link_filter=lambda _peer, kind: self.filter_frame(name, kind),
             **tls,
         )
         daemon = Daemon(name, domain, '127.0.0.1:0', f'{name}:80')
@@ -117,7 +117,7 @@
         three[0].spread(Echo(text='all'), Scope.EVERYWHERE)
         wait_until(lambda: len(arrived) == 3)
         three[2].tell('b', Echo(text='last'))
-        assert done.wait(PATIENCE)
+        assert done.wait(TIMEOUT_SECONDS)
         assert sorted(arrived) == [
             ('b', 'a', 'all'),
             ('b', 'a', 'near'),
@@ -133,10 +133,10 @@
         """
         with socket.create_server(('127.0.0.1', 0)) as unresponsive:
             address = f'127.0.0.1:{unresponsive.getsockname()[1]}'
-            ghost = MemberRecord(
+            unresponsive_peer = MemberRecord(
                 daemon_id='ghost', domain='gent', peer=address, entry='', incarnation=1
             )
-            three[0]._members.merge([ghost])
+            three[0]._members.merge([unresponsive_peer])
             three[1].handle(Echo, lambda _sender, echo: echo)
             for number in range(1000):
                 three[0].tell('ghost', Echo(text=str(number)))
@@ -175,13 +175,13 @@
 
     def test_daemon_without_the_key_is_rejected(self, cluster):
         inside = cluster.add('a', 'gent')
-        stranger = cluster.add('x', 'gent', key='guess')
+        outsider = cluster.add('x', 'gent', key='guess')
         with pytest.raises(PeerError):
-            stranger._call(stranger._links.open_link(inside.address), PATIENCE)
+            outsider._call(outsider._links.open_link(inside.address), TIMEOUT_SECONDS)
         assert [one.daemon_id for one in inside.live()] == ['a']
-        assert [one.daemon_id for one in stranger.live()] == ['x']
+        assert [one.daemon_id for one in outsider.live()] == ['x']
 
-    def test_mutual_tls(self, cluster):
+    def test_daemons_connect_by_mutual_tls_and_reject_plain_links(self, cluster):
         authority = trustme.CA()
         certificate = authority.issue_cert('127.0.0.1')
         server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -195,7 +195,9 @@
         cluster.settle()
         plain = cluster.add('c', 'gent', seeds=())
         with pytest.raises(PeerError):
-            plain._call(plain._links.open_link(cluster.networks[0].address), PATIENCE)
+            plain._call(
+                plain._links.open_link(cluster.networks[0].address), TIMEOUT_SECONDS
+            )
 
 
 class TestLeaving:
@@ -228,7 +230,7 @@
         three[2].on_members(changed.set)
         three[0].announce_leaving()
         wait_until(lambda: all(len(one.live()) == 2 for one in three))
-        assert changed.wait(PATIENCE)
+        assert changed.wait(TIMEOUT_SECONDS)
 
     def test_partitioned_sides_merge_their_marks(self, cluster, three):
         """After a partition each side has the other's marks.
--- a/libs/membership/tests/test_records.py
+++ b/libs/membership/tests/test_records.py
@@ -60,7 +60,7 @@
         if made.content == new.content:
             assert made == new
         else:
-            # Only the order differs; the hash shows it, and the whole is pulled instead.
+            # Only the order differs. The hashes differ too, so the whole is pulled.
             local, remote = json.loads(made.text), json.loads(new.text)
             for key in ('deployments', 'customers'):
                 assert sorted(map(str, local[key])) == sorted(map(str, remote[key]))
--- a/libs/membership/tests/test_scope.py
+++ b/libs/membership/tests/test_scope.py
@@ -20,7 +20,7 @@
     ]
 
 
-def reach(origin, daemons, scope):
+def count_hops(origin, daemons, scope):
     """Return the number of hops at which each daemon first receives a message."""
     by_id = {daemon.daemon_id: daemon for daemon in daemons}
     hops = {origin.daemon_id: 0}
@@ -31,10 +31,10 @@
             if target in hops:
                 continue
             hops[target] = hops[sender.daemon_id] + 1
-            here = by_id[target]
-            is_entry = here.failure_domain != sender.failure_domain
-            following = choose_next_hops('m', here, daemons, is_entry=is_entry)
-            senders.append((here, following))
+            receiver = by_id[target]
+            is_entry = receiver.failure_domain != sender.failure_domain
+            following = choose_next_hops('m', receiver, daemons, is_entry=is_entry)
+            senders.append((receiver, following))
     return hops
 
 
@@ -44,13 +44,13 @@
     @pytest.mark.parametrize(('domains', 'each'), [(4, 1), (4, 2), (4, 9), (19, 42)])
     def test_all_daemons_are_reached_in_few_hops(self, domains, each):
         daemons = make_daemons(domains, each)
-        hops = reach(daemons[0], daemons, Scope.EVERYWHERE)
+        hops = count_hops(daemons[0], daemons, Scope.EVERYWHERE)
         assert len(hops) == len(daemons)
         assert max(hops.values()) <= 4
 
     def test_domain_scope_stays_in_the_domain(self):
         daemons = make_daemons(4, 9)
-        reached = reach(daemons[0], daemons, Scope.FAILURE_DOMAIN)
+        reached = count_hops(daemons[0], daemons, Scope.FAILURE_DOMAIN)
         assert reached.keys() == {daemon.daemon_id for daemon in daemons[:9]}
 
 
--- a/libs/membership/tests/test_wire.py
+++ b/libs/membership/tests/test_wire.py
@@ -24,7 +24,7 @@
 class TestFrames:
     """Frames of other releases and malformed frames."""
 
-    def test_round_trip(self):
+    def test_round_trip_keeps_message_and_request_number(self):
         mark = Mark(kind=MarkKind.LEAVING, key='i', number=1)
         frame = decode(encode(StateUpdate(marks=(mark,)), ask=7), 'peer')
         assert frame.ask == 7
--- a/libs/telemetry/fireflyhitch_telemetry/lines.py
+++ b/libs/telemetry/fireflyhitch_telemetry/lines.py
@@ -19,7 +19,8 @@
 STANDARD_OUTPUT = 1
 # A few seconds of log lines of a loaded daemon.
 MAX_LINES = 4000
-# A daemon that serves 100 requests a second, all of them failing, logs some 400.
+# A daemon that serves 100 requests a second, all of them failing, writes
+# some 400 lines a second.
 MAX_LINES_PER_SECOND = 1000
 
 
