--- a/tests/users_platform/test_server_limits.py
+++ b/tests/users_platform/test_server_limits.py
@@ -5,7 +5,7 @@
 from itertools import count
 from pathlib import Path
 
-from cluster import Cluster, answer_signed, make_configuration, run_scenario
+from cluster import Cluster, answer_signed, make_configuration, run_scenario, wait_for
 from scene import ReceivedResponse
 
 from fireflyhitch_standins.arrivals import count_peak_arrivals
@@ -108,6 +108,11 @@
     ) -> None:
         async def script(scenario: LimitScenario) -> None:
             await scenario.cluster.add_server('i-free', answer_signed())
+            # A daemon that has not received the entry yet may refuse.
+            programs = scenario.cluster.programs.values()
+            await wait_for(
+                lambda: all(p.store_state.count_servers() == 2 for p in programs)
+            )
             settled_at = await scenario.send_requests(13)
             server = scenario.servers[0]
             assert (
